--- a/test/e2e/fleet_test.go
+++ b/test/e2e/fleet_test.go
@@ -25,6 +25,20 @@
 
 var binaries string
 
+// otherBuild is a folder with the programs of another version. Where it is set, every
+// second process is of that version, as during a rolling update.
+var otherBuild = os.Getenv("OTHER_BUILD")
+
+var processes atomic.Int32
+
+// programPath returns the file of the program that the next process runs.
+func programPath(name string) string {
+	if otherBuild != "" && processes.Add(1)%2 == 0 {
+		return filepath.Join(otherBuild, name)
+	}
+	return filepath.Join(binaries, name)
+}
+
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "dapplespindle-e2e")
 	if err != nil {
@@ -79,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(filepath.Join(binaries, name), args...)
+	cmd := exec.Command(programPath(name), args...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
 	if err := cmd.Start(); err != nil {
--- a/test/e2e/operators_test.go
+++ b/test/e2e/operators_test.go
@@ -29,7 +29,7 @@
 // spindlectl returns the output and the exit code.
 func (o *operator) spindlectl(args ...string) (string, ctl.Code) {
 	o.fleet.t.Helper()
-	cmd := exec.Command(filepath.Join(binaries, "spindlectl"),
+	cmd := exec.Command(programPath("spindlectl"),
 		append([]string{"--server", o.entry.operator, "--operator", o.name, "-o", "json"}, args...)...)
 	var out bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &out
--- a/test/e2e/tls_test.go
+++ b/test/e2e/tls_test.go
@@ -203,7 +203,7 @@
 // ctl runs spindlectl against an entry host with more arguments.
 func (s *securedFleet) ctl(e *entryHost, args ...string) (string, int) {
 	s.t.Helper()
-	cmd := exec.Command(filepath.Join(binaries, "spindlectl"), append([]string{"--server", e.operator}, args...)...)
+	cmd := exec.Command(programPath("spindlectl"), append([]string{"--server", e.operator}, args...)...)
 	out, _ := cmd.CombinedOutput()
 	return string(out), cmd.ProcessState.ExitCode()
 }
