--- a/internal/proxy/ratelimit.go
+++ b/internal/proxy/ratelimit.go
@@ -134,7 +134,7 @@
 	for _, u := range x.state.group.current.Load().Upstreams {
 		switch {
 		case u.Limit.Limited():
-			perSecond += u.Limit.Share()
+			perSecond += u.Limit.HostRate()
 		case u.Rest.Left(now) == 0:
 			return math.Inf(1)
 		}
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -69,7 +69,7 @@
 			return true
 		}
 	}
-	if u.Limit.Limited() && (i.Extra || u.Limit.Left(i.Now) > 0) {
+	if u.Limit.Limited() && (i.Extra || u.Limit.Delay(i.Now) > 0) {
 		return true
 	}
 	return !u.Rest.Open(i.Now, i.Last)
--- a/pkg/balancer/probefirst/ask.go
+++ b/pkg/balancer/probefirst/ask.go
@@ -37,7 +37,7 @@
 // whose load it does not know; nil if there is none. Turns are lost when they are not used,
 // and only an answer tells that the limit is over.
 func (p *picker) unseenTurn(info balancer.PickInfo) *balancer.Upstream {
-	if !p.limits.Any() {
+	if !p.limits.AnyLimited() {
 		return nil
 	}
 	for _, members := range [][]*balancer.Upstream{p.near, p.far} {
--- a/pkg/balancer/upstream.go
+++ b/pkg/balancer/upstream.go
@@ -127,7 +127,7 @@
 // ShutFor returns how much longer u gets nothing from this host: it rests, or this host has
 // its next turn only then. It is 0 if a request may be sent now.
 func (u *Upstream) ShutFor(now time.Time) time.Duration {
-	return max(u.Rest.Left(now), u.Limit.Left(now))
+	return max(u.Rest.Left(now), u.Limit.Delay(now))
 }
 
 // HasTurn reports whether u names a limit and this host may send it a request now.
--- a/pkg/ratelimit/book.go
+++ b/pkg/ratelimit/book.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// RepeatEndedFor is how long the end of a limit is repeated to other hosts.
-	RepeatEndedFor = 5 * time.Second
+	// EndAnnouncePeriod is how long the end of a limit is repeated to other hosts.
+	EndAnnouncePeriod = 5 * time.Second
 	// keepReleased is how long an upstream without a record is remembered: its entry may be
 	// missing for a while. The store's outages that are known take less.
 	keepReleased = 10 * time.Minute
@@ -45,13 +45,13 @@
 // word than this is of a clock that is wrong.
 const maxAge = 24 * time.Hour
 
-// ErrNews means that news of another host can't be true.
-var ErrNews = errors.New("news of a limit that can't be true")
+// ErrInvalidUpdate means that news of another host can't be true.
+var ErrInvalidUpdate = errors.New("news of a limit that can't be true")
 
 // Validate checks news of another host.
 func (n *News) Validate() error {
-	if !(n.PerSecond >= 0 && n.PerSecond <= MostPerSecond) || n.Age < 0 || n.Age > maxAge {
-		return errors.Wrapf(ErrNews, "%v a second, %v ago", n.PerSecond, n.Age)
+	if !(n.PerSecond >= 0 && n.PerSecond <= MaxPerSecond) || n.Age < 0 || n.Age > maxAge {
+		return errors.Wrapf(ErrInvalidUpdate, "%v a second, %v ago", n.PerSecond, n.Age)
 	}
 	return nil
 }
@@ -128,8 +128,8 @@
 	}
 }
 
-// Any reports whether any upstream names a limit. A nil Book knows of none.
-func (b *Book) Any() bool { return b != nil && b.tally.inForce.Load() > 0 }
+// AnyLimited reports whether any upstream names a limit. A nil Book knows of none.
+func (b *Book) AnyLimited() bool { return b != nil && b.tally.inForce.Load() > 0 }
 
 // Len returns the number of states held.
 func (b *Book) Len() int {
@@ -158,7 +158,7 @@
 // News returns what other hosts should hear: the limits in force, and those that ended
 // lately.
 func (b *Book) News(now time.Time) []News {
-	if !b.Any() && now.UnixNano()-b.tally.ended.Load() >= int64(RepeatEndedFor) {
+	if !b.AnyLimited() && now.UnixNano()-b.tally.ended.Load() >= int64(EndAnnouncePeriod) {
 		return nil
 	}
 	b.mu.Lock()
@@ -179,7 +179,7 @@
 		b.mu.Lock()
 		h := b.held[n.Server]
 		b.mu.Unlock()
-		if h != nil && h.state.HearPeer(now, n) {
+		if h != nil && h.state.ApplyPeerUpdate(now, n) {
 			changed = append(changed, h.state)
 		}
 	}
@@ -202,12 +202,12 @@
 		return News{Server: s.server, PerSecond: n.perSecond, Age: max(now.Sub(heard), 0)}, true
 	}
 	since := now.Sub(s.ended)
-	return News{Server: s.server, Ended: true, Age: since}, !s.ended.IsZero() && since < RepeatEndedFor
+	return News{Server: s.server, Ended: true, Age: since}, !s.ended.IsZero() && since < EndAnnouncePeriod
 }
 
-// HearPeer takes in what another host tells. It reports whether that changes what is known:
+// ApplyPeerUpdate takes in what another host tells. It reports whether that changes what is known:
 // the newest word counts.
-func (s *State) HearPeer(now time.Time, news News) bool {
+func (s *State) ApplyPeerUpdate(now time.Time, news News) bool {
 	said := now.Add(-max(news.Age, 0))
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/ratelimit/fleet_test.go
+++ b/pkg/ratelimit/fleet_test.go
@@ -211,7 +211,7 @@
 		}
 		f.tell(epoch)
 		f.run(epoch.Add(idle), 10*time.Second)
-		bound := groups * int(math.Ceil(perSecond*(window+Keep+2*off).Seconds()+2))
+		bound := groups * int(math.Ceil(perSecond*(window+SlotValidity+2*off).Seconds()+2))
 		if worst := mostWithin(f.arrivals[0]); worst > bound {
 			t.Fatalf("%d in %v, bound %d", worst, window, bound)
 		}
--- a/pkg/ratelimit/ratelimit.go
+++ b/pkg/ratelimit/ratelimit.go
@@ -3,13 +3,13 @@
 //
 // The hosts share such a limit by the turns of pkg/turns: there are as many slots a second
 // as the upstream takes requests, each slot is the turn of one host, and a host may use its
-// turn for one request, up to Keep later. They tell one another what upstreams say, so that
+// turn for one request, up to SlotValidity later. They tell one another what upstreams say, so that
 // a host holds back before it was told itself, and knows of the end of a limit although its
 // own next turn may be a long time off.
 //
-// Within a time w, an upstream that takes r requests a second gets at most r(w+Keep+2d)+2
+// Within a time w, an upstream that takes r requests a second gets at most r(w+SlotValidity+2d)+2
 // where the hosts agree on their numbers and their clocks agree within d seconds: so many
-// slots begin in the time and in the Keep before it, and one lasts until the next. Where the
+// slots begin in the time and in the SlotValidity before it, and one lasts until the next. Where the
 // hosts are in k groups that count differently, each group sends that much.
 //
 // The package does no I/O, reads no clock and draws no randomness.
@@ -25,17 +25,17 @@
 )
 
 const (
-	// Keep is how long after its slot has begun a turn may be used, or until the next slot
+	// SlotValidity is how long after its slot has begun a turn may be used, or until the next slot
 	// begins if that is later: hosts get requests when callers send them, not in their
 	// slots. What is saved up is half of the two seconds' worth that upstreams bear above
 	// their limit.
-	Keep = time.Second
-	// ConfirmWithin is the time after which a host that has a turn finds out whether a limit
+	SlotValidity = time.Second
+	// ConfirmInterval is the time after which a host that has a turn finds out whether a limit
 	// still holds: the upstream has its share again soon after it names none any more.
-	ConfirmWithin = time.Second
-	// TrialPerSecond is the least that is sent to an upstream that names a smaller limit, or
+	ConfirmInterval = time.Second
+	// MinPerSecond is the least that is sent to an upstream that names a smaller limit, or
 	// 0: only an answer says that it takes more again.
-	TrialPerSecond = 0.25
+	MinPerSecond = 0.25
 )
 
 // Source is where a host heard of a limit.
@@ -113,7 +113,7 @@
 // Hear takes in what an answer says that came now, to a request or a probe that was sent at
 // a time. It reports whether that changes what is known.
 func (s *State) Hear(now, sent time.Time, w Word, from Source) bool {
-	if s == nil || w.Kind == Silent || w.Kind == Unlimited && s.current.Load() == nil {
+	if s == nil || w.Kind == Unspecified || w.Kind == Unlimited && s.current.Load() == nil {
 		return false
 	}
 	s.mu.Lock()
@@ -194,7 +194,7 @@
 func (s *State) Limited() bool { return s != nil && s.current.Load() != nil }
 
 // Open reports whether this host may send a request now.
-func (s *State) Open(now time.Time) bool { return !s.Limited() || s.Left(now) == 0 }
+func (s *State) Open(now time.Time) bool { return !s.Limited() || s.Delay(now) == 0 }
 
 // Take uses a turn of this host for one request. It is false if there is none, or no longer.
 func (s *State) Take(now time.Time) bool {
@@ -217,8 +217,8 @@
 	}
 }
 
-// Left returns how long it takes until this host may send a request; 0 if it may now.
-func (s *State) Left(now time.Time) time.Duration {
+// Delay returns how long it takes until this host may send a request; 0 if it may now.
+func (s *State) Delay(now time.Time) time.Duration {
 	if s == nil {
 		return 0
 	}
@@ -260,17 +260,17 @@
 func (s *State) Lend(now time.Time) bool { return s.Limited() && s.Take(now) }
 
 // Unconfirmed reports whether a limit is known that this host has heard nothing of for
-// ConfirmWithin.
+// ConfirmInterval.
 func (s *State) Unconfirmed(now time.Time) bool {
 	if s == nil {
 		return false
 	}
 	n := s.current.Load()
-	return n != nil && now.UnixNano()-n.heard.Load() > int64(ConfirmWithin)
+	return n != nil && now.UnixNano()-n.heard.Load() > int64(ConfirmInterval)
 }
 
-// Share returns how many requests a second this host may send; infinite without a limit.
-func (s *State) Share() float64 {
+// HostRate returns how many requests a second this host may send; infinite without a limit.
+func (s *State) HostRate() float64 {
 	if s == nil {
 		return math.Inf(1)
 	}
@@ -301,7 +301,7 @@
 // before the limit was heard, or before this host had its number, are void: others may have
 // used them.
 func (s *State) validFrom(now time.Time, n *naming) time.Time {
-	from := now.Add(-max(Keep, n.slot()))
+	from := now.Add(-max(SlotValidity, n.slot()))
 	if from.Before(n.since) {
 		from = n.since
 	}
@@ -312,7 +312,7 @@
 }
 
 // rate is how many slots there are a second.
-func (n *naming) rate() float64 { return max(n.perSecond, TrialPerSecond) }
+func (n *naming) rate() float64 { return max(n.perSecond, MinPerSecond) }
 
 // slot is how long a slot lasts.
 func (n *naming) slot() time.Duration { return time.Duration(float64(time.Second) / n.rate()) }
--- a/pkg/ratelimit/ratelimit_test.go
+++ b/pkg/ratelimit/ratelimit_test.go
@@ -19,7 +19,7 @@
 		return
 	}
 	s.Hear(now, now, word, Answer)
-	fmt.Println(s.Take(now), s.Take(now), s.Left(now))
+	fmt.Println(s.Take(now), s.Take(now), s.Delay(now))
 	fmt.Println(s.Take(now.Add(500 * time.Millisecond)))
 	// Output:
 	// true false 500ms
@@ -42,10 +42,10 @@
 	for _, s := range []*State{nil, NewState("i-1", 0, turns.Alone())} {
 		is.True(s.Open(epoch))
 		is.True(s.Take(epoch))
-		is.Equal(s.Left(epoch), time.Duration(0))
+		is.Equal(s.Delay(epoch), time.Duration(0))
 		is.True(!s.Limited())
 		is.True(!s.Unconfirmed(epoch))
-		is.True(math.IsInf(s.Share(), 1))
+		is.True(math.IsInf(s.HostRate(), 1))
 		is.True(!s.Hear(epoch, epoch, unlimited, Answer))
 	}
 }
@@ -76,7 +76,7 @@
 			s := NewState("i-1", 0, turns.Alone())
 			for _, from := range test.heard {
 				if from == Peer {
-					s.HearPeer(epoch, News{PerSecond: 2})
+					s.ApplyPeerUpdate(epoch, News{PerSecond: 2})
 					continue
 				}
 				s.Hear(epoch, epoch, named(2), from)
@@ -101,14 +101,14 @@
 func TestNewestWordCounts(t *testing.T) {
 	is := is.New(t)
 	s := alone(2)
-	is.True(!s.HearPeer(epoch.Add(time.Second), News{Ended: true, Age: 1500 * time.Millisecond})) // older
-	is.True(!s.HearPeer(epoch.Add(time.Second), News{PerSecond: 5, Age: time.Second}))            // as old
-	is.True(s.HearPeer(epoch.Add(time.Second), News{PerSecond: 5, Age: 900 * time.Millisecond}))
+	is.True(!s.ApplyPeerUpdate(epoch.Add(time.Second), News{Ended: true, Age: 1500 * time.Millisecond})) // older
+	is.True(!s.ApplyPeerUpdate(epoch.Add(time.Second), News{PerSecond: 5, Age: time.Second}))            // as old
+	is.True(s.ApplyPeerUpdate(epoch.Add(time.Second), News{PerSecond: 5, Age: 900 * time.Millisecond}))
 	is.Equal(s.Word(), named(5))
-	is.True(s.HearPeer(epoch.Add(2*time.Second), News{Ended: true}))
-	is.True(!s.HearPeer(epoch.Add(3*time.Second), News{PerSecond: 5, Age: 1500 * time.Millisecond})) // before the end
+	is.True(s.ApplyPeerUpdate(epoch.Add(2*time.Second), News{Ended: true}))
+	is.True(!s.ApplyPeerUpdate(epoch.Add(3*time.Second), News{PerSecond: 5, Age: 1500 * time.Millisecond})) // before the end
 	is.True(!s.Limited())
-	is.True(s.HearPeer(epoch.Add(3*time.Second), News{PerSecond: 5, Age: 500 * time.Millisecond}))
+	is.True(s.ApplyPeerUpdate(epoch.Add(3*time.Second), News{PerSecond: 5, Age: 500 * time.Millisecond}))
 }
 
 func TestNewsAreToldForAWhile(t *testing.T) {
@@ -121,7 +121,7 @@
 	news, ok = s.News(epoch.Add(3 * time.Second))
 	is.True(ok)
 	is.Equal(news, News{Server: NameOf("i-1", 0), Ended: true, Age: time.Second})
-	_, ok = s.News(epoch.Add(2*time.Second + RepeatEndedFor))
+	_, ok = s.News(epoch.Add(2*time.Second + EndAnnouncePeriod))
 	is.True(!ok)
 }
 
@@ -135,8 +135,8 @@
 	for s.Take(at) {
 		n++
 	}
-	is.True(n == int(10*Keep.Seconds()) || n == int(10*Keep.Seconds())+1)
-	left := s.Left(at)
+	is.True(n == int(10*SlotValidity.Seconds()) || n == int(10*SlotValidity.Seconds())+1)
+	left := s.Delay(at)
 	is.True(left > 0 && left <= 100*time.Millisecond)
 	is.True(!s.Open(at.Add(left - time.Microsecond)))
 	is.True(s.Open(at.Add(left + time.Microsecond)))
@@ -151,12 +151,12 @@
 	is.True(s.Open(at))
 	s.Hear(at, at, named(7.5), Answer)
 	is.True(!s.Open(at))
-	is.True(s.Left(at) < time.Second/7)
+	is.True(s.Delay(at) < time.Second/7)
 
 	s = alone(10)
 	s.turns.Set(at, turns.Place{Self: 1, Hosts: 2})
 	is.True(!s.Open(at))
-	is.True(s.Left(at) <= 2*time.Second/10)
+	is.True(s.Delay(at) <= 2*time.Second/10)
 }
 
 // TestLimitOfNothing: an upstream that takes nothing is tried now and then.
@@ -169,23 +169,23 @@
 			n++
 		}
 	}
-	is.Equal(n, int(TrialPerSecond*60))
+	is.Equal(n, int(MinPerSecond*60))
 }
 
 func TestUnconfirmed(t *testing.T) {
 	is := is.New(t)
 	s := alone(2)
-	is.True(!s.Unconfirmed(epoch.Add(ConfirmWithin)))
-	is.True(s.Unconfirmed(epoch.Add(ConfirmWithin + 1)))
-	s.Hear(epoch.Add(ConfirmWithin), epoch, named(2), Answer)
-	is.True(!s.Unconfirmed(epoch.Add(ConfirmWithin + 1)))
+	is.True(!s.Unconfirmed(epoch.Add(ConfirmInterval)))
+	is.True(s.Unconfirmed(epoch.Add(ConfirmInterval + 1)))
+	s.Hear(epoch.Add(ConfirmInterval), epoch, named(2), Answer)
+	is.True(!s.Unconfirmed(epoch.Add(ConfirmInterval + 1)))
 }
 
 // TestConcurrentTakes: of many goroutines that take a turn at the same time, one gets it.
 func TestConcurrentTakes(t *testing.T) {
 	is := is.New(t)
 	s := alone(1)
-	at := epoch.Add(s.Left(epoch))
+	at := epoch.Add(s.Delay(epoch))
 	took := make(chan bool)
 	const goroutines = 32
 	for range goroutines {
@@ -213,7 +213,7 @@
 	is.Equal(len(b.News(epoch)), 1)
 	s.Hear(epoch.Add(time.Second), epoch, unlimited, Answer)
 	is.Equal(len(b.News(epoch.Add(2*time.Second))), 1) // the end
-	is.Equal(len(b.News(epoch.Add(time.Second+RepeatEndedFor))), 0)
+	is.Equal(len(b.News(epoch.Add(time.Second+EndAnnouncePeriod))), 0)
 	s.Hear(epoch.Add(time.Second), epoch, named(2), Answer)
 	b.Release(epoch, s)
 	b.Tick(epoch.Add(keepReleased))
@@ -221,11 +221,11 @@
 	b.Release(epoch, s)
 	b.Tick(epoch.Add(keepReleased - 1))
 	is.Equal(b.Hold("i-1", 0), s)
-	is.True(b.Any())
+	is.True(b.AnyLimited())
 	b.Release(epoch, s)
 	b.Tick(epoch.Add(keepReleased))
 	is.Equal(b.Len(), 1)
-	is.True(!b.Any())
+	is.True(!b.AnyLimited())
 }
 
 func TestValidate(t *testing.T) {
--- a/pkg/ratelimit/word.go
+++ b/pkg/ratelimit/word.go
@@ -8,15 +8,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrUnreadable means that a limit is no number of requests a second.
-var ErrUnreadable = errors.New("limit is no number of requests a second")
+// ErrInvalidLimit means that a limit is no number of requests a second.
+var ErrInvalidLimit = errors.New("limit is no number of requests a second")
 
 // Kind is what an answer says of the upstream's limit.
 type Kind uint8
 
 const (
-	// Silent says nothing: the answer may not be the upstream's own word.
-	Silent Kind = iota
+	// Unspecified says nothing: the answer may not be the upstream's own word.
+	Unspecified Kind = iota
 	// Unlimited says that the upstream names no limit, or no longer.
 	Unlimited
 	// Limited names a limit.
@@ -31,11 +31,11 @@
 	PerSecond float64
 }
 
-// MostPerSecond bounds a limit; upstreams that take more are as good as unlimited.
-const MostPerSecond = 1e6
+// MaxPerSecond bounds a limit; upstreams that take more are as good as unlimited.
+const MaxPerSecond = 1e6
 
 // Read reads a limit as upstreams write it, a decimal number of requests a second. An
-// empty value names none; one that is not a number from 0 on is ErrUnreadable, and says
+// empty value names none; one that is not a number from 0 on is ErrInvalidLimit, and says
 // nothing.
 func Read(value string) (Word, error) {
 	value = strings.TrimSpace(value)
@@ -44,7 +44,7 @@
 	}
 	n, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) || n < 0 {
-		return Word{}, ErrUnreadable
+		return Word{}, ErrInvalidLimit
 	}
-	return Word{Kind: Limited, PerSecond: min(n, MostPerSecond)}, nil
+	return Word{Kind: Limited, PerSecond: min(n, MaxPerSecond)}, nil
 }
--- a/pkg/ratelimit/word_test.go
+++ b/pkg/ratelimit/word_test.go
@@ -19,7 +19,7 @@
 		" 25 ":  {Kind: ratelimit.Limited, PerSecond: 25},
 		"0.04":  {Kind: ratelimit.Limited, PerSecond: 0.04},
 		"2e2":   {Kind: ratelimit.Limited, PerSecond: 200},
-		"1e300": {Kind: ratelimit.Limited, PerSecond: ratelimit.MostPerSecond},
+		"1e300": {Kind: ratelimit.Limited, PerSecond: ratelimit.MaxPerSecond},
 	} {
 		got, err := ratelimit.Read(value)
 		is.NoErr(err)
@@ -27,7 +27,7 @@
 	}
 	for _, value := range []string{"-1", "few", "NaN", "inf", "1e999", "3/s", "1,5", "2 3"} {
 		got, err := ratelimit.Read(value)
-		is.True(errors.Is(err, ratelimit.ErrUnreadable))
+		is.True(errors.Is(err, ratelimit.ErrInvalidLimit))
 		is.Equal(got, ratelimit.Word{})
 	}
 }
