--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -132,7 +132,7 @@
 		p.budget.Stagger(t.Address, rand.N(t.Plan.Window()))
 	} else {
 		t.reported.Store(known.reported.Load())
-		t.rest.Inherit(&known.rest)
+		t.rest.Merge(&known.rest)
 	}
 	return true
 }
--- a/internal/proxy/rest.go
+++ b/internal/proxy/rest.go
@@ -94,7 +94,7 @@
 	switch {
 	case left == 0 || info.Waited == 0 && x.crowded():
 		return false
-	case left <= rest.TrialTime:
+	case left <= rest.TrialTimeout:
 		return left+info.Usual <= info.Left
 	case x.rule.Config.TargetLatency == 0:
 		return false
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -66,7 +66,7 @@
 							turned++
 						}
 					}
-					is.True(turned >= int(10*time.Second/(d+rest.ReturnSpread)))
+					is.True(turned >= int(10*time.Second/(d+rest.ResumeJitter)))
 					from := start.Add(10*time.Second + d + 500*time.Millisecond)
 					back := 0
 					for _, at := range upstreams.at("up-1") {
@@ -201,7 +201,7 @@
 		until := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0].Rest.Ask(clock.Now(), time.Second, 0)
 		crowd(p, "GET", 400, 5*time.Millisecond)
 		first := upstreams.at("up-1")[0]
-		is.True(!first.Before(until.Add(rest.TriedFirst)))
+		is.True(!first.Before(until.Add(rest.RetryableOnlyPeriod)))
 		is.True(first.Before(until.Add(500 * time.Millisecond)))
 	})
 }
@@ -218,8 +218,8 @@
 		"soon":                          {0, 1},
 		"-3":                            {0, 1},
 		"Fri, 31 Dec 2027 23:59:59 GMT": {0, 1},
-		"86400":                         {rest.Most, 0},
-		"1e18":                          {rest.Most, 0},
+		"86400":                         {rest.MaxDuration, 0},
+		"1e18":                          {rest.MaxDuration, 0},
 	} {
 		t.Run(word, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -233,7 +233,7 @@
 				is.Equal(events.count(event.RestAsked) == 1, test.rests > 0)
 				u := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0]
 				left := u.Rest.Left(clock.Now())
-				is.True(left <= test.rests+rest.ReturnSpread && left >= test.rests-time.Millisecond)
+				is.True(left <= test.rests+rest.ResumeJitter && left >= test.rests-time.Millisecond)
 				if test.rests == 0 {
 					is.Equal(left, time.Duration(0))
 				}
@@ -275,7 +275,7 @@
 				defer undo()
 				u := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0]
 				left := u.Rest.Left(clock.Now())
-				is.True(left <= test.left+rest.ReturnSpread && left >= test.left-2*time.Millisecond)
+				is.True(left <= test.left+rest.ResumeJitter && left >= test.left-2*time.Millisecond)
 			})
 		})
 	}
--- a/pkg/rest/header.go
+++ b/pkg/rest/header.go
@@ -9,15 +9,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Most bounds a rest. An upstream that asks for more is asked whether it serves again
+// MaxDuration bounds a rest. An upstream that asks for more is asked whether it serves again
 // after that time: a figure in the wrong unit takes it away for no longer.
-const Most = time.Hour
+const MaxDuration = time.Hour
 
-// ErrUnreadable means that a time of rest is no number of seconds.
-var ErrUnreadable = errors.New("time of rest is no number of seconds")
+// ErrInvalidDuration means that a time of rest is no number of seconds.
+var ErrInvalidDuration = errors.New("time of rest is no number of seconds")
 
 // Seconds reads a time of rest in seconds, fractions included, of at most Most. An empty
-// value asks for none; any other that is not a number from 0 on is ErrUnreadable.
+// value asks for none; any other that is not a number from 0 on is ErrInvalidDuration.
 func Seconds(value string) (time.Duration, error) { return read(value, time.Second) }
 
 // Milliseconds is Seconds for a value in milliseconds.
@@ -30,7 +30,7 @@
 	}
 	n, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) || n < 0 {
-		return 0, ErrUnreadable
+		return 0, ErrInvalidDuration
 	}
-	return time.Duration(min(n*float64(unit), float64(Most))), nil
+	return time.Duration(min(n*float64(unit), float64(MaxDuration))), nil
 }
--- a/pkg/rest/header_test.go
+++ b/pkg/rest/header_test.go
@@ -21,8 +21,8 @@
 		"2.5":          2500 * time.Millisecond,
 		"0.0000000001": 0,
 		"3600":         time.Hour,
-		"86400":        rest.Most,
-		"1e300":        rest.Most,
+		"86400":        rest.MaxDuration,
+		"1e300":        rest.MaxDuration,
 	} {
 		got, err := rest.Seconds(value)
 		is.NoErr(err)
@@ -30,7 +30,7 @@
 	}
 	for _, value := range []string{"-1", "soon", "NaN", "inf", "1e999", "3 s", "1,5", "Fri, 31 Dec 2027 23:59:59 GMT"} {
 		_, err := rest.Seconds(value)
-		is.True(errors.Is(err, rest.ErrUnreadable))
+		is.True(errors.Is(err, rest.ErrInvalidDuration))
 	}
 }
 
--- a/pkg/rest/rest.go
+++ b/pkg/rest/rest.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// ReturnSpread is the width of the time over which the hosts that were turned away at
+	// ResumeJitter is the width of the time over which the hosts that were turned away at
 	// the same moment come back; a shorter rest is followed by a spread as short as itself.
-	// With TriedFirst, an upstream has its share again within half a second.
-	ReturnSpread = 300 * time.Millisecond
-	// TrialTime is how long the first request after a rest goes alone: a refusal is back
+	// With RetryableOnlyPeriod, an upstream has its share again within half a second.
+	ResumeJitter = 300 * time.Millisecond
+	// TrialTimeout is how long the first request after a rest goes alone: a refusal is back
 	// in a round trip, which is below 10 ms.
-	TrialTime = 50 * time.Millisecond
-	// TriedFirst is how long after a rest only requests that could be sent again if they are
+	TrialTimeout = 50 * time.Millisecond
+	// RetryableOnlyPeriod is how long after a rest only requests that could be sent again if they are
 	// turned away try whether it is over.
-	TriedFirst = 200 * time.Millisecond
+	RetryableOnlyPeriod = 200 * time.Millisecond
 )
 
 // State is what one host knows of the rest of one upstream. The zero value knows of none.
@@ -42,7 +42,7 @@
 // Ask takes in that the upstream wants nothing from now on for a time, and returns until
 // when it gets nothing. Random is a uniformly distributed number; it spreads the hosts.
 func (s *State) Ask(now time.Time, d time.Duration, random uint64) time.Time {
-	width := min(d, ReturnSpread)
+	width := min(d, ResumeJitter)
 	late := time.Duration(float64(random>>11) / (1 << 53) * float64(width))
 	return s.Extend(now.Add(d + late))
 }
@@ -79,9 +79,9 @@
 	}
 	tried := i.tried.Load()
 	if tried == 0 {
-		return !last || since >= TriedFirst
+		return !last || since >= RetryableOnlyPeriod
 	}
-	return since >= time.Duration(tried)+TrialTime
+	return since >= time.Duration(tried)+TrialTimeout
 }
 
 // Try is called right before a request is sent. It is false if the upstream rests, or
@@ -95,7 +95,7 @@
 	if since < 0 {
 		return false
 	}
-	return i.tried.CompareAndSwap(0, int64(since)+1) || since >= time.Duration(i.tried.Load())+TrialTime
+	return i.tried.CompareAndSwap(0, int64(since)+1) || since >= time.Duration(i.tried.Load())+TrialTimeout
 }
 
 // Answered takes in an answer that asks for no rest: if the rest is over, the upstream has
@@ -106,8 +106,8 @@
 	}
 }
 
-// Inherit takes in what another state knows.
-func (s *State) Inherit(o *State) {
+// Merge takes in what another state knows.
+func (s *State) Merge(o *State) {
 	if i := o.newest.Load(); i != nil {
 		s.Extend(i.until)
 	}
@@ -125,7 +125,7 @@
 		return -since
 	}
 	if tried := i.tried.Load(); tried != 0 {
-		return max(time.Duration(tried)+TrialTime-since, 0)
+		return max(time.Duration(tried)+TrialTimeout-since, 0)
 	}
 	return 0
 }
--- a/pkg/rest/rest_test.go
+++ b/pkg/rest/rest_test.go
@@ -51,12 +51,12 @@
 	var s rest.State
 	until := s.Ask(start, time.Second, 0)
 	is.True(!s.Open(until, true)) // one that could not be sent again waits
-	is.True(s.Open(until.Add(rest.TriedFirst), true))
+	is.True(s.Open(until.Add(rest.RetryableOnlyPeriod), true))
 	is.True(s.Try(until))
 	is.True(!s.Open(until, false))
 	is.True(!s.Try(until))
-	is.Equal(s.Left(until), rest.TrialTime+1)
-	after := until.Add(rest.TrialTime + 1)
+	is.Equal(s.Left(until), rest.TrialTimeout+1)
+	after := until.Add(rest.TrialTimeout + 1)
 	is.True(s.Open(after, true))
 	is.True(s.Try(after))
 	is.True(s.Try(after))
@@ -138,10 +138,10 @@
 func TestInherit(t *testing.T) {
 	is := is.New(t)
 	var old, next rest.State
-	next.Inherit(&old)
+	next.Merge(&old)
 	is.True(next.Open(start, false))
 	until := old.Ask(start, time.Second, 0)
-	next.Inherit(&old)
+	next.Merge(&old)
 	is.Equal(next.Left(start), until.Sub(start))
 }
 
