--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -90,15 +90,15 @@
 func (x *exchange) pick(ctx context.Context, n int, waited time.Duration, extra bool) (binding, error) {
 	group := x.state.group.current.Load()
 	info := balancer.PickInfo{
-		Now:        clock.Now(),
-		Random:     x.proxy.random(),
-		Exclude:    x.tried,
-		Waited:     waited,
-		Extra:      extra,
-		Usual:      x.usual(),
-		TargetLeft: clock.Until(x.usefulUntil()),
-		Left:       x.left(),
-		Last:       x.last(n),
+		Now:             clock.Now(),
+		Random:          x.proxy.random(),
+		Exclude:         x.tried,
+		Waited:          waited,
+		Hedge:           extra,
+		ExpectedLatency: x.usual(),
+		TargetLeft:      clock.Until(x.usefulUntil()),
+		DeadlineLeft:    x.left(),
+		FinalAttempt:    x.last(n),
 	}
 	x.ask(ctx, group, &info)
 	now := info.Now
--- a/internal/proxy/ratelimit.go
+++ b/internal/proxy/ratelimit.go
@@ -65,7 +65,7 @@
 // upstreams for their load first: such an upstream is chosen as seldom as this host has a
 // turn there when a request comes, and nothing else tells that it takes more again.
 func (x *exchange) confirm(group *routing.Group, info balancer.PickInfo) (balancer.Result, bool) {
-	if info.Extra || info.Last || x.asks(group) {
+	if info.Hedge || info.FinalAttempt || x.asks(group) {
 		return balancer.Result{}, false
 	}
 	for _, u := range group.Upstreams {
@@ -94,7 +94,7 @@
 
 // borrow chooses an upstream at which another host lends its turn.
 func (x *exchange) borrow(ctx context.Context, group *routing.Group, info balancer.PickInfo) (balancer.Result, bool) {
-	if x.proxy.lenders == nil || info.Extra {
+	if x.proxy.lenders == nil || info.Hedge {
 		return balancer.Result{}, false
 	}
 	for x.asked < maxLenders {
@@ -119,7 +119,7 @@
 	first := x.proxy.random()
 	for i := range n {
 		u := group.Upstreams[(first%n+i)%n]
-		if u.Limit.Limited() && u.Rest.Open(info.Now, info.Last) && !u.Cold.Cold(info.Now) && !slices.Contains(info.Exclude, u) {
+		if u.Limit.Limited() && u.Rest.Open(info.Now, info.FinalAttempt) && !u.Cold.Cold(info.Now) && !slices.Contains(info.Exclude, u) {
 			return u
 		}
 	}
--- a/internal/proxy/rest.go
+++ b/internal/proxy/rest.go
@@ -69,8 +69,8 @@
 			return choice, nil
 		case err == nil:
 			continue
-		case info.Last && errors.Is(err, balancer.ErrNoUpstream):
-			info.Last = false // none is left but those whose rest has just ended
+		case info.FinalAttempt && errors.Is(err, balancer.ErrNoUpstream):
+			info.FinalAttempt = false // none is left but those whose rest has just ended
 			continue
 		case errors.Is(err, balancer.ErrNoUpstream):
 			if borrowed, ok := x.borrow(ctx, group, info); ok {
@@ -95,11 +95,11 @@
 	case left == 0 || info.Waited == 0 && x.crowded():
 		return false
 	case left <= rest.TrialTimeout:
-		return left+info.Usual <= info.Left
+		return left+info.ExpectedLatency <= info.DeadlineLeft
 	case x.rule.Config.TargetLatency == 0:
 		return false
 	}
-	return left+info.Usual <= info.TargetLeft
+	return left+info.ExpectedLatency <= info.TargetLeft
 }
 
 // allShut returns how long it takes until the first upstream of the group may be sent a
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -46,17 +46,17 @@
 	Exclude []*Upstream
 	// Waited is how long the request has been in the local queue.
 	Waited time.Duration
-	// Extra is true for a second attempt beside one that is still running: it is
+	// Hedge is true for a second attempt beside one that is still running: it is
 	// only worth its price at an upstream that is fast now.
-	Extra bool
-	// Usual is how long upstreams usually take for such a request; 0 if unknown.
-	Usual time.Duration
+	Hedge bool
+	// ExpectedLatency is how long upstreams usually take for such a request; 0 if unknown.
+	ExpectedLatency time.Duration
 	// TargetLeft is what is left of the target latency; negative once it has passed.
 	TargetLeft time.Duration
-	// Left is what is left of the deadline.
-	Left time.Duration
-	// Last states that the request could not be sent again if it were turned away.
-	Last bool
+	// DeadlineLeft is what is left of the deadline.
+	DeadlineLeft time.Duration
+	// FinalAttempt states that the request could not be sent again if it were turned away.
+	FinalAttempt bool
 }
 
 // Excludes reports whether u must not be chosen: it was already tried, rests, or has named a
@@ -69,10 +69,10 @@
 			return true
 		}
 	}
-	if u.Limit.Limited() && (i.Extra || u.Limit.Delay(i.Now) > 0) {
+	if u.Limit.Limited() && (i.Hedge || u.Limit.Delay(i.Now) > 0) {
 		return true
 	}
-	return !u.Rest.Open(i.Now, i.Last)
+	return !u.Rest.Open(i.Now, i.FinalAttempt)
 }
 
 // Result is a choice and its ground.
--- a/pkg/balancer/probefirst/overload_test.go
+++ b/pkg/balancer/probefirst/overload_test.go
@@ -17,7 +17,7 @@
 
 // hurried is a request with two more service times to its target.
 func hurried() balancer.PickInfo {
-	return balancer.PickInfo{Now: start, Usual: usual, TargetLeft: 2 * usual, Left: 20 * usual}
+	return balancer.PickInfo{Now: start, ExpectedLatency: usual, TargetLeft: 2 * usual, DeadlineLeft: 20 * usual}
 }
 
 // withSlots returns an upstream that reports that many busy slots of n.
@@ -58,12 +58,12 @@
 	is.True(refuses(p, info))
 	info.Waited = 4 * usual // as much as is lost there
 	is.Equal(chosen(t, p, info), "a")
-	info.Left = 4 * usual // it would not be done by then
+	info.DeadlineLeft = 4 * usual // it would not be done by then
 	is.True(refuses(p, info))
 	info = hurried()
 	info.TargetLeft = 6 * usual // in time all the same
 	is.Equal(chosen(t, p, info), "a")
-	info.Usual = 0 // nothing is known
+	info.ExpectedLatency = 0 // nothing is known
 	info.TargetLeft = usual
 	is.Equal(chosen(t, p, info), "a")
 }
--- a/pkg/balancer/probefirst/probefirst.go
+++ b/pkg/balancer/probefirst/probefirst.go
@@ -110,7 +110,7 @@
 func (p *picker) Pick(info balancer.PickInfo) (balancer.Result, error) {
 	full := p.crowding.learned()
 	if c := p.best(info, full); c.upstream != nil {
-		if c.full || c.cost > GoodCost && (info.Extra || worthWaiting(info, c.cost)) {
+		if c.full || c.cost > GoodCost && (info.Hedge || worthWaiting(info, c.cost)) {
 			return balancer.Result{RetryAfter: FreshFor}, balancer.ErrNoSlot
 		}
 		reason := "fresh-report"
@@ -123,7 +123,7 @@
 		p.crowding.chosen(c.upstream.Load())
 		return balancer.Result{Upstream: c.upstream, Reason: reason}, nil
 	}
-	if info.Extra {
+	if info.Hedge {
 		return balancer.Result{}, balancer.ErrNoSlot
 	}
 	if u := p.blind(info); u != nil && u.Cold.Take(info.Now, p.turns) {
@@ -152,14 +152,14 @@
 // traffic. Of 60,542 requests on six days of high load 53,470 were answered in time with
 // it, and 49,324 without.
 func worthWaiting(info balancer.PickInfo, cost float64) bool {
-	takes := time.Duration(cost * float64(info.Usual))
+	takes := time.Duration(cost * float64(info.ExpectedLatency))
 	switch {
 	case takes <= info.TargetLeft:
 		return false
-	case takes > info.Left:
+	case takes > info.DeadlineLeft:
 		return true
 	}
-	return info.Waited < takes-info.Usual
+	return info.Waited < takes-info.ExpectedLatency
 }
 
 // candidate is an upstream with a fresh report.
--- a/pkg/balancer/probefirst/probefirst_test.go
+++ b/pkg/balancer/probefirst/probefirst_test.go
@@ -148,7 +148,7 @@
 	is := is.New(t)
 	a := member("a", "here")
 	p := pickerOf(a)
-	info := balancer.PickInfo{Now: start, Extra: true}
+	info := balancer.PickInfo{Now: start, Hedge: true}
 	_, err := p.Pick(info)
 	is.True(errors.Is(err, balancer.ErrNoSlot)) // nothing is known
 	tell(a, start, 0, 5)
--- a/pkg/balancer/probefirst/turn_test.go
+++ b/pkg/balancer/probefirst/turn_test.go
@@ -48,7 +48,7 @@
 		is.Equal(chosen(t, p, info), "i-limited")
 		tell(limited, start, 1, 3) // slow
 		is.Equal(chosen(t, p, info), "i-idle")
-		info.Extra = true // a second send takes no turn
+		info.Hedge = true // a second send takes no turn
 		tell(limited, start, 1, 1)
 		is.Equal(chosen(t, p, info), "i-idle")
 	}
