--- a/internal/proxy/rest.go
+++ b/internal/proxy/rest.go
@@ -114,7 +114,7 @@
 		if slices.Contains(without, u) {
 			continue
 		}
-		left := u.ShutFor(now)
+		left := u.SendDelay(now)
 		if left == 0 {
 			return 0
 		}
--- a/pkg/balancer/feedback.go
+++ b/pkg/balancer/feedback.go
@@ -83,7 +83,7 @@
 	u.learnLoad(f)
 	if f.Outcome == Failed {
 		u.failedAt.Store(f.Now.UnixNano())
-		u.trouble.blendOver(f.Now, troubleUnit, TroubleDecay)
+		u.trouble.blendOver(f.Now, troubleUnit, FailureRateDecay)
 	}
 	if o, ok := p.(Observer); ok {
 		o.Observe(u, f)
--- a/pkg/balancer/probefirst/ask.go
+++ b/pkg/balancer/probefirst/ask.go
@@ -42,7 +42,7 @@
 	}
 	for _, members := range [][]*balancer.Upstream{p.near, p.far} {
 		for _, u := range members {
-			if u.HasTurn(info.Now) && !fresh(u, info.Now) && !suspect(u, info.Now) && p.eligible(u, info) {
+			if u.HasTimeSlot(info.Now) && !fresh(u, info.Now) && !suspect(u, info.Now) && p.eligible(u, info) {
 				return u
 			}
 		}
--- a/pkg/balancer/probefirst/probefirst.go
+++ b/pkg/balancer/probefirst/probefirst.go
@@ -203,7 +203,7 @@
 			continue
 		}
 		c := candidate{upstream: u, cost: cost(u, l, s, info.Now) + extra, full: s.full(l)}
-		c.turn = c.cost <= GoodCost && u.HasTurn(info.Now)
+		c.turn = c.cost <= GoodCost && u.HasTimeSlot(info.Now)
 		if c.better(best) {
 			best = c
 		}
@@ -223,7 +223,7 @@
 	if busy > slots {
 		work *= 1 + (busy-slots)/slots
 	}
-	return work * (1 + TroubleCost*u.Trouble(now))
+	return work * (1 + TroubleCost*u.FailureRate(now))
 }
 
 // blind chooses without any fresh report: the fewest in flight from here, in
@@ -248,7 +248,7 @@
 		if suspect(u, info.Now) != suspects || !p.eligible(u, info) {
 			continue
 		}
-		c := float64(u.Outstanding()) + TroubleCost*u.Trouble(info.Now)
+		c := float64(u.Outstanding()) + TroubleCost*u.FailureRate(info.Now)
 		if best == nil || c < lowest {
 			best, lowest = u, c
 		}
--- a/pkg/balancer/probefirst/probefirst_test.go
+++ b/pkg/balancer/probefirst/probefirst_test.go
@@ -127,7 +127,7 @@
 	tell(a, now, 0, 1)
 	tell(b, now, 2, 1)
 	is.Equal(chosen(t, p, balancer.PickInfo{Now: now}), "b")
-	later := now.Add(10 * balancer.TroubleDecay)
+	later := now.Add(10 * balancer.FailureRateDecay)
 	tell(a, later, 0, 1)
 	tell(b, later, 2, 1)
 	is.Equal(chosen(t, p, balancer.PickInfo{Now: later}), "a")
--- a/pkg/balancer/probefirst/turn_test.go
+++ b/pkg/balancer/probefirst/turn_test.go
@@ -36,7 +36,7 @@
 		info := balancer.PickInfo{Now: start, Random: uint64(self)}
 		tell(idle, start, 0, 1)
 		asked := p.Ask(info, 0)
-		if !limited.HasTurn(start) {
+		if !limited.HasTimeSlot(start) {
 			is.Equal(len(asked), 0)
 			tell(limited, start, 0, 1)
 			is.Equal(chosen(t, p, info), "i-idle")
@@ -66,7 +66,7 @@
 		tell(u, start, 0, 1)
 		cold := u.Cold.Open(start, p.turns)
 		_, err := p.Pick(balancer.PickInfo{Now: start})
-		is.Equal(err == nil, cold && u.HasTurn(start))
+		is.Equal(err == nil, cold && u.HasTimeSlot(start))
 		if err == nil {
 			both++
 		}
--- a/pkg/balancer/spindle/averages.go
+++ b/pkg/balancer/spindle/averages.go
@@ -30,7 +30,7 @@
 		sample := max(float64(f.Latency)-rtt, 1) / queued(u, f.Report)
 		a.quick.track(sample, a.constants.ServiceQuantile, a.constants.QuantileStep)
 	}
-	if n, _, ok := u.Others(f.Now); ok && f.Report.Valid {
+	if n, _, ok := u.RemoteInFlight(f.Now); ok && f.Report.Valid {
 		a.others.blend(float64(n), 1/a.constants.AverageSamples)
 	}
 }
--- a/pkg/balancer/spindle/estimate.go
+++ b/pkg/balancer/spindle/estimate.go
@@ -42,11 +42,11 @@
 // takes that weight. An upstream that has just refused a request is full.
 func (p *picker) others(m *member, now time.Time, service float64) (reported, mean float64) {
 	c := p.policy.constants
-	if age, ok := m.Refused(now); ok && float64(age) < c.RefusedHold*service {
+	if age, ok := m.SinceRefusal(now); ok && float64(age) < c.RefusedHold*service {
 		return float64(m.Slots) + c.BindSlack, 0
 	}
 	mean = p.policy.group.others.load()
-	n, age, ok := m.Others(now)
+	n, age, ok := m.RemoteInFlight(now)
 	if !ok {
 		return 0, mean
 	}
--- a/pkg/balancer/upstream.go
+++ b/pkg/balancer/upstream.go
@@ -13,9 +13,9 @@
 const (
 	// LatencyDecay is the time after which a latency sample has lost 63% of its weight.
 	LatencyDecay = 100 * time.Millisecond
-	// TroubleDecay is the time after which a failed send has lost 63% of its
+	// FailureRateDecay is the time after which a failed send has lost 63% of its
 	// weight: some seconds, in which an entry host sends to an upstream again.
-	TroubleDecay = 4 * time.Second
+	FailureRateDecay = 4 * time.Second
 	// troubleUnit is a share of 1 in the moving average.
 	troubleUnit = time.Second
 	// maxTracked is the number of sends whose start is known, per upstream.
@@ -124,14 +124,14 @@
 	})
 }
 
-// ShutFor returns how much longer u gets nothing from this host: it rests, or this host has
+// SendDelay returns how much longer u gets nothing from this host: it rests, or this host has
 // its next turn only then. It is 0 if a request may be sent now.
-func (u *Upstream) ShutFor(now time.Time) time.Duration {
+func (u *Upstream) SendDelay(now time.Time) time.Duration {
 	return max(u.Rest.Left(now), u.Limit.Delay(now))
 }
 
-// HasTurn reports whether u names a limit and this host may send it a request now.
-func (u *Upstream) HasTurn(now time.Time) bool { return u.Limit.Limited() && u.Limit.Open(now) }
+// HasTimeSlot reports whether u names a limit and this host may send it a request now.
+func (u *Upstream) HasTimeSlot(now time.Time) bool { return u.Limit.Limited() && u.Limit.Open(now) }
 
 // Outstanding returns the requests that this entry host has in flight there.
 func (u *Upstream) Outstanding() int64 { return u.outstanding.Load() }
@@ -170,13 +170,13 @@
 	switch f.Outcome {
 	case Answered:
 		u.failures.Store(0)
-		u.trouble.blendOver(f.Now, 0, TroubleDecay)
+		u.trouble.blendOver(f.Now, 0, FailureRateDecay)
 		u.latency.add(f.Now, f.Latency)
 		u.peak.addPeak(f.Now, f.Latency)
 	case Failed:
 		u.failedAt.Store(f.Now.UnixNano())
 		u.failures.Add(1)
-		u.trouble.blendOver(f.Now, troubleUnit, TroubleDecay)
+		u.trouble.blendOver(f.Now, troubleUnit, FailureRateDecay)
 	case Refused:
 		u.refusedAt.Store(f.Now.UnixNano())
 	case Cancelled:
@@ -200,10 +200,10 @@
 	}
 }
 
-// Others returns the requests that other entry hosts had in flight there by
+// RemoteInFlight returns the requests that other entry hosts had in flight there by
 // the newest report, and the report's age at the given time. It is false if
 // there was none.
-func (u *Upstream) Others(now time.Time) (count int64, age time.Duration, ok bool) {
+func (u *Upstream) RemoteInFlight(now time.Time) (count int64, age time.Duration, ok bool) {
 	r := u.report.Load()
 	if r == 0 {
 		return 0, 0, false
@@ -213,11 +213,11 @@
 	return int64(r >> reportTimeBits), max(age, 0), true
 }
 
-// Trouble returns the share of this host's recent sends there that failed, from
+// FailureRate returns the share of this host's recent sends there that failed, from
 // 0 to 1. It fades with time when nothing is sent.
-func (u *Upstream) Trouble(now time.Time) float64 {
+func (u *Upstream) FailureRate(now time.Time) float64 {
 	share, age := u.trouble.value(now)
-	return float64(share) / float64(troubleUnit) * math.Exp(-float64(age)/float64(TroubleDecay))
+	return float64(share) / float64(troubleUnit) * math.Exp(-float64(age)/float64(FailureRateDecay))
 }
 
 // OldestAge returns how long the oldest request in flight has been waiting for
@@ -254,9 +254,9 @@
 	return u.failures.Load(), time.Duration(now.UnixNano() - u.failedAt.Load())
 }
 
-// Refused returns the time since the upstream last refused a request; it is
+// SinceRefusal returns the time since the upstream last refused a request; it is
 // false if it never did.
-func (u *Upstream) Refused(now time.Time) (age time.Duration, ok bool) {
+func (u *Upstream) SinceRefusal(now time.Time) (age time.Duration, ok bool) {
 	at := u.refusedAt.Load()
 	return time.Duration(now.UnixNano() - at), at != 0
 }
--- a/pkg/balancer/upstream_test.go
+++ b/pkg/balancer/upstream_test.go
@@ -25,7 +25,7 @@
 func TestReportExcludesOwnRequests(t *testing.T) {
 	is := is.New(t)
 	u := &balancer.Upstream{}
-	_, _, ok := u.Others(start)
+	_, _, ok := u.RemoteInFlight(start)
 	is.True(!ok)
 	u.Begin(start)
 	c := u.Begin(start)
@@ -33,7 +33,7 @@
 		Now:    at(10 * time.Millisecond),
 		Report: balancer.Report{Valid: true, InFlight: 7, Age: 4 * time.Millisecond},
 	})
-	n, age, ok := u.Others(at(11 * time.Millisecond))
+	n, age, ok := u.RemoteInFlight(at(11 * time.Millisecond))
 	is.True(ok)
 	is.Equal(n, int64(5))
 	is.Equal(age, 5*time.Millisecond)
@@ -41,7 +41,7 @@
 		Now:    at(12 * time.Millisecond),
 		Report: balancer.Report{Valid: true, InFlight: 1, Age: 8 * time.Millisecond},
 	})
-	n, _, _ = u.Others(at(12 * time.Millisecond))
+	n, _, _ = u.RemoteInFlight(at(12 * time.Millisecond))
 	is.Equal(n, int64(5)) // an older sample does not replace a newer
 }
 
@@ -85,10 +85,10 @@
 	end(balancer.Answered)
 	n, _ = u.Failures(start)
 	is.Equal(n, int64(0))
-	_, refused := u.Refused(start)
+	_, refused := u.SinceRefusal(start)
 	is.True(!refused)
 	end(balancer.Refused)
-	age, refused = u.Refused(at(time.Second))
+	age, refused = u.SinceRefusal(at(time.Second))
 	is.True(refused)
 	is.Equal(age, time.Second)
 	is.Equal(u.Outstanding(), int64(0))
