--- a/pkg/balancer/probefirst/ask.go
+++ b/pkg/balancer/probefirst/ask.go
@@ -25,7 +25,7 @@
 	var asked []*balancer.Upstream
 	for _, suspects := range []bool{false, true} {
 		for _, members := range lists {
-			if asked = p.appendStale(asked, members, info, suspects); len(asked) == AskAtOnce {
+			if asked = p.appendStale(asked, members, info, suspects); len(asked) == QueriesPerRound {
 				return asked
 			}
 		}
@@ -55,7 +55,7 @@
 	if p.idle.worthAsking() {
 		return IdleCost
 	}
-	return GoodCost
+	return AcceptableCost
 }
 
 // appendStale adds members without a fresh report to list, up to AskAtOnce: those that
@@ -63,7 +63,7 @@
 func (p *picker) appendStale(list, members []*balancer.Upstream, info balancer.PickInfo, suspects bool) []*balancer.Upstream {
 	n := uint64(len(members))
 	for i := range n {
-		if len(list) == AskAtOnce {
+		if len(list) == QueriesPerRound {
 			break
 		}
 		u := members[(info.Random+i)%n]
@@ -83,7 +83,7 @@
 // 0.025; and 0.894 and 0.908 over five days with losses of other kinds too (two seeds).
 func suspect(u *balancer.Upstream, now time.Time) bool {
 	_, age := u.Failures(now)
-	if age > SuspectFor {
+	if age > FailureCooldown {
 		return false
 	}
 	l := u.Load()
--- a/pkg/balancer/probefirst/crowding.go
+++ b/pkg/balancer/probefirst/crowding.go
@@ -44,8 +44,8 @@
 	unknownFactor = 1.4
 	// usualUpTo is the reported slowdown up to which a sample is of usual speed.
 	usualUpTo = 1.1
-	// CrowdedFrom is the slowdown above which nothing may wait at an upstream.
-	CrowdedFrom = 1.3
+	// MaxQueueingSlowdown is the slowdown above which nothing may wait at an upstream.
+	MaxQueueingSlowdown = 1.3
 	// MaxWaiting is the number of requests that may wait at an upstream that does
 	// not slow down when it is full; beyond it the request waits on the entry host.
 	MaxWaiting = 3
@@ -141,7 +141,7 @@
 	if !s.known {
 		return slots
 	}
-	if s.factor <= CrowdedFrom {
+	if s.factor <= MaxQueueingSlowdown {
 		return slots + MaxWaiting
 	}
 	calm := int(fullFrom * float64(slots))
--- a/pkg/balancer/probefirst/home_test.go
+++ b/pkg/balancer/probefirst/home_test.go
@@ -63,7 +63,7 @@
 	var order []*balancer.Upstream
 	for range len(near) + 1 {
 		asked := p.Ask(info, 0)
-		is.Equal(len(asked), AskAtOnce)
+		is.Equal(len(asked), QueriesPerRound)
 		order = append(order, asked[0])
 		// It says that it is slow, so that the next one is asked.
 		balancer.FinishProbe(p, asked[0], balancer.Feedback{Now: start, Report: balancer.Report{Valid: true, Slots: 3, Slowdown: 5}})
--- a/pkg/balancer/probefirst/overload_test.go
+++ b/pkg/balancer/probefirst/overload_test.go
@@ -147,5 +147,5 @@
 	serve(p, a, windowSize, 0, usual)
 	serve(p, a, windowSize, slots-1, 2*usual)
 	serve(p, a, windowSize, slots-1, usual)
-	is.True(p.crowding.learned().factor < CrowdedFrom)
+	is.True(p.crowding.learned().factor < MaxQueueingSlowdown)
 }
--- a/pkg/balancer/probefirst/probefirst.go
+++ b/pkg/balancer/probefirst/probefirst.go
@@ -23,26 +23,26 @@
 	// FreshFor is the age up to which a report is trusted. Upstreams change
 	// their speed about every 150 ms.
 	FreshFor = 40 * time.Millisecond
-	// AskAtOnce is the number of upstreams asked in one round.
-	AskAtOnce = 1
+	// QueriesPerRound is the number of upstreams asked in one round.
+	QueriesPerRound = 1
 	// MaxRounds bounds the rounds of asking before one choice.
 	MaxRounds = 6
-	// GoodCost is the cost up to which a candidate is taken rather than waited with.
-	GoodCost = 1.8
+	// AcceptableCost is the cost up to which a candidate is taken rather than waited with.
+	AcceptableCost = 1.8
 	// IdleCost is the cost up to which an upstream counts as idle and of usual speed,
 	// in any failure domain.
 	IdleCost = 1.25
-	// FarCost is added for an upstream in another failure domain: the way is
+	// RemoteDomainCost is added for an upstream in another failure domain: the way is
 	// longer and the bytes are paid for.
-	FarCost = 0.15
-	// SuspectFor is the time after a failure in which an upstream is asked only when no
+	RemoteDomainCost = 0.15
+	// FailureCooldown is the time after a failure in which an upstream is asked only when no
 	// other is left: each host then looks at one that is gone once a second.
-	SuspectFor = time.Second
+	FailureCooldown = time.Second
 	// farFrom is the round from which on a request that nobody has answered yet asks
 	// other failure domains first.
 	farFrom = 2
-	// TroubleCost multiplies the share of recent sends that failed.
-	TroubleCost = 6.0
+	// FailureRateCost multiplies the share of recent sends that failed.
+	FailureRateCost = 6.0
 )
 
 // Builder creates policies.
@@ -110,11 +110,11 @@
 func (p *picker) Pick(info balancer.PickInfo) (balancer.Result, error) {
 	full := p.crowding.learned()
 	if c := p.best(info, full); c.upstream != nil {
-		if c.full || c.cost > GoodCost && (info.Hedge || worthWaiting(info, c.cost)) {
+		if c.full || c.cost > AcceptableCost && (info.Hedge || worthWaiting(info, c.cost)) {
 			return balancer.Result{RetryAfter: FreshFor}, balancer.ErrNoSlot
 		}
 		reason := "fresh-report"
-		if c.cost > GoodCost {
+		if c.cost > AcceptableCost {
 			reason = "best-of-slow"
 		}
 		if !c.upstream.Cold.Take(info.Now, p.turns) {
@@ -186,7 +186,7 @@
 // best returns the best member with a fresh report.
 func (p *picker) best(info balancer.PickInfo, s slowdown) candidate {
 	near := p.bestOf(p.near, info, s, 0)
-	far := p.bestOf(p.far, info, s, FarCost)
+	far := p.bestOf(p.far, info, s, RemoteDomainCost)
 	if far.upstream != nil && far.better(near) {
 		return far
 	}
@@ -203,7 +203,7 @@
 			continue
 		}
 		c := candidate{upstream: u, cost: cost(u, l, s, info.Now) + extra, full: s.full(l)}
-		c.turn = c.cost <= GoodCost && u.HasTimeSlot(info.Now)
+		c.turn = c.cost <= AcceptableCost && u.HasTimeSlot(info.Now)
 		if c.better(best) {
 			best = c
 		}
@@ -223,7 +223,7 @@
 	if busy > slots {
 		work *= 1 + (busy-slots)/slots
 	}
-	return work * (1 + TroubleCost*u.FailureRate(now))
+	return work * (1 + FailureRateCost*u.FailureRate(now))
 }
 
 // blind chooses without any fresh report: the fewest in flight from here, in
@@ -248,7 +248,7 @@
 		if suspect(u, info.Now) != suspects || !p.eligible(u, info) {
 			continue
 		}
-		c := float64(u.Outstanding()) + TroubleCost*u.FailureRate(info.Now)
+		c := float64(u.Outstanding()) + FailureRateCost*u.FailureRate(info.Now)
 		if best == nil || c < lowest {
 			best, lowest = u, c
 		}
--- a/pkg/balancer/probefirst/probefirst_test.go
+++ b/pkg/balancer/probefirst/probefirst_test.go
@@ -65,7 +65,7 @@
 	tell(a, start, 0, 1)
 	is.Equal(len(p.Ask(balancer.PickInfo{Now: start.Add(FreshFor)}, 0)), 0)
 	later := balancer.PickInfo{Now: start.Add(FreshFor + 1)}
-	is.Equal(len(p.Ask(later, 0)), AskAtOnce)
+	is.Equal(len(p.Ask(later, 0)), QueriesPerRound)
 	_, err := p.Pick(later) // nobody answered: chooses all the same
 	is.NoErr(err)
 }
@@ -88,7 +88,7 @@
 			tell(u, start, 5, 5)
 		}
 	}
-	is.Equal(asked, MaxRounds*AskAtOnce)
+	is.Equal(asked, MaxRounds*QueriesPerRound)
 }
 
 func TestOwnSendsCountAtOnce(t *testing.T) {
@@ -178,7 +178,7 @@
 	p := pickerOf(a)
 	serve(p, a, 60, 0, 100*time.Millisecond)
 	serve(p, a, 60, slots-1, 100*time.Millisecond)
-	is.True(p.crowding.learned().factor < CrowdedFrom)
+	is.True(p.crowding.learned().factor < MaxQueueingSlowdown)
 	tell(a, start, slots+MaxWaiting-1, 1)
 	is.Equal(chosen(t, p, balancer.PickInfo{Now: start}), "a") // some may wait there
 	next := Builder{}.Build(balancer.Options{FailureDomain: "here"}).Update(nil).(*picker)
--- a/pkg/balancer/probefirst/suspect_test.go
+++ b/pkg/balancer/probefirst/suspect_test.go
@@ -69,7 +69,7 @@
 		is.Equal(choice[:3], "far")
 		is.Equal(inVain, 0)
 	}
-	info.Now = info.Now.Add(SuspectFor)
+	info.Now = info.Now.Add(FailureCooldown)
 	_, inVain = request(t, p, info)
 	is.Equal(inVain, farFrom) // they are looked at again
 }
