--- a/internal/proxy/group.go
+++ b/internal/proxy/group.go
@@ -30,7 +30,7 @@
 	service   queue.ServiceTime
 	excess    limit.Excess
 	// turns are those promised to callers that were refused for want of one.
-	turns limit.Appointments
+	turns limit.RetrySchedule
 	// waiting mirrors the queue's length, so that the usual case takes no lock.
 	waiting atomic.Int64
 	// held counts the requests that wait, those included that were woken and look for a slot.
--- a/internal/proxy/ratelimit.go
+++ b/internal/proxy/ratelimit.go
@@ -105,7 +105,7 @@
 		}
 		host, ok := u.Limit.Lender(info.Now, x.proxy.random())
 		if ok && x.proxy.lenders.Borrow(ctx, host, u.Limit.Server()) && u.Rest.Try(clock.Now()) {
-			x.state.group.turns.Borrowed(clock.Now())
+			x.state.group.turns.RecordBorrowed(clock.Now())
 			return balancer.Result{Upstream: u, Reason: "borrowed-turn"}, true
 		}
 	}
--- a/pkg/limit/appointments_test.go
+++ b/pkg/limit/appointments_test.go
@@ -13,7 +13,7 @@
 // there are turns.
 func TestAppointments(t *testing.T) {
 	is := is.New(t)
-	var a limit.Appointments
+	var a limit.RetrySchedule
 	now := time.Unix(1000, 0)
 	for i := range 8 {
 		is.Equal(a.Next(now, 300*time.Millisecond, 4), 300*time.Millisecond+time.Duration(i)*250*time.Millisecond)
@@ -26,11 +26,11 @@
 // TestAppointmentsWithBorrowedTurns: a host that was lent turns has more than its own.
 func TestAppointmentsWithBorrowedTurns(t *testing.T) {
 	is := is.New(t)
-	var a limit.Appointments
+	var a limit.RetrySchedule
 	now := time.Unix(1000, 0)
 	for range 30 { // ten a second
 		now = now.Add(100 * time.Millisecond)
-		a.Borrowed(now)
+		a.RecordBorrowed(now)
 	}
 	first := a.Next(now, 0, 1)
 	apart := a.Next(now, 0, 1) - first
