--- a/internal/proxy/group.go
+++ b/internal/proxy/group.go
@@ -104,7 +104,7 @@
 	defer g.mu.Unlock()
 	reason, out := g.queue.Push(now, &w.entry, g.pace())
 	if out != nil {
-		out.Value.signal <- queue.PushedOut
+		out.Value.signal <- queue.Evicted
 	}
 	g.waiting.Store(int64(g.queue.Len()))
 	return reason
--- a/pkg/queue/queue.go
+++ b/pkg/queue/queue.go
@@ -4,7 +4,7 @@
 // The queue is bounded and ordered by priority, then by target. A request that
 // can't be answered within its target at the observed pace is given up at once, and
 // none waits longer than half of the time that it had. When the queue is full,
-// the highest priority pushes out the lowest. One in FairEvery takes goes to
+// the highest priority pushes out the lowest. One in LowPriorityInterval takes goes to
 // the lowest priority that waits, so that none starves for ever.
 //
 // Nothing here reads a clock, starts a goroutine or blocks. A Queue is not
@@ -28,8 +28,8 @@
 )
 
 const (
-	// FairEvery is the number of takes of which one goes to the lowest priority.
-	FairEvery = 16
+	// LowPriorityInterval is the number of takes of which one goes to the lowest priority.
+	LowPriorityInterval = 16
 	// waitShare divides the time that an entry had at arrival; it waits no longer.
 	waitShare = 2
 )
@@ -43,12 +43,12 @@
 	Kept Reason = ""
 	// Full is a queue full of entries of the same or a higher priority.
 	Full Reason = "queue-full"
-	// PushedOut is an entry that made room for a higher priority.
-	PushedOut Reason = "pushed-out"
-	// TooLate is an entry that can't be answered within its target.
-	TooLate Reason = "cannot-make-deadline"
-	// WaitedEnough is an entry that waited half of the time that it had.
-	WaitedEnough Reason = "waited-half-its-time"
+	// Evicted is an entry that made room for a higher priority.
+	Evicted Reason = "pushed-out"
+	// DeadlineUnreachable is an entry that can't be answered within its target.
+	DeadlineUnreachable Reason = "cannot-make-deadline"
+	// WaitLimitReached is an entry that waited half of the time that it had.
+	WaitLimitReached Reason = "waited-half-its-time"
 )
 
 // Entry is one waiting request. The same Entry is handed back when it leaves.
@@ -69,8 +69,8 @@
 	giveUp time.Time
 }
 
-// GivenUp is an entry that was given up, and why.
-type GivenUp[T any] struct {
+// Dropped is an entry that was given up, and why.
+type Dropped[T any] struct {
 	// Entry is the entry; it is no longer in the queue.
 	Entry *Entry[T]
 	// Reason says which bound gave it up.
@@ -135,7 +135,7 @@
 	}
 	q.takes++
 	at := 0
-	if q.takes%FairEvery == 0 {
+	if q.takes%LowPriorityInterval == 0 {
 		at = q.firstOfLowest()
 	}
 	e := q.entries[at]
@@ -155,12 +155,12 @@
 
 // GiveUp removes and returns the entries that can't be served in time any
 // more, in queue order.
-func (q *Queue[T]) GiveUp(now time.Time, p Pace) []GivenUp[T] {
-	var out []GivenUp[T]
+func (q *Queue[T]) GiveUp(now time.Time, p Pace) []Dropped[T] {
+	var out []Dropped[T]
 	kept := q.entries[:0]
 	for _, e := range q.entries {
 		if reason := e.reject(now, len(kept), p); reason != Kept {
-			out = append(out, GivenUp[T]{e, reason})
+			out = append(out, Dropped[T]{e, reason})
 			continue
 		}
 		kept = append(kept, e)
@@ -204,10 +204,10 @@
 func (e *Entry[T]) reject(now time.Time, ahead int, p Pace) Reason {
 	wait := p.wait(ahead)
 	if now.Add(wait + e.service(p)).After(e.Target) {
-		return TooLate
+		return DeadlineUnreachable
 	}
 	if now.Add(wait).After(e.giveUp) {
-		return WaitedEnough
+		return WaitLimitReached
 	}
 	return Kept
 }
--- a/pkg/queue/queue_test.go
+++ b/pkg/queue/queue_test.go
@@ -63,14 +63,14 @@
 	pace := queue.Pace{Service: 10 * time.Millisecond, Parallel: 1}
 	q := queue.New[string](1)
 	reason, _ := q.Push(start, entry("", queue.High, 15*time.Millisecond), pace)
-	is.Equal(reason, queue.TooLate)
+	is.Equal(reason, queue.DeadlineUnreachable)
 	reason, _ = q.Push(start, entry("", queue.High, time.Second), pace)
 	is.Equal(reason, queue.Kept)
 	reason, _ = q.Push(start, entry("", queue.High, time.Second), pace)
 	is.Equal(reason, queue.Full)
 	given := q.GiveUp(start.Add(500*time.Millisecond), pace)
 	is.Equal(len(given), 1)
-	is.Equal(given[0].Reason, queue.WaitedEnough)
+	is.Equal(given[0].Reason, queue.WaitLimitReached)
 }
 
 // TestTarget: an entry may wait as long as it can be answered within its target, in
@@ -88,9 +88,9 @@
 	}
 	is.Equal(push("later", 600*ms, 0), queue.Kept)
 	is.Equal(push("sooner", 400*ms, 0), queue.Kept)
-	is.Equal(push("too long", 400*ms, 380*ms), queue.TooLate)
+	is.Equal(push("too long", 400*ms, 380*ms), queue.DeadlineUnreachable)
 	is.Equal(push("short", 150*ms, 20*ms), queue.Kept)
-	is.Equal(push("no time", 150*ms, 0), queue.TooLate)
+	is.Equal(push("no time", 150*ms, 0), queue.DeadlineUnreachable)
 	given := q.GiveUp(start.Add(200*ms), pace)
 	is.Equal(len(given), 2) // 200 and 150 ms from now are too little after a wait
 	is.Equal(given[0].Entry.Value, "short")
@@ -110,7 +110,7 @@
 			break
 		}
 	}
-	is.Equal(takes, queue.FairEvery)
+	is.Equal(takes, queue.LowPriorityInterval)
 }
 
 // TestNoEntryIsLost drives random operations: each entry leaves exactly once,
