--- a/internal/proxy/poison.go
+++ b/internal/proxy/poison.go
@@ -70,7 +70,7 @@
 		p.died(now, d, quarantineHeard)
 	}
 	for _, f := range answered {
-		if _, lifted := p.poison.table.Answered(now, f); lifted {
+		if _, lifted := p.poison.table.RecordAnswer(now, f); lifted {
 			p.quarantineEnded(f)
 		}
 	}
@@ -78,16 +78,16 @@
 
 // RecentDeaths returns what a host that missed it should hear of.
 func (p *Proxy) RecentDeaths(now time.Time, within time.Duration) []poison.Death {
-	return p.poison.table.Recent(now, within)
+	return p.poison.table.RecentCrashes(now, within)
 }
 
 // died takes in an end, and reports whether it was not known.
 func (p *Proxy) died(now time.Time, d poison.Death, reason string) bool {
-	news := p.poison.table.Died(now, d)
-	if news.Began {
+	news := p.poison.table.RecordCrash(now, d)
+	if news.NewlyRefused {
 		p.events.Emit(event.Event{
 			Code: event.QuarantineBegun, At: time.Now(), EntryHost: p.host, Reason: reason,
-			Detail: d.Request.String() + " until " + clock.Wall(news.Until).UTC().Format(time.RFC3339), Value: int64(news.Ends),
+			Detail: d.Request.String() + " until " + clock.Wall(news.RefusedUntil).UTC().Format(time.RFC3339), Value: int64(news.Crashes),
 		})
 	}
 	return news.New
@@ -162,13 +162,13 @@
 // suspect reports whether an upstream ended under the request.
 func (x *exchange) suspect() bool {
 	table := x.proxy.poison.table
-	return table.Suspects(x.rule.Service.Name, x.req.Target) && table.Ends(x.fingerprint()) > 0
+	return table.HasSuspect(x.rule.Service.Name, x.req.Target) && table.CrashCount(x.fingerprint()) > 0
 }
 
 // quarantineLeft is how much longer the request is refused; 0 if it is not.
 func (x *exchange) quarantineLeft() time.Duration {
 	table := x.proxy.poison.table
-	if !table.Suspects(x.rule.Service.Name, x.req.Target) {
+	if !table.HasSuspect(x.rule.Service.Name, x.req.Target) {
 		return 0
 	}
 	now := clock.Now()
@@ -180,12 +180,12 @@
 // that the upstream failed, such as at the deadline, says nothing of a whole run.
 func (x *exchange) answered(r result) {
 	table := x.proxy.poison.table
-	if r.err != nil || r.resp.Status >= http.StatusInternalServerError || !table.Suspects(x.rule.Service.Name, x.req.Target) {
+	if r.err != nil || r.resp.Status >= http.StatusInternalServerError || !table.HasSuspect(x.rule.Service.Name, x.req.Target) {
 		return
 	}
 	now := clock.Now()
 	f := x.fingerprint()
-	tell, lifted := table.Answered(now, f)
+	tell, lifted := table.RecordAnswer(now, f)
 	if lifted {
 		x.proxy.quarantineEnded(f)
 	}
--- a/pkg/poison/table.go
+++ b/pkg/poison/table.go
@@ -88,10 +88,10 @@
 	return &Table{suspects: make(map[uint64]*suspect), targets: make(map[uint64]int)}
 }
 
-// Suspects reports whether some request with this service and target is remembered. Of one
+// HasSuspect reports whether some request with this service and target is remembered. Of one
 // that is not, no fingerprint is needed: where nothing is remembered, asking costs 4 ns, and
 // 28 ns where others are.
-func (t *Table) Suspects(service, target string) bool {
+func (t *Table) HasSuspect(service, target string) bool {
 	if t.count.Load() == 0 {
 		return false
 	}
@@ -123,8 +123,8 @@
 	return until
 }
 
-// Ends returns how many upstreams are known to have ended under a request of its caller.
-func (t *Table) Ends(f Fingerprint) int {
+// CrashCount returns how many upstreams are known to have ended under a request of its caller.
+func (t *Table) CrashCount(f Fingerprint) int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	s := t.suspects[f.Content]
@@ -134,20 +134,20 @@
 	return len(ends(s.of(f.Caller)))
 }
 
-// News says what a report changed.
-type News struct {
+// RecordResult says what a report changed.
+type RecordResult struct {
 	// New is true for an end that was not known.
 	New bool
-	// Until is until when its request is refused; zero if it is not.
-	Until time.Time
-	// Began is true if that is due to this report.
-	Began bool
-	// Ends is the number of ends known under the request.
-	Ends int
+	// RefusedUntil is until when its request is refused; zero if it is not.
+	RefusedUntil time.Time
+	// NewlyRefused is true if that is due to this report.
+	NewlyRefused bool
+	// Crashes is the number of ends known under the request.
+	Crashes int
 }
 
-// Died takes in an end.
-func (t *Table) Died(now time.Time, d Death) News {
+// RecordCrash takes in an end.
+func (t *Table) RecordCrash(now time.Time, d Death) RecordResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire(now)
@@ -158,12 +158,12 @@
 	before := t.refusedUntil(now, d.Request)
 	isNew := s.add(d)
 	after := t.refusedUntil(now, d.Request)
-	return News{New: isNew, Until: after, Began: before.IsZero() && !after.IsZero(), Ends: len(ends(s.deaths))}
+	return RecordResult{New: isNew, RefusedUntil: after, NewlyRefused: before.IsZero() && !after.IsZero(), Crashes: len(ends(s.deaths))}
 }
 
-// Answered takes in that a request was answered by an upstream that still runs. It
+// RecordAnswer takes in that a request was answered by an upstream that still runs. It
 // reports whether the other hosts should know, and whether it was refused until now.
-func (t *Table) Answered(now time.Time, f Fingerprint) (tell, lifted bool) {
+func (t *Table) RecordAnswer(now time.Time, f Fingerprint) (tell, lifted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.suspects[f.Content]
@@ -181,9 +181,9 @@
 	return tell, lifted
 }
 
-// Recent returns the ends that a host which missed them should hear of: those under
+// RecentCrashes returns the ends that a host which missed them should hear of: those under
 // requests that are refused, and those of the last moments.
-func (t *Table) Recent(now time.Time, within time.Duration) []Death {
+func (t *Table) RecentCrashes(now time.Time, within time.Duration) []Death {
 	if t.count.Load() == 0 {
 		return nil
 	}
--- a/pkg/poison/table_test.go
+++ b/pkg/poison/table_test.go
@@ -99,13 +99,13 @@
 			is := is.New(t)
 			table := NewTable()
 			for _, d := range test.deaths {
-				table.Died(at(time.Second), d)
+				table.RecordCrash(at(time.Second), d)
 			}
 			is.Equal(table.refuses(deadly, time.Second), test.refused)
 			is.Equal(table.refuses(asked("/lots/1", "z"), time.Second), test.others)
 			is.True(!table.refuses(asked("/lots/2", "a"), time.Second))
-			is.Equal(table.Suspects("shop", "/lots/1"), len(test.deaths) > 0)
-			is.True(!table.Suspects("shop", "/lots/2"))
+			is.Equal(table.HasSuspect("shop", "/lots/1"), len(test.deaths) > 0)
+			is.True(!table.HasSuspect("shop", "/lots/2"))
 		})
 	}
 }
@@ -114,39 +114,39 @@
 func TestNews(t *testing.T) {
 	is := is.New(t)
 	table, f := NewTable(), asked("/lots/1", "a")
-	first := table.Died(at(0), end(f, 1, 0))
-	is.Equal(first, News{New: true, Ends: 1})
-	is.True(!table.Died(at(0), end(f, 1, 0)).New)
-	table.Died(at(200*ms), end(f, 2, 200*ms))
-	third := table.Died(at(400*ms), end(f, 3, 400*ms))
-	is.Equal(third, News{New: true, Began: true, Ends: 3, Until: at(400*ms + quarantine)})
-	fourth := table.Died(at(500*ms), end(f, 4, 500*ms))
-	is.True(!fourth.Began) // it was refused before
+	first := table.RecordCrash(at(0), end(f, 1, 0))
+	is.Equal(first, RecordResult{New: true, Crashes: 1})
+	is.True(!table.RecordCrash(at(0), end(f, 1, 0)).New)
+	table.RecordCrash(at(200*ms), end(f, 2, 200*ms))
+	third := table.RecordCrash(at(400*ms), end(f, 3, 400*ms))
+	is.Equal(third, RecordResult{New: true, NewlyRefused: true, Crashes: 3, RefusedUntil: at(400*ms + quarantine)})
+	fourth := table.RecordCrash(at(500*ms), end(f, 4, 500*ms))
+	is.True(!fourth.NewlyRefused) // it was refused before
 }
 
 // TestAnswerClears: a request that an upstream answered was merely there.
 func TestAnswerClears(t *testing.T) {
 	is := is.New(t)
 	table, mine, other := NewTable(), asked("/lots/1", "a"), asked("/lots/1", "b")
-	table.Died(at(0), end(mine, 1, 0))
-	table.Died(at(200*ms), end(mine, 2, 200*ms))
-	tell, lifted := table.Answered(at(300*ms), mine)
+	table.RecordCrash(at(0), end(mine, 1, 0))
+	table.RecordCrash(at(200*ms), end(mine, 2, 200*ms))
+	tell, lifted := table.RecordAnswer(at(300*ms), mine)
 	is.True(tell && !lifted)
-	is.True(!table.Suspects("shop", "/lots/1"))
-	table.Died(at(400*ms), end(mine, 3, 400*ms))
+	is.True(!table.HasSuspect("shop", "/lots/1"))
+	table.RecordCrash(at(400*ms), end(mine, 3, 400*ms))
 	is.True(!table.refuses(mine, 400*ms))
 
 	// Others' answers clear others, and not the caller under whose requests it ended.
 	third, fourth := asked("/lots/1", "c"), asked("/lots/1", "z")
-	table.Died(at(600*ms), end(mine, 4, 600*ms))
-	table.Died(at(700*ms), end(other, 5, 700*ms))
-	table.Died(at(800*ms), end(third, 6, 800*ms))
-	table.Died(at(900*ms), end(mine, 7, 900*ms))
+	table.RecordCrash(at(600*ms), end(mine, 4, 600*ms))
+	table.RecordCrash(at(700*ms), end(other, 5, 700*ms))
+	table.RecordCrash(at(800*ms), end(third, 6, 800*ms))
+	table.RecordCrash(at(900*ms), end(mine, 7, 900*ms))
 	is.True(table.refuses(fourth, 900*ms))
-	tell, lifted = table.Answered(at(time.Second), fourth)
+	tell, lifted = table.RecordAnswer(at(time.Second), fourth)
 	is.True(tell && lifted)
 	is.True(!table.refuses(fourth, time.Second))
-	tell, _ = table.Answered(at(1100*ms), fourth)
+	tell, _ = table.RecordAnswer(at(1100*ms), fourth)
 	is.True(!tell) // said a moment ago
 	is.True(table.refuses(mine, 1100*ms))
 	is.True(!table.refuses(other, 1100*ms))
@@ -157,7 +157,7 @@
 	is := is.New(t)
 	table, f := NewTable(), asked("/lots/1", "a")
 	for i := range uint64(3) {
-		table.Died(at(0), end(f, i, time.Duration(i)*200*ms))
+		table.RecordCrash(at(0), end(f, i, time.Duration(i)*200*ms))
 	}
 	now := 400 * ms
 	ends := 3
@@ -166,7 +166,7 @@
 		is.True(!until.IsZero())
 		now = until.Sub(start)
 		is.True(!table.refuses(f, now))
-		table.Died(at(now+100*ms), end(f, 9, now+100*ms))
+		table.RecordCrash(at(now+100*ms), end(f, 9, now+100*ms))
 		now += 100 * ms
 		ends++
 	}
@@ -177,16 +177,16 @@
 func TestRecent(t *testing.T) {
 	is := is.New(t)
 	table, deadly, there := NewTable(), asked("/lots/1", "a"), asked("/lots/2", "a")
-	table.Died(at(0), end(there, 1, 0))
+	table.RecordCrash(at(0), end(there, 1, 0))
 	for i := range uint64(3) {
-		table.Died(at(0), end(deadly, i, time.Duration(i)*200*ms))
+		table.RecordCrash(at(0), end(deadly, i, time.Duration(i)*200*ms))
 	}
-	is.Equal(len(table.Recent(at(time.Second), 5*time.Second)), 4)
-	is.Equal(len(table.Recent(at(time.Minute), 5*time.Second)), 3)
-	is.Equal(len(table.Recent(at(time.Hour), 5*time.Second)), 0)
+	is.Equal(len(table.RecentCrashes(at(time.Second), 5*time.Second)), 4)
+	is.Equal(len(table.RecentCrashes(at(time.Minute), 5*time.Second)), 3)
+	is.Equal(len(table.RecentCrashes(at(time.Hour), 5*time.Second)), 0)
 	other := NewTable()
-	for _, d := range table.Recent(at(time.Minute), 5*time.Second) {
-		other.Died(at(time.Minute), d)
+	for _, d := range table.RecentCrashes(at(time.Minute), 5*time.Second) {
+		other.RecordCrash(at(time.Minute), d)
 	}
 	is.True(other.refuses(deadly, time.Minute))
 }
@@ -199,7 +199,7 @@
 	for i := range 3 * maxSuspects {
 		f := asked("/lots/"+string(rune(i)), "a")
 		for u := range uint64(1 + random.IntN(2*maxDeaths)) {
-			table.Died(at(time.Duration(i)*ms), end(f, u, time.Duration(i)*ms))
+			table.RecordCrash(at(time.Duration(i)*ms), end(f, u, time.Duration(i)*ms))
 		}
 	}
 	is.Equal(len(table.suspects), maxSuspects)
@@ -211,8 +211,8 @@
 		total += n
 	}
 	is.Equal(total, maxSuspects)
-	is.True(table.Suspects("shop", "/lots/"+string(rune(3*maxSuspects-1))))
-	table.Died(at(48*time.Hour), end(asked("/lots/x", "a"), 1, 48*time.Hour))
+	is.True(table.HasSuspect("shop", "/lots/"+string(rune(3*maxSuspects-1))))
+	table.RecordCrash(at(48*time.Hour), end(asked("/lots/x", "a"), 1, 48*time.Hour))
 	is.Equal(len(table.suspects), 1) // what is long ago was forgotten
 }
 
@@ -231,14 +231,14 @@
 		for u := uint64(0); u < 20 && !table.refuses(deadly, now); u++ {
 			for range between {
 				now += 50 * ms
-				table.Answered(at(now), asked("/lots", string(rune('a'+random.IntN(callers)))))
+				table.RecordAnswer(at(now), asked("/lots", string(rune('a'+random.IntN(callers)))))
 			}
-			table.Died(at(now), end(deadly, u, now))
+			table.RecordCrash(at(now), end(deadly, u, now))
 			for range perEnd {
 				f := asked("/lots", string(rune('a'+random.IntN(callers))))
-				table.Died(at(now), end(f, u, now))
+				table.RecordCrash(at(now), end(f, u, now))
 				if random.IntN(4) > 0 { // asked again, and answered elsewhere
-					table.Answered(at(now+10*ms), f)
+					table.RecordAnswer(at(now+10*ms), f)
 				}
 			}
 		}
@@ -260,20 +260,20 @@
 	b.Run("none", func(b *testing.B) {
 		table := NewTable()
 		for b.Loop() {
-			table.Suspects("shop.example", "/lots/17")
+			table.HasSuspect("shop.example", "/lots/17")
 		}
 	})
 	b.Run("others", func(b *testing.B) {
 		table := NewTable()
-		table.Died(start, end(asked("/lots/1", "a"), 1, 0))
+		table.RecordCrash(start, end(asked("/lots/1", "a"), 1, 0))
 		for b.Loop() {
-			table.Suspects("shop.example", "/lots/17")
+			table.HasSuspect("shop.example", "/lots/17")
 		}
 	})
 	b.Run("refused", func(b *testing.B) {
 		table, f := NewTable(), asked("/lots/1", "a")
 		for i := range uint64(3) {
-			table.Died(at(0), end(f, i, time.Duration(i)*200*ms))
+			table.RecordCrash(at(0), end(f, i, time.Duration(i)*200*ms))
 		}
 		for b.Loop() {
 			table.RefusedUntil(start, asked("/lots/1", "a"))
