--- a/internal/proxy/customer.go
+++ b/internal/proxy/customer.go
@@ -57,7 +57,7 @@
 		return errkind.New(errkind.NotReady, "keys may have been revoked unknown to this host")
 	}
 	key := config.DigestKey(keys[0])
-	c := t.Customers.Find(key)
+	c := t.Customers.ByKey(key)
 	switch {
 	case c == nil && x.rule.Service.Public:
 		return nil
@@ -93,7 +93,7 @@
 	if t.Revision == x.version || t.Customers == nil {
 		return nil
 	}
-	if now := t.Customers.Find(x.caller.key); now == nil || now.Name != c.Name {
+	if now := t.Customers.ByKey(x.caller.key); now == nil || now.Name != c.Name {
 		return errkind.New(errkind.UnknownKey, "the key was revoked")
 	}
 	return nil
--- a/pkg/customers/customers.go
+++ b/pkg/customers/customers.go
@@ -36,11 +36,11 @@
 	return t
 }
 
-// Find returns the customer that has a key; nil if none has.
-func (t *Table) Find(key config.KeyDigest) *config.Customer { return t.byKey[key] }
+// ByKey returns the customer that has a key; nil if none has.
+func (t *Table) ByKey(key config.KeyDigest) *config.Customer { return t.byKey[key] }
 
-// Named returns the customer with a name; nil if there is none.
-func (t *Table) Named(name string) *config.Customer { return t.byName[name] }
+// ByName returns the customer with a name; nil if there is none.
+func (t *Table) ByName(name string) *config.Customer { return t.byName[name] }
 
 // Ambiguous returns how many keys several customers have.
 func (t *Table) Ambiguous() int {
--- a/pkg/customers/customers_test.go
+++ b/pkg/customers/customers_test.go
@@ -23,13 +23,13 @@
 func TestFind(t *testing.T) {
 	is := is.New(t)
 	table := customers.Compile([]config.Customer{customer("a", "k1", "k2", "k1"), customer("b", "k3", "k2")})
-	is.Equal(table.Find(config.DigestKey("k1")).Name, "a")
-	is.Equal(table.Find(config.DigestKey("k3")).Name, "b")
-	is.Equal(table.Find(config.DigestKey("k4")), nil)
-	is.True(table.Find(config.DigestKey("k2")).Unserved != "") // of two customers
+	is.Equal(table.ByKey(config.DigestKey("k1")).Name, "a")
+	is.Equal(table.ByKey(config.DigestKey("k3")).Name, "b")
+	is.Equal(table.ByKey(config.DigestKey("k4")), nil)
+	is.True(table.ByKey(config.DigestKey("k2")).Unserved != "") // of two customers
 	is.Equal(table.Ambiguous(), 1)
-	is.Equal(table.Named("b").Name, "b")
-	is.Equal(table.Named("c"), nil)
+	is.Equal(table.ByName("b").Name, "b")
+	is.Equal(table.ByName("c"), nil)
 }
 
 // TestDigestAsText: hosts hand configurations to one another as JSON.
@@ -74,7 +74,7 @@
 	table := customers.Compile(list)
 	b.ReportAllocs()
 	for b.Loop() {
-		if table.Find(config.DigestKey("key-of-twenty-bytes-77777")) == nil {
+		if table.ByKey(config.DigestKey("key-of-twenty-bytes-77777")) == nil {
 			b.Fatal("not found")
 		}
 	}
