--- a/internal/quotas/charge.go
+++ b/internal/quotas/charge.go
@@ -34,7 +34,7 @@
 // room asks the host in charge, or its deputy. It is false if neither answers.
 func (k *Keeper) room(ask *quota.Ask) (quota.Answer, bool) {
 	f := k.fleet.Load()
-	first, second := quota.InCharge(ask.Customer, f.all)
+	first, second := quota.SelectCoordinator(ask.Customer, f.all)
 	charged := f.all[first].Address
 	if charged == f.Self.Address {
 		return k.ledger.Grant(k.now(), f.Self.Address, ask, k.terms(f, false)), true
@@ -60,8 +60,8 @@
 
 // terms are those of an account of which this host is in charge. Where the fleet has not
 // changed for long, nobody else granted anything before.
-func (k *Keeper) terms(f *view, sure bool) quota.Terms {
-	return quota.Terms{Part: f.part(sure), Inherits: k.now().Sub(f.since) < quota.Window}
+func (k *Keeper) terms(f *view, sure bool) quota.GrantPolicy {
+	return quota.GrantPolicy{Share: f.part(sure), TakenOver: k.now().Sub(f.since) < quota.Window}
 }
 
 // ask asks one host, and remembers one that does not answer.
@@ -102,7 +102,7 @@
 	if !f.Settled {
 		return netip.AddrPort{}, false
 	}
-	first, _ := quota.InCharge(customer, f.all)
+	first, _ := quota.SelectCoordinator(customer, f.all)
 	charged := f.all[first].Address
 	return charged, charged != f.Self.Address
 }
@@ -126,7 +126,7 @@
 			return a
 		}
 	}
-	return k.ledger.Grant(k.now(), from, &q.Ask, quota.Terms{Part: min(f.part(sure), sight.part), Inherits: true})
+	return k.ledger.Grant(k.now(), from, &q.Ask, quota.GrantPolicy{Share: min(f.part(sure), sight.part), TakenOver: true})
 }
 
 // look asks some hosts whether they reach the host in charge.
--- a/internal/quotas/fleet_test.go
+++ b/internal/quotas/fleet_test.go
@@ -184,7 +184,7 @@
 			t.Run(fmt.Sprintf("hosts=%d/%s", hosts, name), func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(hosts)
-				charged, _ := quota.InCharge(customer.Name, w.hosts)
+				charged, _ := quota.SelectCoordinator(customer.Name, w.hosts)
 				got := w.play(customer, load{steady(rate), anyHost}, 15, func(ms int) {
 					switch ms {
 					case 4000:
@@ -293,7 +293,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := newWorld(117)
-			charged, _ := quota.InCharge(customer.Name, w.hosts)
+			charged, _ := quota.SelectCoordinator(customer.Name, w.hosts)
 			starts := func(i int) bool { return i%2 == 1 && i > 2 || i == charged }
 			got := w.play(customer, load{steady(rate), anyHost}, 15, func(ms int) {
 				for i := range w.hosts {
--- a/internal/quotas/holder.go
+++ b/internal/quotas/holder.go
@@ -21,7 +21,7 @@
 // One question is open at a time; requests that come meanwhile wait for the next.
 type holder struct {
 	mu      sync.Mutex
-	wallet  quota.Wallet
+	wallet  quota.Allowance
 	waiting []*waiter
 	asking  bool
 	touched time.Time
@@ -124,7 +124,7 @@
 		Customer: c.Name,
 		Limit:    limitOf(c),
 		Must:     len(waiting),
-		Ahead:    h.wallet.Ahead(now),
+		Ahead:    h.wallet.ExpectedDemand(now),
 		Used:     h.wallet.Used(now),
 	}, waiting
 }
@@ -136,13 +136,13 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	sent := min(a.Granted, len(waiting))
-	h.wallet.Granted(now, sent, a.Granted-sent)
+	h.wallet.AddGrant(now, sent, a.Granted-sent)
 	if a.Wait > 0 {
 		h.dry = now.Add(min(a.Wait, dryAtMost))
 	}
 	known := k.fleet.Load().Known
 	for i, w := range waiting {
-		ok := i < sent || !answered && h.wallet.TakeShare(now, limitOf(c), known)
+		ok := i < sent || !answered && h.wallet.TakeFallback(now, limitOf(c), known)
 		switch {
 		case ok && w.left:
 			h.wallet.Return(now)
--- a/internal/quotas/keeper.go
+++ b/internal/quotas/keeper.go
@@ -51,7 +51,7 @@
 // Validate checks a question of another host.
 func (q *Question) Validate() error {
 	if q.Role > Last || (q.Role == Deputy || q.Role == Witness) && !q.Charged.IsValid() {
-		return errors.Wrapf(quota.ErrAsk, "role %d, host in charge %s", q.Role, q.Charged)
+		return errors.Wrapf(quota.ErrInvalidRequest, "role %d, host in charge %s", q.Role, q.Charged)
 	}
 	return q.Ask.Validate()
 }
--- a/internal/quotas/ways_test.go
+++ b/internal/quotas/ways_test.go
@@ -16,8 +16,8 @@
 
 // eachItsShare gives each host a fixed part.
 func eachItsShare(hosts int, c *config.Customer) way {
-	wallets := make([]quota.Wallet, hosts)
-	return func(now time.Time, host int) bool { return wallets[host].TakeShare(now, limitOf(c), hosts) }
+	wallets := make([]quota.Allowance, hosts)
+	return func(now time.Time, host int) bool { return wallets[host].TakeFallback(now, limitOf(c), hosts) }
 }
 
 // waysBegin is when the ways begin.
--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -14,13 +14,13 @@
 // what hosts have used they say when they ask, and some ask before others have said it.
 const newShare = 0.25
 
-// Terms are those under which a host grants room.
-type Terms struct {
-	// Part is the share of the quota that this account may grant, from 0 to 1: less where
+// GrantPolicy are those under which a host grants room.
+type GrantPolicy struct {
+	// Share is the share of the quota that this account may grant, from 0 to 1: less where
 	// others may grant too.
-	Part float64
-	// Inherits states that another host may have granted room until now.
-	Inherits bool
+	Share float64
+	// TakenOver states that another host may have granted room until now.
+	TakenOver bool
 }
 
 // Account is what the host in charge of a customer has left to grant. It is a token bucket
@@ -40,9 +40,9 @@
 }
 
 // NewAccount opens an account.
-func NewAccount(now time.Time, limit Limit, terms Terms) *Account {
+func NewAccount(now time.Time, limit Limit, terms GrantPolicy) *Account {
 	room := limit.size()
-	if terms.Inherits {
+	if terms.TakenOver {
 		room = max(room*newShare, 1)
 	}
 	return &Account{
@@ -56,8 +56,8 @@
 }
 
 // Grant answers a host's question.
-func (a *Account) Grant(now time.Time, from netip.AddrPort, ask *Ask, terms Terms) Answer {
-	part := terms.Part
+func (a *Account) Grant(now time.Time, from netip.AddrPort, ask *Ask, terms GrantPolicy) Answer {
+	part := terms.Share
 	a.fill(now, ask.Limit, part)
 	a.report(now, from, ask.Used)
 	granted := min(ask.Must, int(max(a.room, 0)))
--- a/pkg/quota/ledger.go
+++ b/pkg/quota/ledger.go
@@ -17,7 +17,7 @@
 func NewLedger() *Ledger { return &Ledger{accounts: make(map[string]*Account)} }
 
 // Grant answers a host's question; see Account.Grant.
-func (l *Ledger) Grant(now time.Time, from netip.AddrPort, ask *Ask, terms Terms) Answer {
+func (l *Ledger) Grant(now time.Time, from netip.AddrPort, ask *Ask, terms GrantPolicy) Answer {
 	if ask.Must == 0 {
 		return Answer{} // only asked whether this host answers
 	}
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -52,15 +52,15 @@
 	maxRate  = 1e9
 )
 
-// ErrAsk means that a question of another host can't be true.
-var ErrAsk = errors.New("question for room that can't be true")
+// ErrInvalidRequest means that a question of another host can't be true.
+var ErrInvalidRequest = errors.New("question for room that can't be true")
 
 // Validate checks a question of another host.
 func (a *Ask) Validate() error {
 	ok := a.Customer != "" && inRange(a.Must, maxAsked) && inRange(a.Ahead, maxAsked) && inRange(a.Used, maxUsed) &&
 		a.Limit.PerSecond > 0 && a.Limit.PerSecond <= maxRate && a.Limit.Burst >= 0 && a.Limit.Burst <= maxRate
 	if !ok {
-		return errors.Wrapf(ErrAsk, "%+v", *a)
+		return errors.Wrapf(ErrInvalidRequest, "%+v", *a)
 	}
 	return nil
 }
@@ -84,7 +84,7 @@
 // Validate checks the answer of another host.
 func (a *Answer) Validate() error {
 	if !inRange(a.Granted, 2*maxAsked) || a.Wait < 0 || a.Wait > maxWait {
-		return errors.Wrapf(ErrAsk, "answer %+v", *a)
+		return errors.Wrapf(ErrInvalidRequest, "answer %+v", *a)
 	}
 	return nil
 }
@@ -97,11 +97,11 @@
 	FailureDomain string
 }
 
-// InCharge returns the indices of the host that is in charge of a customer and of its
+// SelectCoordinator returns the indices of the host that is in charge of a customer and of its
 // deputy: the next one by rank, in another failure domain if there is one. There is one
 // deputy whoever looks, so that no two hosts go on for a host that is lost. The deputy is -1
 // where there is one host only.
-func InCharge(customer string, hosts []Host) (first, deputy int) {
+func SelectCoordinator(customer string, hosts []Host) (first, deputy int) {
 	first, deputy = -1, -1
 	var best, next, nextApart uint64
 	for i := range hosts {
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -16,7 +16,7 @@
 )
 
 // whole are the terms of a host that has been in charge for long.
-var whole = Terms{Part: 1}
+var whole = GrantPolicy{Share: 1}
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
@@ -65,7 +65,7 @@
 // TestAccountThatFollowsAnother begins with a part of the burst.
 func TestAccountThatFollowsAnother(t *testing.T) {
 	is := is.New(t)
-	terms := Terms{Part: 1, Inherits: true}
+	terms := GrantPolicy{Share: 1, TakenOver: true}
 	a := NewAccount(at(0), ask(0).Limit, terms)
 	is.Equal(a.Grant(at(0), hostA, ask(30), terms).Granted, 5)
 	is.Equal(a.Grant(at(1000), hostB, ask(30), terms).Granted, 10)
@@ -74,15 +74,15 @@
 func TestAccountOfAPart(t *testing.T) {
 	is := is.New(t)
 	a := NewAccount(at(0), ask(0).Limit, whole)
-	is.Equal(a.Grant(at(0), hostA, ask(30), Terms{Part: 0.25}).Granted, 5)
-	is.Equal(a.Grant(at(1000), hostA, ask(30), Terms{Part: 0.25}).Granted, 2)
+	is.Equal(a.Grant(at(0), hostA, ask(30), GrantPolicy{Share: 0.25}).Granted, 5)
+	is.Equal(a.Grant(at(1000), hostA, ask(30), GrantPolicy{Share: 0.25}).Granted, 2)
 }
 
 func TestWallet(t *testing.T) {
 	is := is.New(t)
-	w := new(Wallet)
+	w := new(Allowance)
 	is.True(!w.Take(at(0)))
-	w.Granted(at(0), 3, 2)
+	w.AddGrant(at(0), 3, 2)
 	is.True(w.Take(at(10)))
 	is.Equal(w.Used(at(10)), 4)
 	is.True(!w.Take(at(1100))) // too old
@@ -96,10 +96,10 @@
 // TestShareOfOneHost: over all hosts no more than the quota, whatever each of them has.
 func TestShareOfOneHost(t *testing.T) {
 	is := is.New(t)
-	w := new(Wallet)
+	w := new(Allowance)
 	taken := 0
 	for ms := range 10_000 {
-		if w.TakeShare(at(ms), Limit{PerSecond: 50, Burst: 50}, 100) {
+		if w.TakeFallback(at(ms), Limit{PerSecond: 50, Burst: 50}, 100) {
 			taken++
 		}
 	}
@@ -117,18 +117,18 @@
 	counts := make(map[int]int)
 	for c := range 600 {
 		name := strconv.Itoa(c)
-		first, deputy := InCharge(name, hosts)
+		first, deputy := SelectCoordinator(name, hosts)
 		counts[first]++
 		is.True(hosts[deputy].FailureDomain != hosts[first].FailureDomain)
-		again, _ := InCharge(name, hosts[:59])
+		again, _ := SelectCoordinator(name, hosts[:59])
 		is.True(again == first || first == 59)
 	}
 	for _, n := range counts {
 		is.True(n < 30)
 	}
-	first, deputy := InCharge("a", hosts[:1])
+	first, deputy := SelectCoordinator("a", hosts[:1])
 	is.Equal([2]int{first, deputy}, [2]int{0, -1})
-	first, _ = InCharge("a", nil)
+	first, _ = SelectCoordinator("a", nil)
 	is.Equal(first, -1)
 }
 
--- a/pkg/quota/wallet.go
+++ b/pkg/quota/wallet.go
@@ -15,8 +15,8 @@
 	slotWidth = Window / slots
 )
 
-// Wallet is what one host has of a customer's quota.
-type Wallet struct {
+// Allowance is what one host has of a customer's quota.
+type Allowance struct {
 	room  int       // granted and not used
 	until time.Time // of room
 
@@ -28,7 +28,7 @@
 }
 
 // Take uses room that was granted before. It is false if there is none.
-func (w *Wallet) Take(now time.Time) bool {
+func (w *Allowance) Take(now time.Time) bool {
 	if w.room == 0 || now.After(w.until) {
 		w.room = 0
 		return false
@@ -38,8 +38,8 @@
 	return true
 }
 
-// Granted takes in room for requests that are sent now, and more for later ones.
-func (w *Wallet) Granted(now time.Time, sent, more int) {
+// AddGrant takes in room for requests that are sent now, and more for later ones.
+func (w *Allowance) AddGrant(now time.Time, sent, more int) {
 	w.use(now, sent)
 	if more > 0 {
 		w.room += more
@@ -48,14 +48,14 @@
 }
 
 // Return gives room back that was taken for a request which did not run.
-func (w *Wallet) Return(now time.Time) {
+func (w *Allowance) Return(now time.Time) {
 	w.use(now, -1)
-	w.Granted(now, 0, 1)
+	w.AddGrant(now, 0, 1)
 }
 
-// TakeShare uses this host's part of the quota, for when nobody answers. It is false if there
+// TakeFallback uses this host's part of the quota, for when nobody answers. It is false if there
 // is none. Hosts is the number of hosts, 0 if that is not known.
-func (w *Wallet) TakeShare(now time.Time, limit Limit, hosts int) bool {
+func (w *Allowance) TakeFallback(now time.Time, limit Limit, hosts int) bool {
 	if hosts == 0 {
 		hosts = unknownHosts
 	}
@@ -74,7 +74,7 @@
 }
 
 // Used returns how many requests were sent within Window.
-func (w *Wallet) Used(now time.Time) int {
+func (w *Allowance) Used(now time.Time) int {
 	w.turn(now)
 	total := 0
 	for _, n := range w.used {
@@ -83,18 +83,18 @@
 	return max(total, 0)
 }
 
-// Ahead returns how many requests are expected until room is asked for again.
-func (w *Wallet) Ahead(now time.Time) int {
+// ExpectedDemand returns how many requests are expected until room is asked for again.
+func (w *Allowance) ExpectedDemand(now time.Time) int {
 	return int(float64(w.Used(now)) * aheadFor.Seconds() / Window.Seconds())
 }
 
-func (w *Wallet) use(now time.Time, n int) {
+func (w *Allowance) use(now time.Time, n int) {
 	w.turn(now)
 	w.used[w.slot%slots] += n
 }
 
 // turn empties the slots that have begun since the last call.
-func (w *Wallet) turn(now time.Time) {
+func (w *Allowance) turn(now time.Time) {
 	next := now.UnixNano() / int64(slotWidth)
 	for s := max(w.slot+1, next-slots+1); s <= next; s++ {
 		w.used[s%slots] = 0
