--- a/internal/quotas/charge.go
+++ b/internal/quotas/charge.go
@@ -48,7 +48,7 @@
 		return quota.Answer{}, false
 	}
 	deputy := f.all[second].Address
-	q := Question{Ask: *ask, Role: Deputy, Charged: charged, Sure: f.Settled}
+	q := Question{Ask: *ask, Role: RoleBackup, Charged: charged, Sure: f.Settled}
 	if deputy == f.Self.Address {
 		return k.deputize(f, f.Self.Address, &q), true
 	}
@@ -82,14 +82,14 @@
 func (k *Keeper) Answer(from netip.AddrPort, q *Question) quota.Answer {
 	f := k.fleet.Load()
 	switch q.Role {
-	case InCharge:
+	case RoleCoordinator:
 		if charged, other := k.otherInCharge(f, q.Customer); other {
 			return k.deputize(f, from, &Question{Ask: q.Ask, Charged: charged, Sure: q.Sure})
 		}
-	case Deputy:
+	case RoleBackup:
 		return k.deputize(f, from, q)
-	case Witness:
-		a, ok := k.ask(q.Charged, Question{Ask: q.Ask, Role: Last, Sure: q.Sure}, askWithin)
+	case RoleWitness:
+		a, ok := k.ask(q.Charged, Question{Ask: q.Ask, Role: RoleFinalHop, Sure: q.Sure}, askWithin)
 		a.Nobody = !ok
 		return a
 	}
@@ -111,7 +111,7 @@
 func (k *Keeper) deputize(f *view, from netip.AddrPort, q *Question) quota.Answer {
 	sure := q.Sure || f.Settled
 	if !k.silent.is(k.now(), q.Charged) {
-		if a, ok := k.ask(q.Charged, Question{Ask: q.Ask, Role: Last, Sure: sure}, askWithin); ok {
+		if a, ok := k.ask(q.Charged, Question{Ask: q.Ask, Role: RoleFinalHop, Sure: sure}, askWithin); ok {
 			return a
 		}
 	}
@@ -121,7 +121,7 @@
 		k.silent.saw(k.now(), q.Charged, sight)
 	}
 	if sight.witness.IsValid() {
-		a, ok := k.ask(sight.witness, Question{Ask: q.Ask, Role: Witness, Charged: q.Charged, Sure: sure}, relayWithin)
+		a, ok := k.ask(sight.witness, Question{Ask: q.Ask, Role: RoleWitness, Charged: q.Charged, Sure: sure}, relayWithin)
 		if ok && !a.Nobody {
 			return a
 		}
@@ -138,7 +138,7 @@
 	var wg sync.WaitGroup
 	for i, h := range asked {
 		wg.Go(func() {
-			answers[i], heard[i] = k.ask(h.Address, Question{Ask: probe, Role: Witness, Charged: charged}, relayWithin)
+			answers[i], heard[i] = k.ask(h.Address, Question{Ask: probe, Role: RoleWitness, Charged: charged}, relayWithin)
 		})
 	}
 	wg.Wait()
--- a/internal/quotas/keeper.go
+++ b/internal/quotas/keeper.go
@@ -26,15 +26,15 @@
 type Role uint8
 
 const (
-	// InCharge answers from its own account, or asks the host that it knows to be in charge.
-	InCharge Role = iota
-	// Deputy asks the host in charge, which the one that asks can't reach, or looks whether
+	// RoleCoordinator answers from its own account, or asks the host that it knows to be in charge.
+	RoleCoordinator Role = iota
+	// RoleBackup asks the host in charge, which the one that asks can't reach, or looks whether
 	// others reach it.
-	Deputy
-	// Witness asks the host in charge, and does nothing else.
-	Witness
-	// Last answers from its own account: the question has come through others.
-	Last
+	RoleBackup
+	// RoleWitness asks the host in charge, and does nothing else.
+	RoleWitness
+	// RoleFinalHop answers from its own account: the question has come through others.
+	RoleFinalHop
 )
 
 // Question is what one host asks another.
@@ -50,7 +50,7 @@
 
 // Validate checks a question of another host.
 func (q *Question) Validate() error {
-	if q.Role > Last || (q.Role == Deputy || q.Role == Witness) && !q.Charged.IsValid() {
+	if q.Role > RoleFinalHop || (q.Role == RoleBackup || q.Role == RoleWitness) && !q.Charged.IsValid() {
 		return errors.Wrapf(quota.ErrInvalidRequest, "role %d, host in charge %s", q.Role, q.Charged)
 	}
 	return q.Ask.Validate()
