--- a/internal/execution/adopt.go
+++ b/internal/execution/adopt.go
@@ -112,7 +112,7 @@
 		return snapshot, errBadSnapshot
 	}
 	for _, slot := range m.GetSlots() {
-		saved := atmostonce.SavedSlot{Left: time.Duration(slot.GetLeftUs()) * time.Microsecond}
+		saved := atmostonce.SavedSlot{Remaining: time.Duration(slot.GetLeftUs()) * time.Microsecond}
 		switch len(slot.GetDigest()) {
 		case 0:
 		case len(saved.Digest):
--- a/internal/execution/handover.go
+++ b/internal/execution/handover.go
@@ -123,7 +123,7 @@
 // encodeSlot leaves out an answer that is over the room; what became of the
 // ticket is always told.
 func encodeSlot(saved atmostonce.SavedSlot, room int) *executionv1.Slot {
-	m := &executionv1.Slot{LeftUs: saved.Left.Microseconds()}
+	m := &executionv1.Slot{LeftUs: saved.Remaining.Microseconds()}
 	if a := saved.Result.Answer; a != nil && len(a.Body) > room {
 		saved.Result = atmostonce.Failed(errkind.New(errkind.AnswerNotKept, "the answer was too large to hand over"))
 	}
--- a/internal/execution/service.go
+++ b/internal/execution/service.go
@@ -140,7 +140,7 @@
 }
 
 func (s *Service) owned(ctx context.Context, sp *space, t atmostonce.Ticket, req *httpwire.Request, run runFunc) (atmostonce.Result, *httpwire.Response) {
-	if sp.sealer.Owner(t) != atmostonce.Own {
+	if sp.sealer.Owner(t) != atmostonce.Local {
 		return atmostonce.Failed(errkind.New(errkind.TicketRejected, "the ticket was never issued")), nil
 	}
 	return sp.execute(ctx, t.Sequence, req, run)
--- a/internal/execution/space.go
+++ b/internal/execution/space.go
@@ -56,7 +56,7 @@
 	if !ok {
 		return atmostonce.Failed(errkind.New(errkind.Internal, "no deadline")), nil
 	}
-	ask := atmostonce.Ask{
+	ask := atmostonce.Submission{
 		Sequence: sequence,
 		Digest:   atmostonce.DigestOf(req.Method, req.Target, req.Body),
 		Deadline: deadline,
@@ -91,9 +91,9 @@
 }
 
 // ask decides, and finds or makes the call in the same step.
-func (s *space) ask(ask atmostonce.Ask) (atmostonce.Decision, *call) {
+func (s *space) ask(ask atmostonce.Submission) (atmostonce.Decision, *call) {
 	s.mu.Lock()
-	d, err := s.ledger.Ask(clock.Now(), ask)
+	d, err := s.ledger.Submit(clock.Now(), ask)
 	c := s.calls[ask.Sequence]
 	if d.Verdict == atmostonce.Execute {
 		c = &call{done: make(chan struct{})}
--- a/pkg/atmostonce/ask.go
+++ b/pkg/atmostonce/ask.go
@@ -29,8 +29,8 @@
 	Replayed bool
 }
 
-// Ask is one arrival of a request under a ticket that Sealer.Owner found Own.
-type Ask struct {
+// Submission is one arrival of a request under a ticket that Sealer.Owner found Own.
+type Submission struct {
 	// Sequence is the ticket's.
 	Sequence uint64
 	// Digest is the request's.
@@ -39,8 +39,8 @@
 	Deadline time.Time
 }
 
-// Ask decides one arrival. The error is a *Breach.
-func (l *Ledger) Ask(now time.Time, a Ask) (Decision, error) {
+// Submit decides one arrival. The error is a *Breach.
+func (l *Ledger) Submit(now time.Time, a Submission) (Decision, error) {
 	now = l.advance(now)
 	if a.Sequence >= l.next {
 		return final(errkind.Internal, "ticket was never issued"), breach(BreachNeverIssued, a.Sequence)
@@ -60,7 +60,7 @@
 
 // first binds the ticket to the request. A ticket that may not run is burnt in
 // the same step in which "not run" is answered.
-func (l *Ledger) first(now time.Time, s *slot, a Ask) Decision {
+func (l *Ledger) first(now time.Time, s *slot, a Submission) Decision {
 	s.record = &record{digest: a.Digest, deadline: a.Deadline, state: admitted}
 	if !now.Before(s.expires) {
 		return s.record.burn(refused(errkind.TicketExpired, "the ticket's lifetime is over"))
@@ -73,7 +73,7 @@
 }
 
 // again answers a later ask from the record.
-func (r *record) again(a Ask) (Decision, error) {
+func (r *record) again(a Submission) (Decision, error) {
 	if a.Digest != r.digest {
 		return final(errkind.TicketMismatch, "the ticket is bound to another request"), nil
 	}
--- a/pkg/atmostonce/example_test.go
+++ b/pkg/atmostonce/example_test.go
@@ -20,10 +20,10 @@
 
 	for range 2 {
 		ticket, _ := atmostonce.ParseTicket(text)
-		if sealer.Owner(ticket) != atmostonce.Own {
+		if sealer.Owner(ticket) != atmostonce.Local {
 			return // forward it, or answer that the outcome is unknown
 		}
-		decision, _ := ledger.Ask(now, atmostonce.Ask{
+		decision, _ := ledger.Submit(now, atmostonce.Submission{
 			Sequence: ticket.Sequence,
 			Digest:   atmostonce.DigestOf("POST", "/sales", []byte("lot 7")),
 			Deadline: now.Add(time.Second),
--- a/pkg/atmostonce/handover.go
+++ b/pkg/atmostonce/handover.go
@@ -27,8 +27,8 @@
 
 // SavedSlot is the memory of one ticket.
 type SavedSlot struct {
-	// Left is the time until the lifetime ends; negative if it is over.
-	Left time.Duration
+	// Remaining is the time until the lifetime ends; negative if it is over.
+	Remaining time.Duration
 	// Used is true if the ticket is bound to Digest and ended with Result.
 	Used bool
 	// Digest is the request's.
@@ -58,7 +58,7 @@
 }
 
 func (s *slot) save(now time.Time) SavedSlot {
-	saved := SavedSlot{Left: s.expires.Sub(now)}
+	saved := SavedSlot{Remaining: s.expires.Sub(now)}
 	if s.record != nil {
 		saved.Used = true
 		saved.Digest = s.record.digest
@@ -87,7 +87,7 @@
 func (l *Ledger) restore(now time.Time, saved SavedSlot) {
 	s := l.slot(l.next)
 	l.next++
-	s.expires = now.Add(saved.Left)
+	s.expires = now.Add(saved.Remaining)
 	if !saved.Used {
 		return
 	}
--- a/pkg/atmostonce/ledger_test.go
+++ b/pkg/atmostonce/ledger_test.go
@@ -19,7 +19,7 @@
 
 func ask(l *atmostonce.Ledger, after time.Duration, d atmostonce.Digest) atmostonce.Decision {
 	now := start.Add(after)
-	decision, err := l.Ask(now, atmostonce.Ask{Digest: d, Deadline: now.Add(testDeadline)})
+	decision, err := l.Submit(now, atmostonce.Submission{Digest: d, Deadline: now.Add(testDeadline)})
 	if err != nil {
 		panic(err)
 	}
@@ -95,7 +95,7 @@
 	result, err := l.Finish(start, 0, atmostonce.Failed(errkind.New(errkind.NoRoute, "")))
 	is.New(t).Equal(err.(*atmostonce.Breach).Code, atmostonce.BreachFalseNotRun)
 	is.New(t).Equal(result.Outcome(), errkind.Unknown)
-	_, err = l.Ask(start, atmostonce.Ask{Sequence: 9})
+	_, err = l.Submit(start, atmostonce.Submission{Sequence: 9})
 	is.New(t).Equal(err.(*atmostonce.Breach).Code, atmostonce.BreachNeverIssued)
 }
 
@@ -125,10 +125,10 @@
 		by   *atmostonce.Sealer
 		want atmostonce.Owner
 	}{
-		"own":     {s, atmostonce.Own},
+		"own":     {s, atmostonce.Local},
 		"forged":  {atmostonce.NewSealer(address(1), 7, atmostonce.Secret{2}), atmostonce.Forged},
-		"past":    {atmostonce.NewSealer(address(1), 8, atmostonce.Secret{1}), atmostonce.Past},
-		"foreign": {atmostonce.NewSealer(address(2), 7, atmostonce.Secret{1}), atmostonce.Foreign},
+		"past":    {atmostonce.NewSealer(address(1), 8, atmostonce.Secret{1}), atmostonce.OtherIncarnation},
+		"foreign": {atmostonce.NewSealer(address(2), 7, atmostonce.Secret{1}), atmostonce.OtherHost},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ticket, err := atmostonce.ParseTicket(c.by.Seal(3).String())
@@ -148,7 +148,7 @@
 			return
 		}
 		is.New(t).Equal(ticket.String(), text)
-		if s.Owner(ticket) == atmostonce.Own {
+		if s.Owner(ticket) == atmostonce.Local {
 			is.New(t).Equal(ticket, s.Seal(ticket.Sequence))
 		}
 	})
@@ -167,7 +167,7 @@
 		ticket, _ := atmostonce.ParseTicket(s.Seal(sequence).String())
 		s.Owner(ticket)
 		d := atmostonce.DigestOf("POST", "/sales", answer.Answer.Body)
-		_, _ = l.Ask(now, atmostonce.Ask{Sequence: sequence, Digest: d, Deadline: now.Add(time.Second)})
+		_, _ = l.Submit(now, atmostonce.Submission{Sequence: sequence, Digest: d, Deadline: now.Add(time.Second)})
 		_, _ = l.Send(now, sequence)
 		_, _ = l.Finish(now, sequence, answer)
 	}
@@ -181,7 +181,7 @@
 	for i := range b.N {
 		now := start.Add(time.Duration(i) * time.Millisecond)
 		sequence, _ := l.Issue(now)
-		_, _ = l.Ask(now, atmostonce.Ask{Sequence: sequence, Deadline: now.Add(time.Second)})
+		_, _ = l.Submit(now, atmostonce.Submission{Sequence: sequence, Deadline: now.Add(time.Second)})
 		_, _ = l.Send(now, sequence)
 		_, _ = l.Finish(now, sequence, answer)
 	}
@@ -199,7 +199,7 @@
 		empty := heap()
 		for range tickets {
 			sequence, _ := l.Issue(start)
-			_, _ = l.Ask(start, atmostonce.Ask{Sequence: sequence, Digest: digest, Deadline: start.Add(time.Second)})
+			_, _ = l.Submit(start, atmostonce.Submission{Sequence: sequence, Digest: digest, Deadline: start.Add(time.Second)})
 			_, _ = l.Send(start, sequence)
 			body := make([]byte, 64)
 			header := map[string][]string{"Content-Type": {"text/plain"}, "Dapplespindle-Outcome": {"ran"}}
--- a/pkg/atmostonce/real_test.go
+++ b/pkg/atmostonce/real_test.go
@@ -141,7 +141,7 @@
 	switch {
 	case sp != nil && sp.moved:
 		r.forward(m, sp.to, w)
-	case sp != nil && sp.sealer.Owner(ticket) == atmostonce.Own:
+	case sp != nil && sp.sealer.Owner(ticket) == atmostonce.Local:
 		r.asked(sp.ledger, ticket.Sequence, m, w)
 	case sp != nil:
 		r.reply(w, answeredNotRun)
@@ -181,7 +181,7 @@
 
 func (r *realMember) asked(l *atmostonce.Ledger, sequence uint64, m message, w waiter) {
 	now := r.fleet.clock(r.host)
-	d, err := l.Ask(now, atmostonce.Ask{
+	d, err := l.Submit(now, atmostonce.Submission{
 		Sequence: sequence,
 		Digest:   atmostonce.DigestOf("POST", m.key, nil),
 		Deadline: now.Add(testDeadline),
--- a/pkg/atmostonce/ticket.go
+++ b/pkg/atmostonce/ticket.go
@@ -120,29 +120,29 @@
 
 // The owners.
 const (
-	// Own tickets were issued by this incarnation.
-	Own Owner = iota
+	// Local tickets were issued by this incarnation.
+	Local Owner = iota
 	// Forged tickets claim this incarnation and were never issued.
 	Forged
-	// Past tickets name an earlier or later incarnation at this address. Nobody executes them.
-	Past
-	// Foreign tickets name another address and are forwarded there.
-	Foreign
+	// OtherIncarnation tickets name an earlier or later incarnation at this address. Nobody executes them.
+	OtherIncarnation
+	// OtherHost tickets name another address and are forwarded there.
+	OtherHost
 )
 
 // Owner verifies t.
 func (s *Sealer) Owner(t Ticket) Owner {
 	if t.Issuer != s.issuer {
-		return Foreign
+		return OtherHost
 	}
 	if t.Incarnation != s.incarnation {
-		return Past
+		return OtherIncarnation
 	}
 	mac := s.sign(t)
 	if !hmac.Equal(mac[:], t.mac[:]) {
 		return Forged
 	}
-	return Own
+	return Local
 }
 
 func (s *Sealer) sign(t Ticket) (mac [macBytes]byte) {
