--- a/internal/execution/space.go
+++ b/internal/execution/space.go
@@ -161,7 +161,7 @@
 
 // report emits the event of a broken invariant.
 func (s *space) report(err error) {
-	var b *atmostonce.Breach
+	var b *atmostonce.Violation
 	if errors.As(err, &b) {
 		s.emit(event.Event{Code: b.Code, Value: int64(b.Sequence)})
 	}
--- a/pkg/atmostonce/ask.go
+++ b/pkg/atmostonce/ask.go
@@ -39,11 +39,11 @@
 	Deadline time.Time
 }
 
-// Submit decides one arrival. The error is a *Breach.
+// Submit decides one arrival. The error is a *Violation.
 func (l *Ledger) Submit(now time.Time, a Submission) (Decision, error) {
 	now = l.advance(now)
 	if a.Sequence >= l.next {
-		return final(errkind.Internal, "ticket was never issued"), breach(BreachNeverIssued, a.Sequence)
+		return final(errkind.Internal, "ticket was never issued"), breach(ViolationNeverIssued, a.Sequence)
 	}
 	if a.Sequence < l.oldest {
 		return final(errkind.TicketForgotten, "the record's time is over"), nil
--- a/pkg/atmostonce/breach.go
+++ b/pkg/atmostonce/breach.go
@@ -9,18 +9,18 @@
 
 // Breaches, by the numbers of their events.
 const (
-	// BreachNeverIssued is a verified ticket with a number that was not issued.
-	BreachNeverIssued = event.InvariantTicketNeverIssued
-	// BreachSecondSend is a send while an earlier one may have run.
-	BreachSecondSend = event.InvariantSecondSend
-	// BreachNoRecord is a step of an execution that has no record.
-	BreachNoRecord = event.InvariantNoRecord
-	// BreachFalseNotRun is a report of "not run" for a request that may have run.
-	BreachFalseNotRun = event.InvariantFalseNotRun
+	// ViolationNeverIssued is a verified ticket with a number that was not issued.
+	ViolationNeverIssued = event.InvariantTicketNeverIssued
+	// ViolationSecondSend is a send while an earlier one may have run.
+	ViolationSecondSend = event.InvariantSecondSend
+	// ViolationNoRecord is a step of an execution that has no record.
+	ViolationNoRecord = event.InvariantNoRecord
+	// ViolationFalseNotRun is a report of "not run" for a request that may have run.
+	ViolationFalseNotRun = event.InvariantFalseNotRun
 )
 
-// Breach is a broken invariant. It stops the request concerned.
-type Breach struct {
+// Violation is a broken invariant. It stops the request concerned.
+type Violation struct {
 	// Code is the event to emit.
 	Code event.Code
 	// Sequence is the ticket's.
@@ -28,18 +28,18 @@
 }
 
 // Error implements error.
-func (b *Breach) Error() string {
+func (b *Violation) Error() string {
 	return b.Code.String() + ": ticket " + strconv.FormatUint(b.Sequence, 10)
 }
 
-func breach(code event.Code, sequence uint64) *Breach {
-	return &Breach{Code: code, Sequence: sequence}
+func breach(code event.Code, sequence uint64) *Violation {
+	return &Violation{Code: code, Sequence: sequence}
 }
 
 // checkReport verifies a final result before it is reported.
 func (r *record) checkReport(sequence uint64) error {
 	if r.mayHaveRun && r.result.Outcome() == errkind.NotRun {
-		return breach(BreachFalseNotRun, sequence)
+		return breach(ViolationFalseNotRun, sequence)
 	}
 	return nil
 }
@@ -47,10 +47,10 @@
 // checkFinish verifies a result against the attempts that were made.
 func (r *record) checkFinish(sequence uint64, result Result) error {
 	if r.mayHaveRun && result.Outcome() == errkind.NotRun {
-		return breach(BreachFalseNotRun, sequence)
+		return breach(ViolationFalseNotRun, sequence)
 	}
 	if !r.mayHaveRun && result.Outcome() == errkind.Ran {
-		return breach(BreachNoRecord, sequence)
+		return breach(ViolationNoRecord, sequence)
 	}
 	return nil
 }
--- a/pkg/atmostonce/execution.go
+++ b/pkg/atmostonce/execution.go
@@ -42,7 +42,7 @@
 // Send asks whether an attempt may start. It must be called immediately before
 // the first byte of each attempt, also after a pause: a request that was
 // reported as not run, or whose deadline passed, is never sent. The *errkind.Error
-// says why not; a non-nil error besides is a *Breach, and nothing may be sent.
+// says why not; a non-nil error besides is a *Violation, and nothing may be sent.
 func (l *Ledger) Send(now time.Time, sequence uint64) (*errkind.Error, error) {
 	now = l.advance(now)
 	r, err := l.started(sequence)
@@ -53,7 +53,7 @@
 	case r.state == ended:
 		return errkind.New(r.notSentKind(), "the request was already answered"), nil
 	case r.mayHaveRun || r.state == sending:
-		err := breach(BreachSecondSend, sequence)
+		err := breach(ViolationSecondSend, sequence)
 		return errkind.Wrap(errkind.Internal, err, "send"), err
 	case !now.Before(r.deadline):
 		l.end(r, refused(errkind.DeadlineBeforeSend, "the deadline passed before sending"))
@@ -88,7 +88,7 @@
 
 // Finish ends the execution and returns the result to report, for this ask and
 // all that joined it. The first call decides. A result of "not run" while an
-// attempt may have run is a *Breach and becomes "unknown".
+// attempt may have run is a *Violation and becomes "unknown".
 func (l *Ledger) Finish(now time.Time, sequence uint64, result Result) (Result, error) {
 	l.advance(now)
 	r, err := l.started(sequence)
@@ -151,11 +151,11 @@
 		return &record{state: ended, result: refused(errkind.TicketForgotten, "the record's time is over")}, nil
 	}
 	if sequence >= l.next {
-		return nil, breach(BreachNoRecord, sequence)
+		return nil, breach(ViolationNoRecord, sequence)
 	}
 	r := l.slot(sequence).record
 	if r == nil {
-		return nil, breach(BreachNoRecord, sequence)
+		return nil, breach(ViolationNoRecord, sequence)
 	}
 	return r, nil
 }
--- a/pkg/atmostonce/ledger_test.go
+++ b/pkg/atmostonce/ledger_test.go
@@ -91,12 +91,12 @@
 	denied, err := l.Send(start, 0)
 	is.New(t).True(denied == nil && err == nil)
 	_, err = l.Send(start, 0)
-	is.New(t).Equal(err.(*atmostonce.Breach).Code, atmostonce.BreachSecondSend)
+	is.New(t).Equal(err.(*atmostonce.Violation).Code, atmostonce.ViolationSecondSend)
 	result, err := l.Finish(start, 0, atmostonce.Failed(errkind.New(errkind.NoRoute, "")))
-	is.New(t).Equal(err.(*atmostonce.Breach).Code, atmostonce.BreachFalseNotRun)
+	is.New(t).Equal(err.(*atmostonce.Violation).Code, atmostonce.ViolationFalseNotRun)
 	is.New(t).Equal(result.Outcome(), errkind.Unknown)
 	_, err = l.Submit(start, atmostonce.Submission{Sequence: 9})
-	is.New(t).Equal(err.(*atmostonce.Breach).Code, atmostonce.BreachNeverIssued)
+	is.New(t).Equal(err.(*atmostonce.Violation).Code, atmostonce.ViolationNeverIssued)
 }
 
 func TestBounds(t *testing.T) {
--- a/pkg/probebudget/audit.go
+++ b/pkg/probebudget/audit.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Breach is a broken invariant: a probe was about to be sent sooner after the
+// Violation is a broken invariant: a probe was about to be sent sooner after the
 // last one than this host's share allows.
-type Breach struct {
+type Violation struct {
 	// Upstream is the id of the upstream.
 	Upstream string
 	// Early is how much too soon the probe was.
@@ -22,10 +22,10 @@
 
 // Send must be called right before a probe is sent. A probe that it reports
 // as a breach must not be sent.
-func (a *Audit) Send(now time.Time, upstream string, p Plan) *Breach {
+func (a *Audit) Send(now time.Time, upstream string, p Plan) *Violation {
 	last, sent := a.last[upstream]
 	if sent && now.Sub(last) < p.Window() {
-		return &Breach{Upstream: upstream, Early: p.Window() - now.Sub(last)}
+		return &Violation{Upstream: upstream, Early: p.Window() - now.Sub(last)}
 	}
 	a.last[upstream] = now
 	return nil
