--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -228,7 +228,7 @@
 	case err.Kind.Answer().Outcome == errkind.NotRun && err.Kind != errkind.UpstreamRefused:
 		return probebudget.NotSent
 	default:
-		return probebudget.GivenUp
+		return probebudget.Abandoned
 	}
 }
 
--- a/internal/prober/prober_test.go
+++ b/internal/prober/prober_test.go
@@ -121,10 +121,10 @@
 		r.SetTargets([]Target{{"a", "a:1", "a:1", plan}})
 		r.runFor(t, 20*time.Second)
 		c := r.Counters("a:1")
-		is.True(c.GivenUp > 0)
+		is.True(c.Abandoned > 0)
 		share := time.Duration(float64(20*time.Second) * plan.Rate() / float64(plan.MaxHosts))
 		is.True(c.Spent <= share)
-		is.Equal(r.events.codes[event.ProbeOverran], int(c.GivenUp))
+		is.Equal(r.events.codes[event.ProbeOverran], int(c.Abandoned))
 	})
 }
 
--- a/pkg/probebudget/budget.go
+++ b/pkg/probebudget/budget.go
@@ -18,8 +18,8 @@
 
 // Counters count the probes of one upstream by this process.
 type Counters struct {
-	// Granted, Answered, GivenUp and NotSent count probes.
-	Granted, Answered, GivenUp, NotSent uint64
+	// Granted, Answered, Abandoned and NotSent count probes.
+	Granted, Answered, Abandoned, NotSent uint64
 	// Spent is the slot time charged, with overruns.
 	Spent time.Duration
 	// Overrun is the part of Spent that came from probes that took longer than Plan.Cost.
@@ -141,7 +141,7 @@
 	case Answered:
 		s.counters.Answered++
 	default:
-		s.counters.GivenUp++
+		s.counters.Abandoned++
 		s.wait = s.plan.Linger
 	}
 	s.counters.Spent += g.Cost
--- a/pkg/probebudget/fleet.go
+++ b/pkg/probebudget/fleet.go
@@ -22,7 +22,7 @@
 
 // Spend returns the counts in the form that entry hosts exchange.
 func (c Counters) Spend(incarnation uint64) Spend {
-	return Spend{Incarnation: incarnation, Probes: c.Answered + c.GivenUp, SlotTime: c.Spent}
+	return Spend{Incarnation: incarnation, Probes: c.Answered + c.Abandoned, SlotTime: c.Spent}
 }
 
 // join returns the later of two reports about one process: the newer
--- a/pkg/probebudget/outcome.go
+++ b/pkg/probebudget/outcome.go
@@ -7,8 +7,8 @@
 const (
 	// Answered means the upstream's whole answer arrived: its work is over.
 	Answered Outcome = iota
-	// GivenUp means that the upstream may still receive the probe, within Plan.Linger.
-	GivenUp
+	// Abandoned means that the upstream may still receive the probe, within Plan.Linger.
+	Abandoned
 	// NotSent means that no byte can have left this host.
 	NotSent
 )
--- a/pkg/probebudget/schedule_test.go
+++ b/pkg/probebudget/schedule_test.go
@@ -177,7 +177,7 @@
 	p.outcome = Answered
 	arrive := now
 	if now < f.lossTo {
-		p.outcome = GivenUp
+		p.outcome = Abandoned
 		arrive = now + f.draw(int(testPlan.Linger/tick))
 	}
 	f.arrivals = append(f.arrivals, arrive)
