--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -163,7 +163,7 @@
 	if err != nil {
 		x.state.budget.Refund()
 		if !again {
-			x.hedgeDenied(retry.DeniedNoOther, delay)
+			x.hedgeDenied(retry.DeniedNoOtherUpstream, delay)
 		}
 		return binding{}, err
 	}
--- a/internal/proxy/rest.go
+++ b/internal/proxy/rest.go
@@ -48,7 +48,7 @@
 // last reports whether the request could not be sent again if send number n were turned
 // away.
 func (x *exchange) last(n int) bool {
-	return n >= maxAttempts(x.rule.Config) || x.isRetry || x.noRetry || x.state.budget.Spent()
+	return n >= maxAttempts(x.rule.Config) || x.isRetry || x.noRetry || x.state.budget.Exhausted()
 }
 
 // maxChoices bounds the choices for one send, of which all but the last met an upstream
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -64,7 +64,7 @@
 func (x *exchange) notSent() {
 	if x.sent > 0 {
 		x.state.budget.Refund()
-		x.emit(event.Event{Code: event.RetryDenied, Attempt: x.sent, Reason: string(retry.DeniedNoOther), Value: x.state.budget.Left()})
+		x.emit(event.Event{Code: event.RetryDenied, Attempt: x.sent, Reason: string(retry.DeniedNoOtherUpstream), Value: x.state.budget.Remaining()})
 	}
 }
 
@@ -77,7 +77,7 @@
 		code = event.RetrySent
 		text = r.err.Kind.String()
 	}
-	x.emit(event.Event{Code: code, Attempt: x.sent, Reason: text, Value: x.state.budget.Left()})
+	x.emit(event.Event{Code: code, Attempt: x.sent, Reason: text, Value: x.state.budget.Remaining()})
 	return reason == retry.Allowed
 }
 
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -131,11 +131,11 @@
 	b.add(milli)
 }
 
-// Spent reports whether no extra send is allowed now.
-func (b *Budget) Spent() bool { return b.Left() < milli }
+// Exhausted reports whether no extra send is allowed now.
+func (b *Budget) Exhausted() bool { return b.Remaining() < milli }
 
-// Left returns the extra sends that are allowed now, in thousandths.
-func (b *Budget) Left() int64 {
+// Remaining returns the extra sends that are allowed now, in thousandths.
+func (b *Budget) Remaining() int64 {
 	if b == nil {
 		return ReserveTokens * milli
 	}
--- a/pkg/retry/decide.go
+++ b/pkg/retry/decide.go
@@ -16,12 +16,12 @@
 	Allowed Reason = "allowed"
 	// DeniedKind is an error after which this request must not be sent again.
 	DeniedKind Reason = "kind-not-retryable"
-	// DeniedRan is a non-repeatable request that may have run.
-	DeniedRan Reason = "may-have-run"
+	// DeniedMayHaveRun is a non-repeatable request that may have run.
+	DeniedMayHaveRun Reason = "may-have-run"
 	// DeniedAttempts is a request that was sent as often as its rule allows.
 	DeniedAttempts Reason = "max-attempts"
-	// DeniedArrived is a request that arrived as a retry of a layer above.
-	DeniedArrived Reason = "arrived-as-retry"
+	// DeniedArrivedAsRetry is a request that arrived as a retry of a layer above.
+	DeniedArrivedAsRetry Reason = "arrived-as-retry"
 	// DeniedUpstream is an answer that said not to retry.
 	DeniedUpstream Reason = "upstream-said-no-retry"
 	// DeniedDeadline is a deadline too near for another send.
@@ -33,8 +33,8 @@
 	// DeniedSuspect is a request under which an upstream ended: it is not hedged, so that
 	// two do not end at once.
 	DeniedSuspect Reason = "upstream-ended"
-	// DeniedNoOther means no other upstream can take the request.
-	DeniedNoOther Reason = "no-other-upstream"
+	// DeniedNoOtherUpstream means no other upstream can take the request.
+	DeniedNoOtherUpstream Reason = "no-other-upstream"
 )
 
 // Attempt is what is known about a request when an extra send is considered.
@@ -79,7 +79,7 @@
 func (a Attempt) deny() Reason {
 	switch {
 	case !a.Repeatable && a.MayHaveRun:
-		return DeniedRan
+		return DeniedMayHaveRun
 	case a.Kind != errkind.None && !retryable(a.Kind, a.Repeatable):
 		return DeniedKind
 	case a.Quarantined:
@@ -89,7 +89,7 @@
 	case a.Sent >= a.MaxAttempts:
 		return DeniedAttempts
 	case a.ArrivedAsRetry:
-		return DeniedArrived
+		return DeniedArrivedAsRetry
 	case a.NoRetry:
 		return DeniedUpstream
 	case a.Left <= a.Expected:
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -143,10 +143,10 @@
 		{"allowed", func(*retry.Attempt) {}, retry.Allowed},
 		{"non-repeatable after a refusal", func(a *retry.Attempt) { a.Repeatable = false; a.Kind = errkind.UpstreamRefused }, retry.Allowed},
 		{"non-repeatable after a broken answer", func(a *retry.Attempt) { a.Repeatable = false; a.Kind = errkind.UpstreamBroken }, retry.DeniedKind},
-		{"non-repeatable that may have run", func(a *retry.Attempt) { a.Repeatable = false; a.MayHaveRun = true }, retry.DeniedRan},
+		{"non-repeatable that may have run", func(a *retry.Attempt) { a.Repeatable = false; a.MayHaveRun = true }, retry.DeniedMayHaveRun},
 		{"deadline passed", func(a *retry.Attempt) { a.Kind = errkind.DeadlineAfterSend }, retry.DeniedKind},
 		{"attempts", func(a *retry.Attempt) { a.Sent = 2 }, retry.DeniedAttempts},
-		{"arrived as retry", func(a *retry.Attempt) { a.ArrivedAsRetry = true }, retry.DeniedArrived},
+		{"arrived as retry", func(a *retry.Attempt) { a.ArrivedAsRetry = true }, retry.DeniedArrivedAsRetry},
 		{"upstream said no", func(a *retry.Attempt) { a.NoRetry = true }, retry.DeniedUpstream},
 		{"deadline too near", func(a *retry.Attempt) { a.Expected = time.Second }, retry.DeniedDeadline},
 	}
