--- a/internal/proxy/ratelimit.go
+++ b/internal/proxy/ratelimit.go
@@ -69,7 +69,7 @@
 		return balancer.Result{}, false
 	}
 	for _, u := range group.Upstreams {
-		if u.Limit.Unconfirmed(info.Now) && !info.Excludes(u) && !u.Cold.Cold(info.Now) && u.Limit.Take(info.Now) && u.Rest.Try(info.Now) {
+		if u.Limit.Unconfirmed(info.Now) && !info.Excludes(u) && !u.Cold.IsCold(info.Now) && u.Limit.Take(info.Now) && u.Rest.Try(info.Now) {
 			return balancer.Result{Upstream: u, Reason: "limit-unconfirmed"}, true
 		}
 	}
@@ -119,7 +119,7 @@
 	first := x.proxy.random()
 	for i := range n {
 		u := group.Upstreams[(first%n+i)%n]
-		if u.Limit.Limited() && u.Rest.Open(info.Now, info.FinalAttempt) && !u.Cold.Cold(info.Now) && !slices.Contains(info.Exclude, u) {
+		if u.Limit.Limited() && u.Rest.Open(info.Now, info.FinalAttempt) && !u.Cold.IsCold(info.Now) && !slices.Contains(info.Exclude, u) {
 			return u
 		}
 	}
--- a/pkg/coldstart/coldstart.go
+++ b/pkg/coldstart/coldstart.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Cold reports whether the upstream is cold and bears few requests.
-func (u *Upstream) Cold(now time.Time) bool {
+// IsCold reports whether the upstream is cold and bears few requests.
+func (u *Upstream) IsCold(now time.Time) bool {
 	return u.rate.Load() != 0 && now.UnixNano() < u.until.Load()
 }
 
@@ -72,7 +72,7 @@
 
 // Open reports whether the host whose turns are given may send a request to u now.
 func (u *Upstream) Open(now time.Time, t *turns.Turns) bool {
-	if !u.Cold(now) {
+	if !u.IsCold(now) {
 		return true
 	}
 	slot := u.slot(now)
@@ -82,7 +82,7 @@
 // Take uses the host's turn at u for one request. It is false if there is none, or no
 // longer.
 func (u *Upstream) Take(now time.Time, t *turns.Turns) bool {
-	if !u.Cold(now) {
+	if !u.IsCold(now) {
 		return true
 	}
 	slot := u.slot(now)
--- a/pkg/coldstart/coldstart_test.go
+++ b/pkg/coldstart/coldstart_test.go
@@ -20,7 +20,7 @@
 	u.Bears("i-1", 2.5)
 	u.Told(now, 3*time.Second)
 	fmt.Println(u.Take(now, mine), u.Take(now, mine), u.Take(now.Add(400*time.Millisecond), mine))
-	fmt.Println(u.Cold(now.Add(3 * time.Second)))
+	fmt.Println(u.IsCold(now.Add(3 * time.Second)))
 	// Output:
 	// true false true
 	// false
@@ -31,14 +31,14 @@
 	now := time.Unix(1000, 0)
 	var u Upstream
 	u.Told(now, time.Minute)
-	is.True(!u.Cold(now)) // bears anything
+	is.True(!u.IsCold(now)) // bears anything
 	u.Bears("i-1", 2.5)
 	u.Heard(now, 0)
-	is.True(u.Cold(now))
+	is.True(u.IsCold(now))
 	u.Heard(now, 2*time.Minute)
-	is.True(u.Cold(now.Add(time.Minute)))
+	is.True(u.IsCold(now.Add(time.Minute)))
 	u.Told(now, 0)
-	is.True(!u.Cold(now))
+	is.True(!u.IsCold(now))
 }
 
 // crowd is a fleet in virtual time whose hosts send all they may to one upstream.
