--- a/internal/proxy/ask.go
+++ b/internal/proxy/ask.go
@@ -9,24 +9,24 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// Asker asks upstreams for their load.
-type Asker interface {
+// LoadQuerier asks upstreams for their load.
+type LoadQuerier interface {
 	// Ask asks all of them at once, at the path, and returns when each has
 	// answered or was given up. What they said is in their records then.
 	Ask(ctx context.Context, group *routing.Group, upstreams []*balancer.Upstream)
 }
 
 // WithAsker asks upstreams through a for policies that choose on fresh reports.
-func WithAsker(a Asker) Option { return func(p *Proxy) { p.asker = a } }
+func WithAsker(a LoadQuerier) Option { return func(p *Proxy) { p.asker = a } }
 
 // ask lets a policy learn what it needs for the choice that comes next.
 func (x *exchange) ask(ctx context.Context, group *routing.Group, info *balancer.PickInfo) {
 	if !x.asks(group) {
 		return
 	}
-	policy := group.Picker.(balancer.Asker)
+	policy := group.Picker.(balancer.LoadQuerier)
 	for round := 0; ctx.Err() == nil; round++ {
-		list := policy.Ask(*info, round)
+		list := policy.QueryTargets(*info, round)
 		list = list[:x.state.group.questions.take(len(list))]
 		if len(list) == 0 {
 			return
@@ -38,7 +38,7 @@
 
 // asks reports whether upstreams of the group are asked for their load before a choice.
 func (x *exchange) asks(group *routing.Group) bool {
-	_, ok := group.Picker.(balancer.Asker)
+	_, ok := group.Picker.(balancer.LoadQuerier)
 	return ok && x.proxy.asker != nil && group.Config.HealthPath != ""
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -41,7 +41,7 @@
 	executor  Executor
 	events    event.Sink
 	dialect   *Dialect
-	asker     Asker
+	asker     LoadQuerier
 	lenders   Lenders
 	trails    Trails
 	tracer    *tracing.Tracer
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -106,8 +106,8 @@
 				if prober, ok := picker.(balancer.Prober); ok {
 					is.Equal(prober.Probe(now, random()).ID, "c")
 				}
-				if asker, ok := picker.(balancer.Asker); ok {
-					for _, u := range asker.Ask(balancer.PickInfo{Now: now, Random: random()}, 0) {
+				if asker, ok := picker.(balancer.LoadQuerier); ok {
+					for _, u := range asker.QueryTargets(balancer.PickInfo{Now: now, Random: random()}, 0) {
 						is.Equal(u.ID, "c")
 					}
 				}
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -114,14 +114,14 @@
 	Probe(now time.Time, random uint64) *Upstream
 }
 
-// Asker is a Picker that chooses on load reports which are asked for right
+// LoadQuerier is a Picker that chooses on load reports which are asked for right
 // before the choice.
-type Asker interface {
-	// Ask returns the upstreams to ask for their load before the next Pick, or
+type LoadQuerier interface {
+	// QueryTargets returns the upstreams to ask for their load before the next Pick, or
 	// none if enough is known. A traffic goroutine calls it before each Pick,
 	// again after the answers have come, with round counted from 0. It must not
 	// keep info.Exclude.
-	Ask(info PickInfo, round int) []*Upstream
+	QueryTargets(info PickInfo, round int) []*Upstream
 }
 
 // Policy builds pickers for one group. Its methods are called by the control
