--- a/internal/proxy/poison.go
+++ b/internal/proxy/poison.go
@@ -17,12 +17,12 @@
 // seconds, and 91 of 148 other look-ups were served; with it 3 ended, and all 148 were
 // served (eight upstreams that come back after 0.7 s; test of the platform's adapter).
 
-// Listeners is what a Sender may be besides: it tells an upstream that ended from one
+// ConnectionChecker is what a Sender may be besides: it tells an upstream that ended from one
 // that only closed a connection.
-type Listeners interface {
-	// Refuses reports whether connections to address are refused, so that no process
+type ConnectionChecker interface {
+	// RefusesConnections reports whether connections to address are refused, so that no process
 	// listens there. Silence says nothing.
-	Refuses(ctx context.Context, address string) bool
+	RefusesConnections(ctx context.Context, address string) bool
 }
 
 // PoisonNews tells the other entry hosts what this one saw. Its methods are called on
@@ -135,7 +135,7 @@
 	p := x.proxy
 	ctx, cancel := context.WithTimeout(context.Background(), examineTimeout)
 	defer cancel()
-	if !p.listeners.Refuses(ctx, b.upstream.Address) {
+	if !p.listeners.RefusesConnections(ctx, b.upstream.Address) {
 		return false
 	}
 	p.events.Emit(event.Event{
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -36,7 +36,7 @@
 	host      string
 	prefix    string
 	sender    Sender
-	listeners Listeners // nil if the sender can't tell
+	listeners ConnectionChecker // nil if the sender can't tell
 	poison    poisoned
 	executor  Executor
 	events    event.Sink
@@ -110,7 +110,7 @@
 			return retry.NewBudget(config.DefaultBudgetPercent)
 		},
 	}
-	p.listeners, _ = sender.(Listeners)
+	p.listeners, _ = sender.(ConnectionChecker)
 	for _, o := range options {
 		o(p)
 	}
