--- a/internal/execution/headers.go
+++ b/internal/execution/headers.go
@@ -50,11 +50,11 @@
 	return t, nil
 }
 
-// Undecided returns the error to answer with when a request is refused before
+// RefusalBeforeExecute returns the error to answer with when a request is refused before
 // Execute was called: for want of a configuration or a route, by a limit, or
 // because it was not received whole. The request was not run by this ask, but
 // with a ticket an earlier ask may have run: then the outcome is unknown.
-func Undecided(h http.Header, err *errkind.Error) *errkind.Error {
+func RefusalBeforeExecute(h http.Header, err *errkind.Error) *errkind.Error {
 	if len(h[HeaderKey]) == 0 || err.Kind.Answer().Outcome != errkind.NotRun {
 		return err
 	}
--- a/internal/execution/service_test.go
+++ b/internal/execution/service_test.go
@@ -153,7 +153,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := http.Header{execution.HeaderKey: c.keys}
-			is.New(t).Equal(execution.Undecided(h, errkind.New(errkind.NotReady, "")).Kind, c.want)
+			is.New(t).Equal(execution.RefusalBeforeExecute(h, errkind.New(errkind.NotReady, "")).Kind, c.want)
 		})
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -206,7 +206,7 @@
 		err = x.withinQuota(ctx)
 	}
 	if err != nil {
-		return x.refuse(execution.Undecided(x.req.Header, err))
+		return x.refuse(execution.RefusalBeforeExecute(x.req.Header, err))
 	}
 	return x.serve(ctx, x.proxy.executor)
 }
