--- a/internal/proxy/ask_test.go
+++ b/internal/proxy/ask_test.go
@@ -21,7 +21,7 @@
 	asked   map[*balancer.Upstream]bool
 }
 
-func (p *askPicker) Ask(_ balancer.PickInfo, _ int) []*balancer.Upstream {
+func (p *askPicker) QueryTargets(_ balancer.PickInfo, _ int) []*balancer.Upstream {
 	var out []*balancer.Upstream
 	for _, u := range p.members {
 		if !p.asked[u] {
--- a/internal/proxy/poison_test.go
+++ b/internal/proxy/poison_test.go
@@ -28,7 +28,7 @@
 	gone bool // nothing listens afterwards
 }
 
-func (s dyingSender) Refuses(context.Context, string) bool { return s.gone }
+func (s dyingSender) RefusesConnections(context.Context, string) bool { return s.gone }
 
 func brokenOff(context.Context, string, *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 	return nil, errkind.New(errkind.UpstreamBroken, "connection closed")
@@ -113,14 +113,14 @@
 	sharedWork = 90 * time.Millisecond
 )
 
-func (s *shared) Refuses(_ context.Context, address string) bool {
+func (s *shared) RefusesConnections(_ context.Context, address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Now().Before(s.gone[address])
 }
 
 func (s *shared) Do(_ context.Context, address string, req *httpwire.Request) (*httpwire.Response, *errkind.Error) {
-	if s.Refuses(context.Background(), address) {
+	if s.RefusesConnections(context.Background(), address) {
 		return nil, errkind.New(errkind.ConnectFailed, address)
 	}
 	began := time.Now()
--- a/internal/upstream/listening.go
+++ b/internal/upstream/listening.go
@@ -8,9 +8,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Refuses reports whether connections to address are refused: no process listens
+// RefusesConnections reports whether connections to address are refused: no process listens
 // there. Silence, and any other failure, says nothing.
-func (c *Client) Refuses(ctx context.Context, address string) bool {
+func (c *Client) RefusesConnections(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: c.conf.DialTimeout}
 	nc, err := dialer.DialContext(ctx, "tcp", parseTarget(address).address)
 	if err != nil {
--- a/pkg/balancer/probefirst/ask.go
+++ b/pkg/balancer/probefirst/ask.go
@@ -6,8 +6,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 )
 
-// Ask implements balancer.Asker.
-func (p *picker) Ask(info balancer.PickInfo, round int) []*balancer.Upstream {
+// QueryTargets implements balancer.LoadQuerier.
+func (p *picker) QueryTargets(info balancer.PickInfo, round int) []*balancer.Upstream {
 	if round >= MaxRounds {
 		return nil
 	}
@@ -58,7 +58,7 @@
 	return AcceptableCost
 }
 
-// appendStale adds members without a fresh report to list, up to AskAtOnce: those that
+// appendStale adds members without a fresh report to list, up to QueriesPerRound: those that
 // are suspect, or the others.
 func (p *picker) appendStale(list, members []*balancer.Upstream, info balancer.PickInfo, suspects bool) []*balancer.Upstream {
 	n := uint64(len(members))
--- a/pkg/balancer/probefirst/bench_test.go
+++ b/pkg/balancer/probefirst/bench_test.go
@@ -20,7 +20,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				info := balancer.PickInfo{Now: start, Random: uint64(i)}
-				p.Ask(info, 0)
+				p.QueryTargets(info, 0)
 				if _, err := p.Pick(info); err != nil {
 					b.Fatal(err)
 				}
--- a/pkg/balancer/probefirst/cold_test.go
+++ b/pkg/balancer/probefirst/cold_test.go
@@ -61,7 +61,7 @@
 	later := balancer.PickInfo{Now: start.Add(2 * FreshFor)}
 	for random := range uint64(8) {
 		later.Random = random
-		is.Equal(hostOf((turn+1)%hosts, hosts, cold, warm).Ask(later, 0), []*balancer.Upstream{warm})
+		is.Equal(hostOf((turn+1)%hosts, hosts, cold, warm).QueryTargets(later, 0), []*balancer.Upstream{warm})
 	}
 }
 
@@ -93,7 +93,7 @@
 	p := hostOf(turn, hosts, cold, warm)
 	info := balancer.PickInfo{Now: start}
 	cold.Rest.Ask(start, time.Minute, 0)
-	is.Equal(p.Ask(info, 0), []*balancer.Upstream{warm})
+	is.Equal(p.QueryTargets(info, 0), []*balancer.Upstream{warm})
 	tell(cold, start, 0, 1)
 	tell(warm, start, 2, 1.5)
 	is.Equal(chosen(t, p, info), "i-warm")
--- a/pkg/balancer/probefirst/home_test.go
+++ b/pkg/balancer/probefirst/home_test.go
@@ -62,7 +62,7 @@
 	info := balancer.PickInfo{Now: start, Random: 7}
 	var order []*balancer.Upstream
 	for range len(near) + 1 {
-		asked := p.Ask(info, 0)
+		asked := p.QueryTargets(info, 0)
 		is.Equal(len(asked), QueriesPerRound)
 		order = append(order, asked[0])
 		// It says that it is slow, so that the next one is asked.
--- a/pkg/balancer/probefirst/idle_test.go
+++ b/pkg/balancer/probefirst/idle_test.go
@@ -36,7 +36,7 @@
 func questionsUntilChosen(p *picker, info balancer.PickInfo, inFlight ...int) int {
 	asked := 0
 	for {
-		list := p.Ask(info, asked)
+		list := p.QueryTargets(info, asked)
 		if len(list) == 0 {
 			return asked
 		}
--- a/pkg/balancer/probefirst/overload_test.go
+++ b/pkg/balancer/probefirst/overload_test.go
@@ -40,9 +40,9 @@
 	a, b := member("a", "here"), member("b", "here")
 	p := pickerOf(a, b)
 	tell(a, start, slots, 1)
-	is.Equal(p.Ask(hurried(), 1), []*balancer.Upstream{b})
+	is.Equal(p.QueryTargets(hurried(), 1), []*balancer.Upstream{b})
 	tell(b, start, 0, 1.5)
-	is.Equal(len(p.Ask(hurried(), 2)), 0)
+	is.Equal(len(p.QueryTargets(hurried(), 2)), 0)
 	is.Equal(chosen(t, p, hurried()), "b") // dearer, but it has room
 }
 
--- a/pkg/balancer/probefirst/probefirst_test.go
+++ b/pkg/balancer/probefirst/probefirst_test.go
@@ -46,13 +46,13 @@
 	a, b, far := member("a", "here"), member("b", "here"), member("far", "there")
 	p := pickerOf(far, a, b)
 	info := balancer.PickInfo{Now: start}
-	is.Equal(p.Ask(info, 0), []*balancer.Upstream{a})
+	is.Equal(p.QueryTargets(info, 0), []*balancer.Upstream{a})
 	tell(a, start, 0, 5)
-	is.Equal(p.Ask(info, 1), []*balancer.Upstream{b})
+	is.Equal(p.QueryTargets(info, 1), []*balancer.Upstream{b})
 	tell(b, start, 3, 5)
-	is.Equal(p.Ask(info, 2), []*balancer.Upstream{far}) // both are slow
+	is.Equal(p.QueryTargets(info, 2), []*balancer.Upstream{far}) // both are slow
 	tell(far, start, 0, 1)
-	is.Equal(len(p.Ask(info, 3)), 0)
+	is.Equal(len(p.QueryTargets(info, 3)), 0)
 	is.Equal(chosen(t, p, info), "far")
 	tell(b, start, 0, 1)
 	is.Equal(chosen(t, p, info), "b") // as good, and nearer
@@ -63,9 +63,9 @@
 	a, b := member("a", "here"), member("b", "here")
 	p := pickerOf(a, b)
 	tell(a, start, 0, 1)
-	is.Equal(len(p.Ask(balancer.PickInfo{Now: start.Add(FreshFor)}, 0)), 0)
+	is.Equal(len(p.QueryTargets(balancer.PickInfo{Now: start.Add(FreshFor)}, 0)), 0)
 	later := balancer.PickInfo{Now: start.Add(FreshFor + 1)}
-	is.Equal(len(p.Ask(later, 0)), QueriesPerRound)
+	is.Equal(len(p.QueryTargets(later, 0)), QueriesPerRound)
 	_, err := p.Pick(later) // nobody answered: chooses all the same
 	is.NoErr(err)
 }
@@ -79,7 +79,7 @@
 	p := pickerOf(members...)
 	asked := 0
 	for round := 0; ; round++ {
-		list := p.Ask(balancer.PickInfo{Now: start}, round)
+		list := p.QueryTargets(balancer.PickInfo{Now: start}, round)
 		if len(list) == 0 {
 			break
 		}
--- a/pkg/balancer/probefirst/suspect_test.go
+++ b/pkg/balancer/probefirst/suspect_test.go
@@ -32,7 +32,7 @@
 func request(t *testing.T, p *picker, info balancer.PickInfo) (choice string, inVain int) {
 	t.Helper()
 	for round := 0; ; round++ {
-		list := p.Ask(info, round)
+		list := p.QueryTargets(info, round)
 		if len(list) == 0 {
 			break
 		}
@@ -83,7 +83,7 @@
 	fail(a, start)
 	is.True(suspect(a, start))
 	info.Now = start.Add(2 * FreshFor)
-	is.Equal(p.Ask(info, 0), []*balancer.Upstream{b})
+	is.Equal(p.QueryTargets(info, 0), []*balancer.Upstream{b})
 	tell(a, info.Now, 0, 1)
 	is.True(!suspect(a, info.Now))
 	is.True(!suspect(b, info.Now))
@@ -96,7 +96,7 @@
 	p := pickerOf(a)
 	fail(a, start)
 	info := balancer.PickInfo{Now: start.Add(2 * FreshFor)}
-	is.Equal(p.Ask(info, 0), []*balancer.Upstream{a})
+	is.Equal(p.QueryTargets(info, 0), []*balancer.Upstream{a})
 	is.Equal(chosen(t, p, info), "a")
 }
 
--- a/pkg/balancer/probefirst/turn_test.go
+++ b/pkg/balancer/probefirst/turn_test.go
@@ -35,7 +35,7 @@
 		p, limited := limitingHost(self, hosts, "i-limited", idle)
 		info := balancer.PickInfo{Now: start, Random: uint64(self)}
 		tell(idle, start, 0, 1)
-		asked := p.Ask(info, 0)
+		asked := p.QueryTargets(info, 0)
 		if !limited.HasTimeSlot(start) {
 			is.Equal(len(asked), 0)
 			tell(limited, start, 0, 1)
@@ -44,7 +44,7 @@
 		}
 		is.Equal(asked, []*balancer.Upstream{limited})
 		tell(limited, start, 1, 1.5) // good, though not idle
-		is.Equal(len(p.Ask(info, 1)), 0)
+		is.Equal(len(p.QueryTargets(info, 1)), 0)
 		is.Equal(chosen(t, p, info), "i-limited")
 		tell(limited, start, 1, 3) // slow
 		is.Equal(chosen(t, p, info), "i-idle")
