--- a/pkg/queue/queue.go
+++ b/pkg/queue/queue.go
@@ -4,7 +4,7 @@
 // The queue is bounded and ordered by priority, then by target. A request that
 // can't be answered within its target at the observed pace is given up at once, and
 // none waits longer than half of the time that it had. When the queue is full,
-// the highest priority pushes out the lowest. One in LowPriorityInterval takes goes to
+// the highest priority pushes out the lowest. One in FairEvery takes goes to
 // the lowest priority that waits, so that none starves for ever.
 //
 // Nothing here reads a clock, starts a goroutine or blocks. A Queue is not
@@ -28,8 +28,8 @@
 )
 
 const (
-	// LowPriorityInterval is the number of takes of which one goes to the lowest priority.
-	LowPriorityInterval = 16
+	// FairEvery is the number of takes of which one goes to the lowest priority.
+	FairEvery = 16
 	// waitShare divides the time that an entry had at arrival; it waits no longer.
 	waitShare = 2
 )
@@ -135,7 +135,7 @@
 	}
 	q.takes++
 	at := 0
-	if q.takes%LowPriorityInterval == 0 {
+	if q.takes%FairEvery == 0 {
 		at = q.firstOfLowest()
 	}
 	e := q.entries[at]
--- a/pkg/queue/queue_test.go
+++ b/pkg/queue/queue_test.go
@@ -110,7 +110,7 @@
 			break
 		}
 	}
-	is.Equal(takes, queue.LowPriorityInterval)
+	is.Equal(takes, queue.FairEvery)
 }
 
 // TestNoEntryIsLost drives random operations: each entry leaves exactly once,
