--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -11,10 +11,10 @@
 	"github.com/dapplespindle/dapplespindle/internal/members"
 	"github.com/dapplespindle/dapplespindle/internal/news"
 	"github.com/dapplespindle/dapplespindle/internal/source"
-	"github.com/dapplespindle/dapplespindle/pkg/follow"
 	"github.com/dapplespindle/dapplespindle/pkg/membership"
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
+	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 	"github.com/dapplespindle/dapplespindle/pkg/turns"
 )
 
@@ -104,8 +104,8 @@
 }
 
 // self is this host as the others reach it for news.
-func (f *fleet) self() follow.Host {
-	return follow.Host{Address: f.newsAddress(f.address), FailureDomain: f.gateway.conf.FailureDomain}
+func (f *fleet) self() storesync.Host {
+	return storesync.Host{Address: f.newsAddress(f.address), FailureDomain: f.gateway.conf.FailureDomain}
 }
 
 // refresh gives the follower the hosts when they have changed. It runs on the
@@ -153,14 +153,14 @@
 
 // hosts returns the hosts that are not known to be dead, or the seeds until this
 // host has found others.
-func (f *fleet) hosts(s *membership.Snapshot) []follow.Host {
-	var out []follow.Host
+func (f *fleet) hosts(s *membership.Snapshot) []storesync.Host {
+	var out []storesync.Host
 	for i := range s.Members {
 		m := &s.Members[i]
 		if m.State == membership.Dead {
 			continue
 		}
-		out = append(out, follow.Host{
+		out = append(out, storesync.Host{
 			Address:       f.newsAddress(m.Address),
 			FailureDomain: m.FailureDomain,
 			Leaving:       m.Leaving,
@@ -170,7 +170,7 @@
 		return out
 	}
 	for _, a := range f.seeds() {
-		out = append(out, follow.Host{Address: f.newsAddress(a)})
+		out = append(out, storesync.Host{Address: f.newsAddress(a)})
 	}
 	return out
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -32,10 +32,10 @@
 	"github.com/dapplespindle/dapplespindle/internal/source"
 	"github.com/dapplespindle/dapplespindle/internal/upstream"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
-	"github.com/dapplespindle/dapplespindle/pkg/follow"
 	"github.com/dapplespindle/dapplespindle/pkg/gossip"
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 	"github.com/dapplespindle/dapplespindle/pkg/retry"
+	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 	"github.com/dapplespindle/dapplespindle/pkg/turns"
 )
 
@@ -258,8 +258,8 @@
 	return nil
 }
 
-func (g *Gateway) followConfig() follow.Config {
-	return follow.Config{
+func (g *Gateway) followConfig() storesync.Config {
+	return storesync.Config{
 		ChangeWithin: g.conf.knownWithin(),
 		AloneEvery:   aloneEvery,
 		WatchSlack:   watchSlack,
--- a/internal/news/answer.go
+++ b/internal/news/answer.go
@@ -16,7 +16,7 @@
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/internal/httpget"
 	"github.com/dapplespindle/dapplespindle/internal/source"
-	"github.com/dapplespindle/dapplespindle/pkg/follow"
+	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
 // The ages of an answer, in microseconds, are headers: its body is the same for
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 	defer cancel()
 	if !t.takeTurn(ctx, after) {
-		http.Error(w, follow.ErrBusy.Error(), http.StatusTooManyRequests)
+		http.Error(w, storesync.ErrBusy.Error(), http.StatusTooManyRequests)
 		return
 	}
 	defer func() { <-t.answering }()
@@ -138,7 +138,7 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusTooManyRequests:
-		return nil, follow.ErrBusy
+		return nil, storesync.ErrBusy
 	default:
 		return nil, &httpget.StatusError{Code: resp.StatusCode}
 	}
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -2,7 +2,7 @@
 // datagrams, and answers to questions, which may be large, over HTTP. Both use
 // one port number, which is the same on all hosts.
 //
-// It decides nothing; pkg/follow does. Messages carry no signature: the network
+// It decides nothing; pkg/storesync does. Messages carry no signature: the network
 // among the hosts is trusted, and a message counts only from the address that it
 // names as its sender.
 package news
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -18,10 +18,10 @@
 	"github.com/dapplespindle/dapplespindle/internal/source"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
-	"github.com/dapplespindle/dapplespindle/pkg/follow"
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
 	"github.com/dapplespindle/dapplespindle/pkg/registered"
+	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 	"github.com/dapplespindle/dapplespindle/pkg/turns"
 )
 
@@ -105,7 +105,7 @@
 
 func (h *host) message(upstreams int) *source.Told {
 	out := &source.Told{
-		From:     follow.Host{Address: h.address, FailureDomain: "a"},
+		From:     storesync.Host{Address: h.address, FailureDomain: "a"},
 		Revision: 7,
 		Age:      40 * time.Millisecond,
 		After:    5,
--- a/internal/source/follower.go
+++ b/internal/source/follower.go
@@ -8,7 +8,7 @@
 
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
-	"github.com/dapplespindle/dapplespindle/pkg/follow"
+	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
 // Config holds what a Follower needs.
@@ -16,9 +16,9 @@
 	// Store is what is followed.
 	Store Store
 	// Follow bounds the decisions.
-	Follow follow.Config
+	Follow storesync.Config
 	// Self is this host, as the others reach it.
-	Self follow.Host
+	Self storesync.Host
 	// Peers reaches the other hosts; nil for a host that has none.
 	Peers Peers
 	// Read takes in everything that is published. Like Changed and Returned it is
@@ -52,7 +52,7 @@
 const inputsLength = 256
 
 // Follower keeps an entry host in step with a store: it carries out what
-// follow.Core decides.
+// storesync.Core decides.
 type Follower struct {
 	conf    Config
 	inputs  chan func()
@@ -61,9 +61,9 @@
 	started time.Time
 
 	// What follows belongs to Run's goroutine.
-	core                 *follow.Core
+	core                 *storesync.Core
 	mirror               *mirror
-	delays               follow.Delays
+	delays               storesync.Delays
 	stopWatch            context.CancelFunc
 	toldLast, toldBefore uint64 // revisions told last and before
 	ctx                  context.Context
@@ -77,7 +77,7 @@
 		inputs:  make(chan func(), inputsLength),
 		process: rand.Uint64(),
 		started: now,
-		core:    follow.New(now, conf.Follow),
+		core:    storesync.New(now, conf.Follow),
 		mirror:  newMirror(),
 	}
 	f.fresh.Store(new(time.Time))
@@ -123,7 +123,7 @@
 }
 
 // do carries out effects; what takes time runs beside and posts its result.
-func (f *Follower) do(e follow.Effects) {
+func (f *Follower) do(e storesync.Effects) {
 	if fresh := f.core.Fresh(); !fresh.Equal(*f.fresh.Load()) {
 		f.fresh.Store(&fresh)
 	}
@@ -242,7 +242,7 @@
 const shortWait = time.Millisecond
 
 // watch calls with watchCtx, which may be ended early.
-func (f *Follower) watch(ctx, watchCtx context.Context, call follow.Watch) {
+func (f *Follower) watch(ctx, watchCtx context.Context, call storesync.Watch) {
 	wait, timeout := shortWait, f.conf.CheckTimeout
 	if call.Waits {
 		wait, timeout = f.conf.WatchWait, f.conf.WatchWait+f.conf.ReadTimeout
--- a/internal/source/follower_test.go
+++ b/internal/source/follower_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 
 	"github.com/dapplespindle/dapplespindle/pkg/event"
-	"github.com/dapplespindle/dapplespindle/pkg/follow"
 	"github.com/dapplespindle/dapplespindle/pkg/registered"
+	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
 var errDown = errors.New("down")
@@ -205,7 +205,7 @@
 	f := &following{store: store, learned: make(map[string]time.Time), events: make(map[event.Code]int)}
 	conf := Config{
 		Store: store,
-		Follow: follow.Config{
+		Follow: storesync.Config{
 			ChangeWithin: bound,
 			AloneEvery:   2600 * time.Millisecond,
 			WatchSlack:   150 * time.Millisecond,
--- a/internal/source/peers.go
+++ b/internal/source/peers.go
@@ -9,13 +9,13 @@
 
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
-	"github.com/dapplespindle/dapplespindle/pkg/follow"
+	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
 // Told is what one host tells another of what is published.
 type Told struct {
 	// From is who tells it.
-	From follow.Host
+	From storesync.Host
 	// Process names its process, and Sent is that process's steady clock when it
 	// sent the message.
 	Process uint64
@@ -28,7 +28,7 @@
 	// that is long ago.
 	ReturnedAge time.Duration
 	// Tree is the way on which the message came.
-	Tree follow.Tree `json:",omitzero"`
+	Tree storesync.Tree `json:",omitzero"`
 	// Unanswered are calls of different hosts that the store did not answer.
 	Unanswered []Unanswered `json:",omitempty"`
 	// After and Changes are what came after one revision up to Revision; Changes
@@ -101,7 +101,7 @@
 
 // SetHosts takes in which hosts are believed alive; settled is false until that
 // was learned from one of them. It reports false if the queue is full.
-func (f *Follower) SetHosts(hosts []follow.Host, settled bool) bool {
+func (f *Follower) SetHosts(hosts []storesync.Host, settled bool) bool {
 	select {
 	case f.inputs <- func() { f.do(f.core.Hosts(clock.Now(), f.conf.Self, hosts, settled)) }:
 		return true
@@ -130,7 +130,7 @@
 
 // message returns a message of this host that states its revision and how fresh its
 // knowledge is.
-func (f *Follower) message(now time.Time, n follow.News) *Told {
+func (f *Follower) message(now time.Time, n storesync.News) *Told {
 	return &Told{
 		From:     f.conf.Self,
 		Process:  f.process,
@@ -158,7 +158,7 @@
 
 // tell tells peers what this host knows, with the changes since the message
 // before the last: one of them may have been lost.
-func (f *Follower) tell(now time.Time, ways []follow.Route) {
+func (f *Follower) tell(now time.Time, ways []storesync.Route) {
 	if f.conf.Peers == nil || len(ways) == 0 {
 		return
 	}
@@ -177,7 +177,7 @@
 }
 
 // warn tells peers of calls that the store did not answer.
-func (f *Follower) warn(now time.Time, ways []follow.Route) {
+func (f *Follower) warn(now time.Time, ways []storesync.Route) {
 	n, ok := f.core.Warning(now)
 	if !ok || f.conf.Peers == nil || len(ways) == 0 {
 		return
@@ -210,17 +210,17 @@
 	}
 }
 
-func newsOf(at time.Time, t *Told) follow.News {
-	out := follow.News{Revision: t.Revision, Fresh: at.Add(-t.Age), Tree: t.Tree}
+func newsOf(at time.Time, t *Told) storesync.News {
+	out := storesync.News{Revision: t.Revision, Fresh: at.Add(-t.Age), Tree: t.Tree}
 	for _, u := range t.Unanswered {
-		out.Unanswered = append(out.Unanswered, follow.Unanswered{Host: u.Host, At: at.Add(-u.Age)})
+		out.Unanswered = append(out.Unanswered, storesync.Unanswered{Host: u.Host, At: at.Add(-u.Age)})
 	}
 	return out
 }
 
 // ask asks a peer. Its answer is as old as it says when the question was sent.
-func (f *Follower) ask(ctx context.Context, q follow.Ask) {
-	peer := follow.Host{Address: q.Peer}
+func (f *Follower) ask(ctx context.Context, q storesync.Ask) {
+	peer := storesync.Host{Address: q.Peer}
 	began := clock.Now()
 	timeout := f.conf.AskTimeout + q.Longer
 	if q.After == 0 {
@@ -234,7 +234,7 @@
 			err = f.takeAnswer(began, t)
 		}
 		if err != nil {
-			f.do(f.core.AskDone(clock.Now(), peer, follow.News{}, err))
+			f.do(f.core.AskDone(clock.Now(), peer, storesync.News{}, err))
 			return
 		}
 		f.do(f.core.AskDone(clock.Now(), t.From, newsOf(began, t), nil))
--- a/internal/source/peers_test.go
+++ b/internal/source/peers_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 
 	"github.com/dapplespindle/dapplespindle/pkg/event"
-	"github.com/dapplespindle/dapplespindle/pkg/follow"
+	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
 // exchange is the network among the followers of one test.
@@ -59,15 +59,15 @@
 	return f.Answer(ctx, after)
 }
 
-func hostAt(n byte) follow.Host {
+func hostAt(n byte) storesync.Host {
 	a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7200)
-	return follow.Host{Address: a, FailureDomain: "a"}
+	return storesync.Host{Address: a, FailureDomain: "a"}
 }
 
 // group starts followers that each have a store of their own, all alike.
 func group(t *testing.T, x *exchange, stores ...*fakeStore) []*following {
 	x.followers = make(map[netip.AddrPort]*Follower)
-	var hosts []follow.Host
+	var hosts []storesync.Host
 	for i := range stores {
 		hosts = append(hosts, hostAt(byte(i+1)))
 	}
--- a/internal/source/source.go
+++ b/internal/source/source.go
@@ -12,8 +12,8 @@
 
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 	"github.com/dapplespindle/dapplespindle/pkg/evacuation"
-	"github.com/dapplespindle/dapplespindle/pkg/follow"
 	"github.com/dapplespindle/dapplespindle/pkg/registered"
+	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
 // Store reads what is published. Calls end with their context.
@@ -35,7 +35,7 @@
 }
 
 // ErrHistoryLost says that changes were missed; everything must be read anew.
-var ErrHistoryLost = follow.ErrHistoryLost
+var ErrHistoryLost = storesync.ErrHistoryLost
 
 // State is everything that is published.
 type State struct {
--- a/pkg/follow/follow.go
+++ b/pkg/storesync/follow.go
@@ -1,4 +1,4 @@
-// Package follow decides how the hosts of a fleet keep in step with one store
+// Package storesync decides how the hosts of a fleet keep in step with one store
 // while few of them read it.
 //
 // The hosts are equal. What counts is how fresh a host's knowledge is: the
@@ -17,7 +17,7 @@
 //
 // The package does no I/O and reads no clock: each method takes the time and an
 // input, and returns what to do. A Core belongs to one goroutine.
-package follow
+package storesync
 
 import (
 	"net/netip"
--- a/pkg/follow/network_test.go
+++ b/pkg/storesync/network_test.go
@@ -1,4 +1,4 @@
-package follow
+package storesync
 
 import (
 	"net/netip"
