--- a/internal/gateway/apply_bench_test.go
+++ b/internal/gateway/apply_bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/dapplespindle/dapplespindle/internal/proxy"
 	"github.com/dapplespindle/dapplespindle/internal/source"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
-	"github.com/dapplespindle/dapplespindle/pkg/registered"
+	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 )
 
 // noStore is never asked.
@@ -43,7 +43,7 @@
 				state.Configuration.Services = append(state.Configuration.Services, s)
 			}
 			for i := range n {
-				state.Upstreams = append(state.Upstreams, registered.Upstream{
+				state.Upstreams = append(state.Upstreams, discovery.Upstream{
 					ID: fmt.Sprintf("i-%06x", i), Service: fmt.Sprintf("s-%d", i%3), Slots: 3, Revision: 1,
 					Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), FailureDomain: fmt.Sprintf("d-%d", i%6),
 				})
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -10,10 +10,10 @@
 	"github.com/dapplespindle/dapplespindle/internal/source"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 	"github.com/dapplespindle/dapplespindle/pkg/customers"
+	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 	"github.com/dapplespindle/dapplespindle/pkg/evacuation"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
-	"github.com/dapplespindle/dapplespindle/pkg/registered"
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
@@ -39,7 +39,7 @@
 type controller struct {
 	gateway *Gateway
 	config  *config.Configuration // in force; nil before the first
-	set     *registered.Set
+	set     *discovery.Set
 	listed  bool // the upstreams were read once
 	// evacuated holds the failure domains that get nothing new.
 	evacuated evacuation.Set
@@ -57,7 +57,7 @@
 	upstreams := lifecycle.DefaultConfig()
 	c := &controller{
 		gateway:  g,
-		set:      registered.NewSet(registeredConfig(upstreams)),
+		set:      discovery.NewSet(registeredConfig(upstreams)),
 		registry: lifecycle.NewRegistry(upstreams, g.sink),
 		pools:    newPools(g.conf.Host, g.conf.FailureDomain),
 		served:   make(chan struct{}),
@@ -68,8 +68,8 @@
 
 // registeredConfig returns the bounds of what is kept of upstreams that register
 // themselves, beside what is kept of their lifecycle.
-func registeredConfig(upstreams lifecycle.Config) registered.Config {
-	return registered.Config{
+func registeredConfig(upstreams lifecycle.Config) discovery.Config {
+	return discovery.Config{
 		ReturnGrace:  returnGrace,
 		Forget:       upstreams.KeepNotices + forgetMargin,
 		EarlierAfter: earlierAfter,
@@ -176,7 +176,7 @@
 	}
 }
 
-func stateName(u *registered.Upstream) string {
+func stateName(u *discovery.Upstream) string {
 	if u.Draining {
 		return "draining"
 	}
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -7,17 +7,17 @@
 
 	"github.com/dapplespindle/dapplespindle/internal/source"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
-	"github.com/dapplespindle/dapplespindle/pkg/registered"
+	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 )
 
 // TestServesWith: a host that knows a part of the upstreams serves with it if each
 // service that requests lead to has enough of them.
 func TestServesWith(t *testing.T) {
 	is := is.New(t)
-	upstreams := func(service string, n int, draining bool) []registered.Upstream {
-		out := make([]registered.Upstream, n)
+	upstreams := func(service string, n int, draining bool) []discovery.Upstream {
+		out := make([]discovery.Upstream, n)
 		for i := range out {
-			out[i] = registered.Upstream{Service: service, Draining: draining}
+			out[i] = discovery.Upstream{Service: service, Draining: draining}
 		}
 		return out
 	}
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -6,10 +6,10 @@
 
 	"github.com/matryer/is"
 
+	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/registered"
 )
 
 // TestIdThatReturnsAfterItsStartLeft: an upstream says in its answers that it leaves, and
@@ -20,7 +20,7 @@
 		t.Run(pause.String(), func(t *testing.T) {
 			is := is.New(t)
 			conf := lifecycle.DefaultConfig()
-			set := registered.NewSet(registeredConfig(conf))
+			set := discovery.NewSet(registeredConfig(conf))
 			registry := lifecycle.NewRegistry(conf, event.Discard{})
 			now, revision := time.Now(), uint64(0)
 			list := func() {
@@ -35,7 +35,7 @@
 				s, _ := registry.Flush()
 				return s.Takes(lifecycle.UpstreamKey{Service: "s", Upstream: "u"})
 			}
-			set.Put(now, registered.Upstream{ID: "u", Service: "s", Born: 1, Revision: 1})
+			set.Put(now, discovery.Upstream{ID: "u", Service: "s", Born: 1, Revision: 1})
 			list()
 			is.True(takes())
 			registry.Refused(now, lifecycle.UpstreamKey{Service: "s", Upstream: "u"}, 1)
@@ -48,7 +48,7 @@
 				set.Tick(now)
 				registry.Tick(now)
 			}
-			set.Put(now, registered.Upstream{ID: "u", Service: "s", Born: 2, Revision: 3})
+			set.Put(now, discovery.Upstream{ID: "u", Service: "s", Born: 2, Revision: 3})
 			list()
 			is.True(takes())
 		})
@@ -60,18 +60,18 @@
 func TestRestOutlivesRecords(t *testing.T) {
 	is := is.New(t)
 	p := newPools("host", "here")
-	entry := registered.Upstream{ID: "u", Service: "s", Start: 1, Address: "10.0.0.1:80"}
+	entry := discovery.Upstream{ID: "u", Service: "s", Start: 1, Address: "10.0.0.1:80"}
 	pl := p.pool("s")
 	forget := func(string) {}
-	p.refreshPool(pl, []registered.Upstream{entry}, forget)
+	p.refreshPool(pl, []discovery.Upstream{entry}, forget)
 	now := time.Now()
 	until := pl.records["u"].Rest.Ask(now, time.Minute, 0)
 	p.rests.Asked(restKey("u", 1), until)
 	p.refreshPool(pl, nil, forget)
-	p.refreshPool(pl, []registered.Upstream{entry}, forget)
+	p.refreshPool(pl, []discovery.Upstream{entry}, forget)
 	is.Equal(pl.records["u"].Rest.Left(now), until.Sub(now))
 	entry.Start = 2
-	p.refreshPool(pl, []registered.Upstream{entry}, forget)
+	p.refreshPool(pl, []discovery.Upstream{entry}, forget)
 	is.Equal(pl.records["u"].Rest.Left(now), time.Duration(0))
 }
 
@@ -80,9 +80,9 @@
 func TestLimitOutlivesRecords(t *testing.T) {
 	is := is.New(t)
 	p := newPools("host", "here")
-	entry := registered.Upstream{ID: "u", Service: "s", Start: 1, Born: 7, Address: "10.0.0.1:80"}
+	entry := discovery.Upstream{ID: "u", Service: "s", Start: 1, Born: 7, Address: "10.0.0.1:80"}
 	pl := p.pool("s")
-	list := func(entries ...registered.Upstream) { p.refreshPool(pl, entries, func(string) {}) }
+	list := func(entries ...discovery.Upstream) { p.refreshPool(pl, entries, func(string) {}) }
 	list(entry)
 	now := time.Now()
 	known := pl.records["u"].Limit
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -9,9 +9,9 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/probefirst"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/registry"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
+	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/registered"
 	"github.com/dapplespindle/dapplespindle/pkg/rest"
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 	"github.com/dapplespindle/dapplespindle/pkg/turns"
@@ -107,7 +107,7 @@
 // refresh brings the pools in line with the lifecycle. It returns the services
 // whose pickers changed, and calls forget for the addresses of upstreams that
 // are gone.
-func (p *pools) refresh(set *registered.Set, forget func(address string)) []string {
+func (p *pools) refresh(set *discovery.Set, forget func(address string)) []string {
 	var changed []string
 	for _, service := range p.lifecycle.Services() {
 		p.pool(service)
@@ -125,7 +125,7 @@
 
 // refreshPool makes records for new upstreams, and for new starts of known ones, and
 // forgets those that are gone: cost, failures, load and connections are of one start.
-func (p *pools) refreshPool(pl *pool, list []registered.Upstream, forget func(string)) {
+func (p *pools) refreshPool(pl *pool, list []discovery.Upstream, forget func(string)) {
 	now := clock.Now()
 	known := make(map[string]*balancer.Upstream, len(list))
 	entries := make(map[string]uint64, len(list))
@@ -165,7 +165,7 @@
 
 // newRecord makes the record of an upstream. How slow it is while it is cold it says
 // itself, in the slowdown of its load reports.
-func newRecord(entry registered.Upstream) *balancer.Upstream {
+func newRecord(entry discovery.Upstream) *balancer.Upstream {
 	return &balancer.Upstream{
 		ID:            entry.ID,
 		Activation:    entry.Start,
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -17,10 +17,10 @@
 	"github.com/dapplespindle/dapplespindle/internal/httpget"
 	"github.com/dapplespindle/dapplespindle/internal/source"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
+	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/registered"
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 	"github.com/dapplespindle/dapplespindle/pkg/turns"
 )
@@ -112,7 +112,7 @@
 		Changes:  &source.Changes{Revision: 7},
 	}
 	for i := range upstreams {
-		u := &registered.Upstream{ID: fmt.Sprint("i-", i), Service: "ledger", Address: "10.1.2.3:80", Slots: 3}
+		u := &discovery.Upstream{ID: fmt.Sprint("i-", i), Service: "ledger", Address: "10.1.2.3:80", Slots: 3}
 		out.Changes.Events = append(out.Changes.Events, source.Event{Upstream: u, Revision: 6})
 	}
 	return out
--- a/internal/source/follower_test.go
+++ b/internal/source/follower_test.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/matryer/is"
 
+	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
-	"github.com/dapplespindle/dapplespindle/pkg/registered"
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
@@ -46,7 +46,7 @@
 func (s *fakeStore) put(id string) {
 	s.change(func() {
 		s.revision++
-		s.events = append(s.events, Event{Upstream: &registered.Upstream{ID: id, Revision: s.revision}, Revision: s.revision})
+		s.events = append(s.events, Event{Upstream: &discovery.Upstream{ID: id, Revision: s.revision}, Revision: s.revision})
 	})
 }
 
@@ -338,7 +338,7 @@
 		store.change(func() {
 			store.revision += 5
 			store.oldest = store.revision
-			store.events = []Event{{Upstream: &registered.Upstream{ID: "a"}, Revision: store.revision}}
+			store.events = []Event{{Upstream: &discovery.Upstream{ID: "a"}, Revision: store.revision}}
 		})
 		time.Sleep(bound)
 		_, ok := f.after("a", time.Now())
--- a/internal/source/mirror.go
+++ b/internal/source/mirror.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"github.com/dapplespindle/dapplespindle/pkg/config"
+	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 	"github.com/dapplespindle/dapplespindle/pkg/evacuation"
-	"github.com/dapplespindle/dapplespindle/pkg/registered"
 )
 
 // historyEvents is how many changes of upstreams are kept for peers at the least,
@@ -20,13 +20,13 @@
 	revision  uint64
 	config    *config.Configuration
 	configAt  uint64 // a revision at or after the configuration's
-	upstreams map[string]registered.Upstream
+	upstreams map[string]discovery.Upstream
 	evacuated evacuation.Set
 	history   []Event // oldest first
 	since     uint64  // history holds what came after
 }
 
-func newMirror() *mirror { return &mirror{upstreams: make(map[string]registered.Upstream)} }
+func newMirror() *mirror { return &mirror{upstreams: make(map[string]discovery.Upstream)} }
 
 // replace takes in everything, unless something newer is known.
 func (m *mirror) replace(s *State) {
--- a/internal/source/mirror_test.go
+++ b/internal/source/mirror_test.go
@@ -7,18 +7,18 @@
 	"github.com/matryer/is"
 
 	"github.com/dapplespindle/dapplespindle/pkg/config"
+	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 	"github.com/dapplespindle/dapplespindle/pkg/evacuation"
-	"github.com/dapplespindle/dapplespindle/pkg/registered"
 )
 
 func entry(id string, revision uint64) Event {
-	return Event{Upstream: &registered.Upstream{ID: id, Revision: revision}, Revision: revision}
+	return Event{Upstream: &discovery.Upstream{ID: id, Revision: revision}, Revision: revision}
 }
 
 func TestMirrorHandsOutWhatCameAfter(t *testing.T) {
 	is := is.New(t)
 	m := newMirror()
-	m.replace(&State{Revision: 10, Upstreams: []registered.Upstream{{ID: "a", Revision: 4}},
+	m.replace(&State{Revision: 10, Upstreams: []discovery.Upstream{{ID: "a", Revision: 4}},
 		Configuration: &config.Configuration{Version: 1}})
 	_, whole := m.changes(9)
 	is.True(!whole) // what came between 9 and 10 is not known
--- a/internal/source/source.go
+++ b/internal/source/source.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/dapplespindle/dapplespindle/pkg/config"
+	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 	"github.com/dapplespindle/dapplespindle/pkg/evacuation"
-	"github.com/dapplespindle/dapplespindle/pkg/registered"
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
@@ -46,7 +46,7 @@
 	// Evacuated are the failure domains that are to get nothing new.
 	Evacuated []evacuation.Domain `json:",omitempty"`
 	// Upstreams are the registered upstreams.
-	Upstreams []registered.Upstream
+	Upstreams []discovery.Upstream
 	// Rejected are the items that could not be decoded. Peers are not told of them.
 	Rejected []Rejected `json:"-"`
 	// Long states of a first part that the rest takes many calls.
@@ -73,7 +73,7 @@
 	// Evacuation is the beginning or end of one; nil for a change of an upstream.
 	Evacuation *evacuation.Change `json:",omitempty"`
 	// Upstream is the new entry; nil when it was removed.
-	Upstream *registered.Upstream
+	Upstream *discovery.Upstream
 	// Removed is the id of an upstream whose entry is gone.
 	Removed string
 	// Revision is the store's revision of the change.
--- a/pkg/registered/listed_test.go
+++ b/pkg/discovery/listed_test.go
@@ -1,4 +1,4 @@
-package registered
+package discovery
 
 import (
 	"cmp"
--- a/pkg/registered/registered.go
+++ b/pkg/discovery/registered.go
@@ -1,4 +1,4 @@
-// Package registered keeps the upstreams that register themselves with a
+// Package discovery keeps the upstreams that register themselves with a
 // store, as one entry host knows them.
 //
 // News may come late, twice and out of order; each piece carries the store's
@@ -9,7 +9,7 @@
 // for a while.
 //
 // The package does no I/O and reads no clock. A Set belongs to one goroutine.
-package registered
+package discovery
 
 import (
 	"cmp"
