--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -9,7 +9,7 @@
 
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/internal/members"
-	"github.com/dapplespindle/dapplespindle/internal/news"
+	"github.com/dapplespindle/dapplespindle/internal/peertransport"
 	"github.com/dapplespindle/dapplespindle/internal/source"
 	"github.com/dapplespindle/dapplespindle/pkg/membership"
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
@@ -33,7 +33,7 @@
 	address netip.AddrPort // of membership
 	port    uint16         // of news, on all hosts
 	members *members.Members
-	news    *news.Transport
+	news    *peertransport.Transport
 	version uint64 // of the snapshot given to the follower
 	joined  time.Time
 	settled bool // as given to the follower
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f.news = news.New(news.Config{
+	f.news = peertransport.New(peertransport.Config{
 		Address: f.newsAddress(address),
 		Heard:   func(t *source.Told) { g.follower.Heard(t) },
 		Answer:  func(ctx context.Context, after uint64) (*source.Told, error) { return g.follower.Answer(ctx, after) },
--- a/internal/gateway/poison.go
+++ b/internal/gateway/poison.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/dapplespindle/dapplespindle/internal/news"
+	"github.com/dapplespindle/dapplespindle/internal/peertransport"
 	"github.com/dapplespindle/dapplespindle/pkg/gossip"
 	"github.com/dapplespindle/dapplespindle/pkg/membership"
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
@@ -41,7 +41,7 @@
 		return
 	}
 	others := slices.Clone(*g.fleet.others.Load())
-	g.fleet.news.TellDeaths(gossip.Draw(others, gossip.RepeatTo, rand.IntN), gossip.Draw(deaths, news.DeathsPerMessage, rand.IntN))
+	g.fleet.news.TellDeaths(gossip.Draw(others, gossip.RepeatTo, rand.IntN), gossip.Draw(deaths, peertransport.DeathsPerMessage, rand.IntN))
 }
 
 // knowOthers takes in the other hosts. It runs on the control goroutine.
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/dapplespindle/dapplespindle/internal/clock"
-	"github.com/dapplespindle/dapplespindle/internal/news"
+	"github.com/dapplespindle/dapplespindle/internal/peertransport"
 	"github.com/dapplespindle/dapplespindle/internal/proxy"
 	"github.com/dapplespindle/dapplespindle/pkg/gossip"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
@@ -36,7 +36,7 @@
 		return
 	}
 	others := slices.Clone(*g.fleet.others.Load())
-	g.fleet.news.TellLimits(gossip.Draw(others, gossip.RepeatTo, rand.IntN), gossip.Draw(known, news.LimitsPerMessage, rand.IntN))
+	g.fleet.news.TellLimits(gossip.Draw(others, gossip.RepeatTo, rand.IntN), gossip.Draw(known, peertransport.LimitsPerMessage, rand.IntN))
 }
 
 // heardLimits takes in what another host tells.
--- a/internal/news/limits_test.go
+++ b/internal/peertransport/limits_test.go
@@ -1,4 +1,4 @@
-package news
+package peertransport
 
 import (
 	"context"
--- a/internal/news/news.go
+++ b/internal/peertransport/news.go
@@ -1,11 +1,11 @@
-// Package news moves what hosts tell one another of the store: short messages in
+// Package peertransport moves what hosts tell one another of the store: short messages in
 // datagrams, and answers to questions, which may be large, over HTTP. Both use
 // one port number, which is the same on all hosts.
 //
 // It decides nothing; pkg/storesync does. Messages carry no signature: the network
 // among the hosts is trusted, and a message counts only from the address that it
 // names as its sender.
-package news
+package peertransport
 
 import (
 	"context"
--- a/internal/news/questions.go
+++ b/internal/peertransport/questions.go
@@ -1,4 +1,4 @@
-package news
+package peertransport
 
 import (
 	"math/rand/v2"
