--- a/internal/gateway/apply_bench_test.go
+++ b/internal/gateway/apply_bench_test.go
@@ -8,13 +8,13 @@
 	"time"
 
 	"github.com/dapplespindle/dapplespindle/internal/proxy"
-	"github.com/dapplespindle/dapplespindle/internal/source"
+	"github.com/dapplespindle/dapplespindle/internal/storewatch"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 )
 
 // noStore is never asked.
-type noStore struct{ source.Store }
+type noStore struct{ storewatch.Store }
 
 func (noStore) Revision(context.Context) (uint64, error) { return 0, nil }
 
@@ -31,7 +31,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			state := &source.State{Revision: 1, Configuration: &config.Configuration{Version: 1}}
+			state := &storewatch.State{Revision: 1, Configuration: &config.Configuration{Version: 1}}
 			for i := range 3 {
 				name := fmt.Sprintf("s-%d", i)
 				s := &config.Service{
@@ -52,12 +52,12 @@
 			revision := uint64(1)
 			b.ReportAllocs()
 			for b.Loop() {
-				changes := new(source.Changes)
+				changes := new(storewatch.Changes)
 				for j := range 6 {
 					revision++
 					u := state.Upstreams[(int(revision)*18+j*3)%n]
 					u.Revision, u.ColdFor = revision, time.Duration(revision)
-					changes.Events = append(changes.Events, source.Event{Upstream: &u, Revision: revision})
+					changes.Events = append(changes.Events, storewatch.Event{Upstream: &u, Revision: revision})
 				}
 				changes.Revision = revision
 				g.control.changed(changes)
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -7,7 +7,7 @@
 
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/internal/httpwire"
-	"github.com/dapplespindle/dapplespindle/internal/source"
+	"github.com/dapplespindle/dapplespindle/internal/storewatch"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 	"github.com/dapplespindle/dapplespindle/pkg/customers"
 	"github.com/dapplespindle/dapplespindle/pkg/discovery"
@@ -77,7 +77,7 @@
 }
 
 // read takes in everything that is published.
-func (c *controller) read(s *source.State) {
+func (c *controller) read(s *storewatch.State) {
 	c.gateway.emit(event.Event{Code: event.UpstreamsRead, Value: int64(len(s.Upstreams))})
 	c.set.Replace(clock.Now(), s.Upstreams, s.Revision)
 	c.evacuate(c.evacuated.Replace(s.Evacuated, s.Revision)...)
@@ -97,7 +97,7 @@
 // 0.74 s when each read a page of 500 first.
 //
 // It reports whether the host serves with it.
-func (c *controller) readPart(s *source.State) bool {
+func (c *controller) readPart(s *storewatch.State) bool {
 	if c.listed || !servesWith(s) {
 		return false
 	}
@@ -114,7 +114,7 @@
 
 // servesWith reports whether a part of what is published has enough upstreams of each
 // service.
-func servesWith(s *source.State) bool {
+func servesWith(s *storewatch.State) bool {
 	if s.Configuration == nil {
 		return false
 	}
@@ -135,7 +135,7 @@
 }
 
 // changed takes in what has changed, and puts it in force at once.
-func (c *controller) changed(changes *source.Changes) {
+func (c *controller) changed(changes *storewatch.Changes) {
 	now := clock.Now()
 	for i := range changes.Events {
 		c.change(now, &changes.Events[i])
@@ -148,7 +148,7 @@
 }
 
 // change takes in one change.
-func (c *controller) change(now time.Time, e *source.Event) {
+func (c *controller) change(now time.Time, e *storewatch.Event) {
 	switch {
 	case e.Evacuation != nil:
 		if c.evacuated.Apply(*e.Evacuation, e.Revision) {
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/dapplespindle/dapplespindle/internal/source"
+	"github.com/dapplespindle/dapplespindle/internal/storewatch"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 )
@@ -21,7 +21,7 @@
 		}
 		return out
 	}
-	s := &source.State{Upstreams: upstreams("catalogue", enoughUpstreams, false)}
+	s := &storewatch.State{Upstreams: upstreams("catalogue", enoughUpstreams, false)}
 	is.True(!servesWith(s)) // nothing says where requests go
 	s.Configuration = &config.Configuration{Services: []*config.Service{
 		{Groups: []config.Group{{Registered: "catalogue"}}},
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -10,7 +10,7 @@
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/internal/members"
 	"github.com/dapplespindle/dapplespindle/internal/peertransport"
-	"github.com/dapplespindle/dapplespindle/internal/source"
+	"github.com/dapplespindle/dapplespindle/internal/storewatch"
 	"github.com/dapplespindle/dapplespindle/pkg/membership"
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
@@ -70,9 +70,11 @@
 	}
 	f.news = peertransport.New(peertransport.Config{
 		Address: f.newsAddress(address),
-		Heard:   func(t *source.Told) { g.follower.Heard(t) },
-		Answer:  func(ctx context.Context, after uint64) (*source.Told, error) { return g.follower.Answer(ctx, after) },
-		Events:  g.sink,
+		Heard:   func(t *storewatch.Told) { g.follower.Heard(t) },
+		Answer: func(ctx context.Context, after uint64) (*storewatch.Told, error) {
+			return g.follower.Answer(ctx, after)
+		},
+		Events: g.sink,
 
 		HeardLimits: g.heardLimits,
 		GrantRoom:   g.quotas.Answer,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -29,7 +29,7 @@
 	"github.com/dapplespindle/dapplespindle/internal/metrics"
 	"github.com/dapplespindle/dapplespindle/internal/proxy"
 	"github.com/dapplespindle/dapplespindle/internal/quotas"
-	"github.com/dapplespindle/dapplespindle/internal/source"
+	"github.com/dapplespindle/dapplespindle/internal/storewatch"
 	"github.com/dapplespindle/dapplespindle/internal/upstream"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 	"github.com/dapplespindle/dapplespindle/pkg/gossip"
@@ -51,7 +51,7 @@
 
 	loop     *control.Loop
 	control  *controller
-	follower *source.Follower
+	follower *storewatch.Follower
 	fleet    *fleet // nil without peers
 	hosts    int    // known to be in the fleet, 0 while unknown; of the control goroutine
 	quotas   *quotas.Keeper
@@ -65,7 +65,7 @@
 }
 
 // New assembles an entry host from checked settings. Logs go to w.
-func New(conf Settings, store source.Store, dialect *proxy.Dialect, w io.Writer) (*Gateway, error) {
+func New(conf Settings, store storewatch.Store, dialect *proxy.Dialect, w io.Writer) (*Gateway, error) {
 	if err := clock.Check(); err != nil {
 		return nil, errors.Wrap(err, "boot clock")
 	}
@@ -220,18 +220,18 @@
 	returnedFor = 3 * time.Second
 )
 
-func (g *Gateway) buildControl(store source.Store) error {
+func (g *Gateway) buildControl(store storewatch.Store) error {
 	fleet, err := newFleet(g)
 	if err != nil {
 		return err
 	}
-	conf := source.Config{
+	conf := storewatch.Config{
 		Store:        store,
 		Follow:       g.followConfig(),
-		Read:         func(s *source.State) { g.surely(func() { g.control.read(s) }) },
+		Read:         func(s *storewatch.State) { g.surely(func() { g.control.read(s) }) },
 		Part:         g.readPart,
 		RestWithin:   restWithin,
-		Changed:      func(c *source.Changes) { g.surely(func() { g.control.changed(c) }) },
+		Changed:      func(c *storewatch.Changes) { g.surely(func() { g.control.changed(c) }) },
 		Returned:     func(at time.Time) { g.surely(func() { g.control.returned(at) }) },
 		Events:       g.sink,
 		WatchWait:    watchWait,
@@ -249,7 +249,7 @@
 		conf.Self = fleet.self()
 		conf.Follow.ReadAfter, conf.Follow.AskAfter = fleet.startTimes()
 	}
-	g.follower = source.NewFollower(conf)
+	g.follower = storewatch.NewFollower(conf)
 	g.loop.Every(tickEvery, g.control.tick)
 	g.loop.Every(gossip.RepeatEvery, g.repeatDeaths)
 	g.loop.Every(gossip.RepeatEvery, g.repeatLimits)
@@ -275,7 +275,7 @@
 
 // readPart puts a part of what is published in force, and reports whether this host
 // serves with it.
-func (g *Gateway) readPart(s *source.State) bool {
+func (g *Gateway) readPart(s *storewatch.State) bool {
 	serves := make(chan bool, 1)
 	g.surely(func() { serves <- g.control.readPart(s) })
 	return <-serves
--- a/internal/peertransport/answer.go
+++ b/internal/peertransport/answer.go
@@ -15,7 +15,7 @@
 
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/internal/httpget"
-	"github.com/dapplespindle/dapplespindle/internal/source"
+	"github.com/dapplespindle/dapplespindle/internal/storewatch"
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
@@ -96,7 +96,7 @@
 }
 
 // pack returns the compressed body of an answer.
-func (t *Transport) pack(after uint64, told *source.Told) ([]byte, error) {
+func (t *Transport) pack(after uint64, told *storewatch.Told) ([]byte, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	kept := &t.packed.changes
@@ -123,8 +123,8 @@
 	return out.Bytes(), nil
 }
 
-// Ask implements source.Peers.
-func (t *Transport) Ask(ctx context.Context, peer netip.AddrPort, after uint64) (*source.Told, error) {
+// Ask implements storewatch.Peers.
+func (t *Transport) Ask(ctx context.Context, peer netip.AddrPort, after uint64) (*storewatch.Told, error) {
 	url := "http://" + peer.String() + path + "?" + paramAfter + "=" + strconv.FormatUint(after, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -142,7 +142,7 @@
 	default:
 		return nil, &httpget.StatusError{Code: resp.StatusCode}
 	}
-	told := new(source.Told)
+	told := new(storewatch.Told)
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(told); err != nil {
 		return nil, errors.Wrap(err, "answer")
 	}
--- a/internal/peertransport/news_test.go
+++ b/internal/peertransport/news_test.go
@@ -15,7 +15,7 @@
 	"github.com/matryer/is"
 
 	"github.com/dapplespindle/dapplespindle/internal/httpget"
-	"github.com/dapplespindle/dapplespindle/internal/source"
+	"github.com/dapplespindle/dapplespindle/internal/storewatch"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
@@ -29,10 +29,10 @@
 type host struct {
 	*Transport
 	address netip.AddrPort
-	heard   chan *source.Told
+	heard   chan *storewatch.Told
 	mu      sync.Mutex
 	events  []event.Event
-	told    *source.Told // its answer; nil knows nothing
+	told    *storewatch.Told // its answer; nil knows nothing
 	poison  chan poisonHeard
 	limits  chan []ratelimit.News
 	book    *ratelimit.Book
@@ -77,14 +77,14 @@
 
 func begin(t *testing.T) *host {
 	address := freeAddress(t)
-	h := &host{address: address, heard: make(chan *source.Told, 8), poison: make(chan poisonHeard, 8),
+	h := &host{address: address, heard: make(chan *storewatch.Told, 8), poison: make(chan poisonHeard, 8),
 		limits: make(chan []ratelimit.News, 8), book: ratelimit.NewBook(turns.Alone())}
 	h.Transport = New(Config{
 		Address: address,
-		Heard:   func(told *source.Told) { h.heard <- told },
-		Answer: func(context.Context, uint64) (*source.Told, error) {
+		Heard:   func(told *storewatch.Told) { h.heard <- told },
+		Answer: func(context.Context, uint64) (*storewatch.Told, error) {
 			if h.told == nil {
-				return nil, source.ErrKnowsNothing
+				return nil, storewatch.ErrKnowsNothing
 			}
 			return h.told, nil
 		},
@@ -103,22 +103,22 @@
 	return h
 }
 
-func (h *host) message(upstreams int) *source.Told {
-	out := &source.Told{
+func (h *host) message(upstreams int) *storewatch.Told {
+	out := &storewatch.Told{
 		From:     storesync.Host{Address: h.address, FailureDomain: "a"},
 		Revision: 7,
 		Age:      40 * time.Millisecond,
 		After:    5,
-		Changes:  &source.Changes{Revision: 7},
+		Changes:  &storewatch.Changes{Revision: 7},
 	}
 	for i := range upstreams {
 		u := &discovery.Upstream{ID: fmt.Sprint("i-", i), Service: "ledger", Address: "10.1.2.3:80", Slots: 3}
-		out.Changes.Events = append(out.Changes.Events, source.Event{Upstream: u, Revision: 6})
+		out.Changes.Events = append(out.Changes.Events, storewatch.Event{Upstream: u, Revision: 6})
 	}
 	return out
 }
 
-func (h *host) hears(t *testing.T) *source.Told {
+func (h *host) hears(t *testing.T) *storewatch.Told {
 	t.Helper()
 	select {
 	case told := <-h.heard:
@@ -145,7 +145,7 @@
 	is := is.New(t)
 	a, b := begin(t), begin(t)
 	told := a.message(0)
-	told.Unanswered = []source.Unanswered{{Host: b.address, Age: time.Second}, {Host: a.address}}
+	told.Unanswered = []storewatch.Unanswered{{Host: b.address, Age: time.Second}, {Host: a.address}}
 	a.Tell([]netip.AddrPort{b.address}, told)
 	is.Equal(b.hears(t), told)
 }
@@ -158,10 +158,10 @@
 	empty := a.message(0)
 	empty.Revision = 0
 	early, nameless, many := a.message(0), a.message(0), a.message(0)
-	early.Unanswered = []source.Unanswered{{Host: a.address, Age: -1}}
-	nameless.Unanswered = []source.Unanswered{{}}
-	many.Unanswered = slices.Repeat([]source.Unanswered{{Host: a.address}}, maxUnanswered+1)
-	for _, told := range []*source.Told{forged, empty, early, nameless, many} {
+	early.Unanswered = []storewatch.Unanswered{{Host: a.address, Age: -1}}
+	nameless.Unanswered = []storewatch.Unanswered{{}}
+	many.Unanswered = slices.Repeat([]storewatch.Unanswered{{Host: a.address}}, maxUnanswered+1)
+	for _, told := range []*storewatch.Told{forged, empty, early, nameless, many} {
 		a.Tell([]netip.AddrPort{b.address}, told)
 	}
 	_, err := a.conn.WriteToUDPAddrPort([]byte("{"), b.address)
@@ -183,7 +183,7 @@
 	told := b.message(0)
 	told.Changes, told.After = nil, 0
 	told.ReturnedAge = time.Second
-	told.State = &source.State{Revision: 7, Configuration: &config.Configuration{Version: 3,
+	told.State = &storewatch.State{Revision: 7, Configuration: &config.Configuration{Version: 3,
 		Callers: &config.CallerLimits{HeadBytes: 1, BodyBytes: 2, HeadTimeout: time.Second, IdleTimeout: time.Minute}}}
 	b.told = told
 	for _, age := range []time.Duration{40 * time.Millisecond, 900 * time.Millisecond} {
@@ -201,7 +201,7 @@
 	is := is.New(t)
 	h := begin(t)
 	told := h.message(0)
-	told.Changes, told.State = nil, &source.State{Revision: 7}
+	told.Changes, told.State = nil, &storewatch.State{Revision: 7}
 	first, err := h.pack(3, told)
 	is.NoErr(err)
 	changes, err := h.pack(5, h.message(1))
--- a/internal/source/peers.go
+++ b/internal/storewatch/peers.go
@@ -1,4 +1,4 @@
-package source
+package storewatch
 
 import (
 	"context"
--- a/internal/source/source.go
+++ b/internal/storewatch/source.go
@@ -1,10 +1,10 @@
-// Package source follows what a store publishes: the operators' configuration
+// Package storewatch follows what a store publishes: the operators' configuration
 // and the upstreams that register themselves.
 //
 // Store is the seam to a deployment's own store; its implementations know
 // names and formats and decide nothing. Follower decides when to read, what
 // to believe and when to try again.
-package source
+package storewatch
 
 import (
 	"context"
