--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -6,7 +6,7 @@
 	"net/netip"
 	"time"
 
-	"github.com/dapplespindle/dapplespindle/internal/hoststop"
+	"github.com/dapplespindle/dapplespindle/internal/shutdown"
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 )
 
@@ -15,8 +15,8 @@
 	leaveTimeout    = time.Second
 )
 
-func (e *Entry) newStopper() *hoststop.Stopper {
-	return hoststop.New(hoststop.Config{
+func (e *Entry) newStopper() *shutdown.Stopper {
+	return shutdown.New(shutdown.Config{
 		Times:    lifecycle.HostConfig{Grace: e.conf.Stop.Grace, Deadline: e.conf.Stop.Timeout},
 		Server:   e.server,
 		Ready:    e.control.served,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,12 +23,12 @@
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/internal/control"
 	"github.com/dapplespindle/dapplespindle/internal/events"
-	"github.com/dapplespindle/dapplespindle/internal/hoststop"
 	"github.com/dapplespindle/dapplespindle/internal/httpwire"
 	"github.com/dapplespindle/dapplespindle/internal/logging"
 	"github.com/dapplespindle/dapplespindle/internal/metrics"
 	"github.com/dapplespindle/dapplespindle/internal/proxy"
 	"github.com/dapplespindle/dapplespindle/internal/quotas"
+	"github.com/dapplespindle/dapplespindle/internal/shutdown"
 	"github.com/dapplespindle/dapplespindle/internal/storewatch"
 	"github.com/dapplespindle/dapplespindle/internal/upstream"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
@@ -43,7 +43,7 @@
 type Gateway struct {
 	confMu  sync.Mutex
 	conf    Settings // guarded by confMu once the process runs
-	stopper *hoststop.Stopper
+	stopper *shutdown.Stopper
 	sink    event.Sink
 	metrics *metrics.Sink
 	output  *logging.NonBlockingWriter
@@ -82,7 +82,7 @@
 	if conf.MetricsListen != "" {
 		g.figures = admin.New(admin.Config{Address: conf.MetricsListen, Metrics: g.metrics})
 	}
-	g.stopper = hoststop.New(hoststop.Config{
+	g.stopper = shutdown.New(shutdown.Config{
 		Times:    stopTimes(conf),
 		Server:   g.server,
 		Ready:    g.control.served,
--- a/internal/hoststop/hoststop.go
+++ b/internal/shutdown/hoststop.go
@@ -1,6 +1,6 @@
-// Package hoststop runs the planned stop of an entry host process: the chart
+// Package shutdown runs the planned stop of an entry host process: the chart
 // of pkg/lifecycle's Host, carried out on a caller listener.
-package hoststop
+package shutdown
 
 import (
 	"context"
