--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -247,7 +247,7 @@
 		fleet.quotaSeeds()
 		conf.Peers = fleet.news
 		conf.Self = fleet.self()
-		conf.Follow.ReadAfter, conf.Follow.AskAfter = fleet.startTimes()
+		conf.Follow.StartReadDelay, conf.Follow.StartFetchDelay = fleet.startTimes()
 	}
 	g.follower = storewatch.NewFollower(conf)
 	g.loop.Every(tickEvery, g.control.tick)
@@ -260,16 +260,16 @@
 
 func (g *Gateway) followConfig() storesync.Config {
 	return storesync.Config{
-		ChangeWithin: g.conf.knownWithin(),
-		AloneEvery:   aloneEvery,
-		WatchSlack:   watchSlack,
-		SettleMin:    settleMin,
-		SettleMax:    time.Duration(settleShare * float64(g.conf.knownWithin())),
-		MinOutage:    minOutage,
-		ReturnedFor:  returnedFor,
-		RetryMin:     retryMin,
-		RetryMax:     retryMax,
-		Jitter:       rand.Float64,
+		MaxChangeDelay:         g.conf.knownWithin(),
+		SoloCheckInterval:      aloneEvery,
+		MaxWatchDelay:          watchSlack,
+		DebounceMin:            settleMin,
+		DebounceMax:            time.Duration(settleShare * float64(g.conf.knownWithin())),
+		MinOutage:              minOutage,
+		RecoveryAnnouncePeriod: returnedFor,
+		RetryMin:               retryMin,
+		RetryMax:               retryMax,
+		Jitter:                 rand.Float64,
 	}
 }
 
--- a/internal/storewatch/follower.go
+++ b/internal/storewatch/follower.go
@@ -63,7 +63,7 @@
 	// What follows belongs to Run's goroutine.
 	core                 *storesync.Core
 	mirror               *mirror
-	delays               storesync.Delays
+	delays               storesync.DelayEstimator
 	stopWatch            context.CancelFunc
 	toldLast, toldBefore uint64 // revisions told last and before
 	ctx                  context.Context
@@ -95,7 +95,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	if f.conf.Peers == nil {
-		f.do(f.core.Hosts(clock.Now(), f.conf.Self, nil, true))
+		f.do(f.core.SetHosts(clock.Now(), f.conf.Self, nil, true))
 	}
 	for {
 		select {
@@ -106,7 +106,7 @@
 		case <-timer.C:
 			f.do(f.core.Tick(clock.Now()))
 		}
-		if due, ok := f.core.Due(); ok {
+		if due, ok := f.core.NextTick(); ok {
 			timer.Reset(clock.Until(due))
 		} else {
 			timer.Stop()
@@ -124,14 +124,14 @@
 
 // do carries out effects; what takes time runs beside and posts its result.
 func (f *Follower) do(e storesync.Effects) {
-	if fresh := f.core.Fresh(); !fresh.Equal(*f.fresh.Load()) {
+	if fresh := f.core.AsOf(); !fresh.Equal(*f.fresh.Load()) {
 		f.fresh.Store(&fresh)
 	}
 	for _, ev := range e.Events {
 		f.emit(ev)
 	}
-	if !e.Returned.IsZero() {
-		f.conf.Returned(e.Returned)
+	if !e.RecoveredAt.IsZero() {
+		f.conf.Returned(e.RecoveredAt)
 	}
 	ctx := f.ctx
 	if e.Read {
@@ -140,7 +140,7 @@
 	if e.Check {
 		go f.check(ctx)
 	}
-	if e.Look {
+	if e.Ping {
 		go f.look(ctx)
 	}
 	if e.StopWatch {
@@ -151,11 +151,11 @@
 		f.stopWatch = cancel
 		go f.watch(ctx, watchCtx, *e.Watch)
 	}
-	if e.Ask != nil {
-		go f.ask(ctx, *e.Ask)
+	if e.Fetch != nil {
+		go f.ask(ctx, *e.Fetch)
 	}
-	f.tell(clock.Now(), e.Tell)
-	f.warn(clock.Now(), e.Warn)
+	f.tell(clock.Now(), e.SendUpdate)
+	f.warn(clock.Now(), e.SendOutageUpdate)
 }
 
 // read reads everything. A host that can serve with the first part of it leaves the
@@ -164,7 +164,7 @@
 func (f *Follower) read(ctx context.Context) {
 	state, spared, err := f.begin(ctx)
 	if spared {
-		f.post(ctx, func() { f.do(f.core.ReadSpared(clock.Now())) })
+		f.post(ctx, func() { f.do(f.core.CancelRead(clock.Now())) })
 		return
 	}
 	if err == nil {
@@ -235,7 +235,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, f.conf.CheckTimeout)
 	defer cancel()
 	err := f.conf.Store.Alive(callCtx)
-	f.post(ctx, func() { f.do(f.core.LookDone(clock.Now(), err)) })
+	f.post(ctx, func() { f.do(f.core.PingDone(clock.Now(), err)) })
 }
 
 // shortWait is the wait of a watch that only fetches what is there already.
@@ -244,7 +244,7 @@
 // watch calls with watchCtx, which may be ended early.
 func (f *Follower) watch(ctx, watchCtx context.Context, call storesync.Watch) {
 	wait, timeout := shortWait, f.conf.CheckTimeout
-	if call.Waits {
+	if call.LongPoll {
 		wait, timeout = f.conf.WatchWait, f.conf.WatchWait+f.conf.ReadTimeout
 	}
 	callCtx, cancel := context.WithTimeout(watchCtx, timeout)
@@ -274,7 +274,7 @@
 	if f.mirror.revision != 0 || !f.conf.Part(s) {
 		return 0
 	}
-	wait, effects := f.core.Begun(clock.Now(), s.Long, f.conf.RestWithin)
+	wait, effects := f.core.InitialReadDone(clock.Now(), s.Long, f.conf.RestWithin)
 	f.do(effects)
 	return wait
 }
--- a/internal/storewatch/follower_test.go
+++ b/internal/storewatch/follower_test.go
@@ -206,16 +206,16 @@
 	conf := Config{
 		Store: store,
 		Follow: storesync.Config{
-			ChangeWithin: bound,
-			AloneEvery:   2600 * time.Millisecond,
-			WatchSlack:   150 * time.Millisecond,
-			SettleMin:    150 * time.Millisecond,
-			SettleMax:    1300 * time.Millisecond,
-			MinOutage:    500 * time.Millisecond,
-			ReturnedFor:  3 * time.Second,
-			RetryMin:     150 * time.Millisecond,
-			RetryMax:     400 * time.Millisecond,
-			Jitter:       rand.Float64,
+			MaxChangeDelay:         bound,
+			SoloCheckInterval:      2600 * time.Millisecond,
+			MaxWatchDelay:          150 * time.Millisecond,
+			DebounceMin:            150 * time.Millisecond,
+			DebounceMax:            1300 * time.Millisecond,
+			MinOutage:              500 * time.Millisecond,
+			RecoveryAnnouncePeriod: 3 * time.Second,
+			RetryMin:               150 * time.Millisecond,
+			RetryMax:               400 * time.Millisecond,
+			Jitter:                 rand.Float64,
 		},
 		Part: func(s *State) bool {
 			for _, u := range s.Upstreams {
--- a/internal/storewatch/peers.go
+++ b/internal/storewatch/peers.go
@@ -103,7 +103,7 @@
 // was learned from one of them. It reports false if the queue is full.
 func (f *Follower) SetHosts(hosts []storesync.Host, settled bool) bool {
 	select {
-	case f.inputs <- func() { f.do(f.core.Hosts(clock.Now(), f.conf.Self, hosts, settled)) }:
+	case f.inputs <- func() { f.do(f.core.SetHosts(clock.Now(), f.conf.Self, hosts, settled)) }:
 		return true
 	default:
 		return false
@@ -113,13 +113,13 @@
 // told returns what this host knows, without the changes; nil while it knows
 // nothing.
 func (f *Follower) told(now time.Time) *Told {
-	n, ok := f.core.News(now)
+	n, ok := f.core.Update(now)
 	if !ok {
 		return nil
 	}
 	out := f.message(now, n)
-	if !n.Returned.IsZero() {
-		out.ReturnedAge = max(now.Sub(n.Returned), leastAge)
+	if !n.RecoveredAt.IsZero() {
+		out.ReturnedAge = max(now.Sub(n.RecoveredAt), leastAge)
 	}
 	return out
 }
@@ -130,13 +130,13 @@
 
 // message returns a message of this host that states its revision and how fresh its
 // knowledge is.
-func (f *Follower) message(now time.Time, n storesync.News) *Told {
+func (f *Follower) message(now time.Time, n storesync.Update) *Told {
 	return &Told{
 		From:     f.conf.Self,
 		Process:  f.process,
 		Sent:     now.Sub(f.started),
 		Revision: n.Revision,
-		Age:      now.Sub(n.Fresh),
+		Age:      now.Sub(n.AsOf),
 	}
 }
 
@@ -178,12 +178,12 @@
 
 // warn tells peers of calls that the store did not answer.
 func (f *Follower) warn(now time.Time, ways []storesync.Route) {
-	n, ok := f.core.Warning(now)
+	n, ok := f.core.OutageUpdate(now)
 	if !ok || f.conf.Peers == nil || len(ways) == 0 {
 		return
 	}
 	t := f.message(now, n)
-	for _, u := range n.Unanswered {
+	for _, u := range n.FailedCalls {
 		t.Unanswered = append(t.Unanswered, Unanswered{Host: u.Host, Age: now.Sub(u.At)})
 	}
 	for _, way := range ways {
@@ -194,35 +194,35 @@
 
 func (f *Follower) heard(arrived time.Time, t *Told) {
 	// What it says was so when it was sent, which may be long ago.
-	arrived = arrived.Add(-f.delays.Of(t.From.Address, t.Process, t.Sent, arrived))
+	arrived = arrived.Add(-f.delays.Delay(t.From.Address, t.Process, t.Sent, arrived))
 	f.heardReturn(arrived, t)
 	var known uint64
 	if f.mirror.revision > 0 && t.Changes != nil && t.After <= f.mirror.revision && t.Revision > f.mirror.revision {
 		f.takeTold(t)
 		known = t.Revision
 	}
-	f.do(f.core.Heard(clock.Now(), t.From, newsOf(arrived, t), known))
+	f.do(f.core.ApplyPeerUpdate(clock.Now(), t.From, newsOf(arrived, t), known))
 }
 
 func (f *Follower) heardReturn(at time.Time, t *Told) {
 	if t.ReturnedAge > 0 {
-		f.do(f.core.HeardReturn(clock.Now(), at.Add(-t.ReturnedAge)))
+		f.do(f.core.ApplyPeerRecovery(clock.Now(), at.Add(-t.ReturnedAge)))
 	}
 }
 
-func newsOf(at time.Time, t *Told) storesync.News {
-	out := storesync.News{Revision: t.Revision, Fresh: at.Add(-t.Age), Tree: t.Tree}
+func newsOf(at time.Time, t *Told) storesync.Update {
+	out := storesync.Update{Revision: t.Revision, AsOf: at.Add(-t.Age), Tree: t.Tree}
 	for _, u := range t.Unanswered {
-		out.Unanswered = append(out.Unanswered, storesync.Unanswered{Host: u.Host, At: at.Add(-u.Age)})
+		out.FailedCalls = append(out.FailedCalls, storesync.FailedCall{Host: u.Host, At: at.Add(-u.Age)})
 	}
 	return out
 }
 
 // ask asks a peer. Its answer is as old as it says when the question was sent.
-func (f *Follower) ask(ctx context.Context, q storesync.Ask) {
+func (f *Follower) ask(ctx context.Context, q storesync.PeerFetch) {
 	peer := storesync.Host{Address: q.Peer}
 	began := clock.Now()
-	timeout := f.conf.AskTimeout + q.Longer
+	timeout := f.conf.AskTimeout + q.ExtraTimeout
 	if q.After == 0 {
 		timeout = f.conf.ReadTimeout // everything is large, and the store is read beside
 	}
@@ -234,10 +234,10 @@
 			err = f.takeAnswer(began, t)
 		}
 		if err != nil {
-			f.do(f.core.AskDone(clock.Now(), peer, storesync.News{}, err))
+			f.do(f.core.FetchDone(clock.Now(), peer, storesync.Update{}, err))
 			return
 		}
-		f.do(f.core.AskDone(clock.Now(), t.From, newsOf(began, t), nil))
+		f.do(f.core.FetchDone(clock.Now(), t.From, newsOf(began, t), nil))
 	})
 }
 
--- a/pkg/storesync/fleet_test.go
+++ b/pkg/storesync/fleet_test.go
@@ -290,8 +290,8 @@
 	for seed := range uint64(30) {
 		broken += randomly(seed, func(w *world) {
 			for _, h := range w.hosts {
-				h.conf.ChangeWithin = time.Hour
-				h.conf.AloneEvery = time.Hour
+				h.conf.MaxChangeDelay = time.Hour
+				h.conf.SoloCheckInterval = time.Hour
 			}
 		})
 	}
--- a/pkg/storesync/follow.go
+++ b/pkg/storesync/follow.go
@@ -28,27 +28,27 @@
 
 // Config bounds a Core.
 type Config struct {
-	// ChangeWithin is the time in which a change of the store must be known.
-	ChangeWithin time.Duration
-	// AloneEvery is the patience of a host that knows of no other: its watch
+	// MaxChangeDelay is the time in which a change of the store must be known.
+	MaxChangeDelay time.Duration
+	// SoloCheckInterval is the patience of a host that knows of no other: its watch
 	// tells it of changes, and it asks only whether the watch missed one.
-	AloneEvery time.Duration
-	// WatchSlack is how long a watch may take to tell of a change that the store
+	SoloCheckInterval time.Duration
+	// MaxWatchDelay is how long a watch may take to tell of a change that the store
 	// was seen to have.
-	WatchSlack time.Duration
-	// SettleMin and SettleMax bound the pause before the next watch, so that a
+	MaxWatchDelay time.Duration
+	// DebounceMin and SettleMax bound the pause before the next watch, so that a
 	// burst of changes costs few calls: it doubles while changes keep coming.
-	SettleMin, SettleMax time.Duration
+	DebounceMin, DebounceMax time.Duration
 	// MinOutage is the shortest time without answers that counts as an outage.
 	MinOutage time.Duration
-	// ReturnedFor is how long the others are told that an outage has ended.
-	ReturnedFor time.Duration
+	// RecoveryAnnouncePeriod is how long the others are told that an outage has ended.
+	RecoveryAnnouncePeriod time.Duration
 	// RetryMin and RetryMax bound the pause before a failed call is made again;
 	// it doubles from one to the other.
 	RetryMin, RetryMax time.Duration
-	// ReadAfter is how long a host that starts leaves the store alone, and AskAfter
+	// StartReadDelay is how long a host that starts leaves the store alone, and AskAfter
 	// how long it leaves its peers alone.
-	ReadAfter, AskAfter time.Duration
+	StartReadDelay, StartFetchDelay time.Duration
 	// Jitter returns a random number from 0 up to 1. It spreads retries.
 	Jitter func() float64
 }
@@ -67,36 +67,36 @@
 type Watch struct {
 	// After is the revision that is known.
 	After uint64
-	// Waits is false for a call that returns at once.
-	Waits bool
+	// LongPoll is false for a call that returns at once.
+	LongPoll bool
 }
 
-// Ask is a question to a peer for all that came after a revision; 0 asks for
+// PeerFetch is a question to a peer for all that came after a revision; 0 asks for
 // everything.
-type Ask struct {
+type PeerFetch struct {
 	// Peer is whom to ask.
 	Peer netip.AddrPort
 	// After is the revision that is known.
 	After uint64
-	// Longer is how much longer than usual the answer may take, for all that it holds.
-	Longer time.Duration
+	// ExtraTimeout is how much longer than usual the answer may take, for all that it holds.
+	ExtraTimeout time.Duration
 }
 
-// News is what one host tells another of its knowledge.
-type News struct {
+// Update is what one host tells another of its knowledge.
+type Update struct {
 	// Revision is the newest revision that it knows.
 	Revision uint64
-	// Fresh is the newest moment of which it knows every change, by the clock of
+	// AsOf is the newest moment of which it knows every change, by the clock of
 	// the host that holds this value.
-	Fresh time.Time
-	// Returned is when the store came back from its last outage; zero if that is
+	AsOf time.Time
+	// RecoveredAt is when the store came back from its last outage; zero if that is
 	// long ago.
-	Returned time.Time
+	RecoveredAt time.Time
 	// Tree is the way on which it came. News does not set it.
 	Tree Tree
-	// Unanswered are the newest calls of different hosts, this one among them or
+	// FailedCalls are the newest calls of different hosts, this one among them or
 	// not, that the store did not answer. Only a warning has them.
-	Unanswered []Unanswered
+	FailedCalls []FailedCall
 }
 
 // Effects is what the caller has to do after an input.
@@ -105,19 +105,19 @@
 	Read bool
 	// Check asks for the store's newest revision.
 	Check bool
-	// Look makes the cheapest call that shows whether the store answers.
-	Look bool
+	// Ping makes the cheapest call that shows whether the store answers.
+	Ping bool
 	// Watch begins a watch; nil for none.
 	Watch *Watch
 	// StopWatch ends the watch in flight; its result still has to be given.
 	StopWatch bool
-	// Ask asks a peer; nil for none.
-	Ask *Ask
-	// Tell lists the ways of News, and Warn those of Warning.
-	Tell, Warn []Route
-	// Returned says that the store answers again after an outage, and since when;
+	// Fetch asks a peer; nil for none.
+	Fetch *PeerFetch
+	// SendUpdate lists the ways of News, and Warn those of Warning.
+	SendUpdate, SendOutageUpdate []Route
+	// RecoveredAt says that the store answers again after an outage, and since when;
 	// zero if it does not say so.
-	Returned time.Time
+	RecoveredAt time.Time
 	// Events are decisions to report.
 	Events []event.Event
 }
@@ -189,16 +189,16 @@
 	return &Core{
 		conf:    conf,
 		begunAt: now,
-		startAt: now.Add(conf.ReadAfter),
-		nextAsk: now.Add(conf.AskAfter),
-		outage:  outage{mixFor: mixedFor * conf.ChangeWithin},
+		startAt: now.Add(conf.StartReadDelay),
+		nextAsk: now.Add(conf.StartFetchDelay),
+		outage:  outage{mixFor: mixedFor * conf.MaxChangeDelay},
 	}
 }
 
-// Hosts takes in which hosts are believed alive, self among them or not, and the
+// SetHosts takes in which hosts are believed alive, self among them or not, and the
 // addresses at which some host may be found. Until most of them are known, this
 // host neither watches nor takes itself for alone.
-func (c *Core) Hosts(now time.Time, self Host, hosts []Host, settled bool) Effects {
+func (c *Core) SetHosts(now time.Time, self Host, hosts []Host, settled bool) Effects {
 	c.ranks = rank(self, hosts, settled)
 	return c.step(now)
 }
@@ -206,29 +206,29 @@
 // Tick does what is due.
 func (c *Core) Tick(now time.Time) Effects { return c.step(now) }
 
-// News returns what this host tells others, and false while it knows nothing.
-func (c *Core) News(now time.Time) (News, bool) {
-	n := News{Revision: c.revision, Fresh: c.fresh}
-	if now.Sub(c.returned) < c.conf.ReturnedFor {
-		n.Returned = c.returned
+// Update returns what this host tells others, and false while it knows nothing.
+func (c *Core) Update(now time.Time) (Update, bool) {
+	n := Update{Revision: c.revision, AsOf: c.fresh}
+	if now.Sub(c.returned) < c.conf.RecoveryAnnouncePeriod {
+		n.RecoveredAt = c.returned
 	}
 	return n, c.complete
 }
 
-// Warning returns what this host tells others while the store does not answer, and
+// OutageUpdate returns what this host tells others while the store does not answer, and
 // false while it knows nothing. It states its knowledge as older than it is: the way
 // of a message makes knowledge look younger, and hosts that tell one another again
 // and again would take that for answers of the store.
-func (c *Core) Warning(now time.Time) (News, bool) {
-	return News{
-		Revision:   c.revision,
-		Fresh:      c.fresh.Add(-c.conf.ChangeWithin),
-		Unanswered: c.outage.since(now.Add(-c.conf.ChangeWithin)),
+func (c *Core) OutageUpdate(now time.Time) (Update, bool) {
+	return Update{
+		Revision:    c.revision,
+		AsOf:        c.fresh.Add(-c.conf.MaxChangeDelay),
+		FailedCalls: c.outage.since(now.Add(-c.conf.MaxChangeDelay)),
 	}, c.complete
 }
 
-// Fresh returns the newest moment of which every change is known.
-func (c *Core) Fresh() time.Time { return c.fresh }
+// AsOf returns the newest moment of which every change is known.
+func (c *Core) AsOf() time.Time { return c.fresh }
 
 // Revision returns the newest revision known.
 func (c *Core) Revision() uint64 { return c.revision }
@@ -248,9 +248,9 @@
 	return out
 }
 
-// Due returns when Tick is to be called, and false if only the result of a call
+// NextTick returns when Tick is to be called, and false if only the result of a call
 // or news can give this host something to do.
-func (c *Core) Due() (time.Time, bool) {
+func (c *Core) NextTick() (time.Time, bool) {
 	var due earliest
 	if t, wanted := c.askDue(); wanted {
 		due.add(t)
@@ -279,10 +279,10 @@
 		return c.nextWatch, c.watches()
 	case c.stopping:
 		return time.Time{}, false
-	case !c.watch.Waits:
+	case !c.watch.LongPoll:
 		return c.fetchedBy(), true
 	}
-	return c.awaited.since.Add(c.conf.WatchSlack), c.awaits()
+	return c.awaited.since.Add(c.conf.MaxWatchDelay), c.awaits()
 }
 
 // earliest is the first of the times added.
@@ -300,14 +300,14 @@
 // patience is how old this host's knowledge may get before it asks the store.
 func (c *Core) patience() time.Duration {
 	if c.ranks.alone() {
-		return c.conf.AloneEvery
+		return c.conf.SoloCheckInterval
 	}
 	return c.share(c.ranks.share())
 }
 
 // share returns a share of the time in which changes must be known.
 func (c *Core) share(part float64) time.Duration {
-	return time.Duration(part * float64(c.conf.ChangeWithin))
+	return time.Duration(part * float64(c.conf.MaxChangeDelay))
 }
 
 // learn takes in that all changes up to a revision are known.
--- a/pkg/storesync/network_test.go
+++ b/pkg/storesync/network_test.go
@@ -42,12 +42,12 @@
 	w.calls += 2
 	w.after(2*storeWay, func() {
 		h.input(life, func() {
-			wait, e := h.Begun(h.clock(), true, 800*time.Millisecond)
+			wait, e := h.InitialReadDone(h.clock(), true, 800*time.Millisecond)
 			h.do(e)
 			w.after(wait, func() {
 				h.input(life, func() {
 					if h.complete {
-						h.do(h.ReadSpared(h.clock()))
+						h.do(h.CancelRead(h.clock()))
 						return
 					}
 					w.calls += longCalls
@@ -74,7 +74,7 @@
 	w, life := h.world, h.life
 	w.calls++
 	h.ncalls++
-	h.watch = &openWatch{after: call.After, deaf: w.deaf && (call.Waits || w.keeps)}
+	h.watch = &openWatch{after: call.After, deaf: w.deaf && (call.LongPoll || w.keeps)}
 	h.watch.done = func(rev uint64, changed bool, err error) {
 		h.input(life, func() { h.do(h.WatchDone(h.clock(), rev, changed, err)) })
 	}
@@ -88,7 +88,7 @@
 			return
 		}
 		h.wakeWatch()
-		if h.watch == own && !call.Waits && h.storePath() == open {
+		if h.watch == own && !call.LongPoll && h.storePath() == open {
 			h.endWatch(w.revision, false, nil)
 		}
 	})
@@ -115,25 +115,27 @@
 
 func (w *world) find(a netip.AddrPort) *host { return w.byAddress[a] }
 
-func (h *host) ask(q Ask) {
+func (h *host) ask(q PeerFetch) {
 	w, life, began := h.world, h.life, h.clock()
 	peer := w.find(q.Peer)
 	fail := func(d time.Duration) {
-		w.after(d, func() { h.input(life, func() { h.do(h.AskDone(h.clock(), Host{Address: q.Peer}, News{}, errCall)) }) })
+		w.after(d, func() {
+			h.input(life, func() { h.do(h.FetchDone(h.clock(), Host{Address: q.Peer}, Update{}, errCall)) })
+		})
 	}
 	if h.peers != open || peer.peers != open || peer.paused {
 		fail(askTimeout)
 		return
 	}
 	w.after(peerWay, func() {
-		n, ok := peer.News(peer.clock())
+		n, ok := peer.Update(peer.clock())
 		if !peer.alive || !ok {
 			fail(peerWay)
 			return
 		}
-		n.Fresh = began.Add(n.Fresh.Sub(peer.clock()))
-		if !n.Returned.IsZero() {
-			n.Returned = n.Returned.Add(h.clock().Sub(peer.clock()))
+		n.AsOf = began.Add(n.AsOf.Sub(peer.clock()))
+		if !n.RecoveredAt.IsZero() {
+			n.RecoveredAt = n.RecoveredAt.Add(h.clock().Sub(peer.clock()))
 		}
 		peer.busy = later(peer.busy, w.now).Add(w.askCost)
 		waits := peer.busy.Sub(w.now)
@@ -146,7 +148,7 @@
 			peer.handOver(func(d time.Duration, b bool) { waits, busy = waits+d, b })
 			if busy {
 				w.after(peerWay, func() {
-					h.input(life, func() { h.do(h.AskDone(h.clock(), Host{Address: q.Peer}, News{}, ErrBusy)) })
+					h.input(life, func() { h.do(h.FetchDone(h.clock(), Host{Address: q.Peer}, Update{}, ErrBusy)) })
 				})
 				return
 			}
@@ -154,14 +156,14 @@
 		w.after(waits+peerWay, func() {
 			h.input(life, func() {
 				h.heardReturn(n, 0)
-				h.do(h.AskDone(h.clock(), peer.self, n, nil))
+				h.do(h.FetchDone(h.clock(), peer.self, n, nil))
 			})
 		})
 	})
 }
 
 // tell sends a message, with the changes in a share of them if it may carry any.
-func (h *host) tell(to []netip.AddrPort, n News, changes bool) {
+func (h *host) tell(to []netip.AddrPort, n Update, changes bool) {
 	w := h.world
 	sent, life := h.clock(), uint64(h.life)
 	for _, a := range to {
@@ -175,26 +177,26 @@
 		w.after(h.sending.Sub(w.now)+peerWay, func() {
 			peer.input(peer.life, func() {
 				own := n
-				late := peer.delays.Of(h.self.Address, life, sent.Sub(epoch), peer.clock())
-				own.Fresh = peer.clock().Add(n.Fresh.Sub(sent) - late)
-				own.Unanswered = nil
-				for _, u := range n.Unanswered {
+				late := peer.delays.Delay(h.self.Address, life, sent.Sub(epoch), peer.clock())
+				own.AsOf = peer.clock().Add(n.AsOf.Sub(sent) - late)
+				own.FailedCalls = nil
+				for _, u := range n.FailedCalls {
 					u.At = peer.clock().Add(u.At.Sub(sent) - late)
-					own.Unanswered = append(own.Unanswered, u)
+					own.FailedCalls = append(own.FailedCalls, u)
 				}
 				var known uint64
 				if changes && w.random.Float64() < w.inline {
 					known = n.Revision
 				}
 				peer.heardReturn(n, peer.clock().Sub(sent))
-				peer.do(peer.Heard(peer.clock(), h.self, own, known))
+				peer.do(peer.ApplyPeerUpdate(peer.clock(), h.self, own, known))
 			})
 		})
 	}
 }
 
-func (h *host) heardReturn(n News, way time.Duration) {
-	if !n.Returned.IsZero() {
-		h.do(h.HeardReturn(h.clock(), n.Returned.Add(way)))
+func (h *host) heardReturn(n Update, way time.Duration) {
+	if !n.RecoveredAt.IsZero() {
+		h.do(h.ApplyPeerRecovery(h.clock(), n.RecoveredAt.Add(way)))
 	}
 }
--- a/pkg/storesync/outage.go
+++ b/pkg/storesync/outage.go
@@ -9,8 +9,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// Unanswered is a call that the store did not answer.
-type Unanswered struct {
+// FailedCall is a call that the store did not answer.
+type FailedCall struct {
 	// Host made the call.
 	Host netip.AddrPort
 	// At is when it began, by the clock of the host that holds this value.
@@ -54,13 +54,13 @@
 // 99 and 473 hosts made 67, 72 and 72 calls (virtual time), and 137, 653 and 3,032
 // without it.
 type outage struct {
-	calls  []Unanswered // newest first, one for each host, up to witnesses
+	calls  []FailedCall // newest first, one for each host, up to witnesses
 	mixed  time.Time    // when the store last answered one host after it had not answered others
 	mixFor time.Duration
 }
 
 // add takes in a call that went unanswered.
-func (o *outage) add(call Unanswered) {
+func (o *outage) add(call FailedCall) {
 	if call.At.Before(o.mixed.Add(o.mixFor)) {
 		return
 	}
@@ -79,7 +79,7 @@
 	o.calls = o.calls[:min(len(o.calls), witnesses)]
 }
 
-func newestFirst(a, b Unanswered) int {
+func newestFirst(a, b FailedCall) int {
 	return cmp.Or(b.At.Compare(a.At), a.Host.Compare(b.Host))
 }
 
@@ -103,8 +103,8 @@
 }
 
 // since returns the calls that began after t. The result must not be changed.
-func (o *outage) since(t time.Time) []Unanswered {
-	n, _ := slices.BinarySearchFunc(o.calls, t, func(u Unanswered, t time.Time) int { return t.Compare(u.At) })
+func (o *outage) since(t time.Time) []FailedCall {
+	n, _ := slices.BinarySearchFunc(o.calls, t, func(u FailedCall, t time.Time) int { return t.Compare(u.At) })
 	return slices.Clone(o.calls[:n])
 }
 
@@ -133,7 +133,7 @@
 }
 
 // heardUnanswered takes in calls of other hosts that went unanswered.
-func (c *Core) heardUnanswered(now time.Time, calls []Unanswered) {
+func (c *Core) heardUnanswered(now time.Time, calls []FailedCall) {
 	spared := c.spared()
 	for _, call := range calls {
 		c.outage.add(call)
@@ -194,10 +194,10 @@
 		return
 	}
 	c.reported = began
-	c.outage.add(Unanswered{Host: c.ranks.self.Address, At: began})
+	c.outage.add(FailedCall{Host: c.ranks.self.Address, At: began})
 	if now.Sub(c.toldOf) < c.share(tellUnanswered) {
 		return
 	}
 	c.toldOf = now
-	c.out.Warn = c.ranks.everyone()
+	c.out.SendOutageUpdate = c.ranks.everyone()
 }
--- a/pkg/storesync/outage_test.go
+++ b/pkg/storesync/outage_test.go
@@ -16,9 +16,9 @@
 const outer = 5 * time.Second
 
 // unansweredBy is a call of a host that went unanswered, begun at a time since epoch.
-func unansweredBy(host int, at time.Duration) Unanswered {
+func unansweredBy(host int, at time.Duration) FailedCall {
 	a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(host + 1)}), 7200)
-	return Unanswered{Host: a, At: epoch.Add(at)}
+	return FailedCall{Host: a, At: epoch.Add(at)}
 }
 
 func TestOutageKeepsTheNewestCallOfEachHost(t *testing.T) {
--- a/pkg/storesync/peers.go
+++ b/pkg/storesync/peers.go
@@ -24,23 +24,23 @@
 	busyTries = 5
 )
 
-// HeardReturn takes in that a peer saw the end of an outage of the store. It goes
+// ApplyPeerRecovery takes in that a peer saw the end of an outage of the store. It goes
 // before what the same message says of changes.
-func (c *Core) HeardReturn(now, returned time.Time) Effects {
+func (c *Core) ApplyPeerRecovery(now, returned time.Time) Effects {
 	c.hasReturned(returned)
 	return c.step(now)
 }
 
-// Heard takes in what a peer tells. If the message brought the changes that this
+// ApplyPeerUpdate takes in what a peer tells. If the message brought the changes that this
 // host lacks, known is their revision, and they are in force already; else 0.
-func (c *Core) Heard(now time.Time, from Host, n News, known uint64) Effects {
+func (c *Core) ApplyPeerUpdate(now time.Time, from Host, n Update, known uint64) Effects {
 	if !c.complete {
 		return c.step(now)
 	}
 	before := c.known()
-	c.heardUnanswered(now, n.Unanswered)
+	c.heardUnanswered(now, n.FailedCalls)
 	c.learn(known)
-	c.await(now, n.Revision, n.Fresh, from.Address)
+	c.await(now, n.Revision, n.AsOf, from.Address)
 	c.arrived(from, n.Tree)
 	c.spread(now, before)
 	return c.step(now)
@@ -113,28 +113,28 @@
 
 func (c *Core) ask(peer netip.AddrPort) {
 	c.asking = true
-	c.out.Ask = &Ask{Peer: peer, After: c.revision}
+	c.out.Fetch = &PeerFetch{Peer: peer, After: c.revision}
 	if c.awaits() {
-		c.out.Ask.Longer = c.largeAnswer(c.awaited.revision - c.revision)
+		c.out.Fetch.ExtraTimeout = c.largeAnswer(c.awaited.revision - c.revision)
 	}
 }
 
-// AskDone gives the result of Effects.Ask. What the peer told is in force
+// FetchDone gives the result of Effects.Fetch. What the peer told is in force
 // already. Fresh and Returned of n are by this host's clock.
-func (c *Core) AskDone(now time.Time, from Host, n News, err error) Effects {
+func (c *Core) FetchDone(now time.Time, from Host, n Update, err error) Effects {
 	c.asking = false
 	if err != nil {
 		c.peerFailed(now, from, err)
 		return c.step(now)
 	}
 	before := c.known()
-	if !c.complete && n.Revision <= c.revision && n.Fresh.Before(c.missedAt) {
+	if !c.complete && n.Revision <= c.revision && n.AsOf.Before(c.missedAt) {
 		c.nextAsk = now.Add(askPause) // that one lacks the same changes
 		return c.step(now)
 	}
 	c.complete = true
 	c.learn(n.Revision)
-	c.confirm(n.Fresh)
+	c.confirm(n.AsOf)
 	c.spread(now, before)
 	return c.step(now)
 }
@@ -205,5 +205,5 @@
 	if c.awaits() {
 		return
 	}
-	c.out.Tell = c.ranks.everyone()
+	c.out.SendUpdate = c.ranks.everyone()
 }
--- a/pkg/storesync/store.go
+++ b/pkg/storesync/store.go
@@ -32,12 +32,12 @@
 	case c.watch == nil:
 		c.stepNewWatch(now)
 	case c.stopping:
-	case !c.watch.Waits && !now.Before(c.fetchedBy()):
+	case !c.watch.LongPoll && !now.Before(c.fetchedBy()):
 		c.endWatch()
-	case c.watch.Waits && c.awaits() && !now.Before(c.awaited.since.Add(c.conf.WatchSlack)):
+	case c.watch.LongPoll && c.awaits() && !now.Before(c.awaited.since.Add(c.conf.MaxWatchDelay)):
 		c.endWatch()
 		c.emit(event.StoreWatchBehind, event.Event{Value: int64(c.revision)})
-	case c.watch.Waits && !c.watches():
+	case c.watch.LongPoll && !c.watches():
 		c.endWatch()
 	}
 }
@@ -54,7 +54,7 @@
 
 // fetchedBy is when a watch that does not wait must have told of what this host lacks.
 func (c *Core) fetchedBy() time.Time {
-	return c.watched.Add(c.conf.WatchSlack + c.largeAnswer(c.awaited.revision-min(c.revision, c.awaited.revision)))
+	return c.watched.Add(c.conf.MaxWatchDelay + c.largeAnswer(c.awaited.revision-min(c.revision, c.awaited.revision)))
 }
 
 const (
@@ -77,7 +77,7 @@
 }
 
 func (c *Core) startWatch(now time.Time, waits bool) {
-	c.watch = &Watch{After: c.revision, Waits: waits}
+	c.watch = &Watch{After: c.revision, LongPoll: waits}
 	c.watched = now
 	c.out.Watch = c.watch
 }
@@ -119,14 +119,14 @@
 	case checking:
 		c.out.Check = true
 	case looking:
-		c.out.Look = true
+		c.out.Ping = true
 	}
 }
 
-// Begun takes in that a part of everything is in force. It returns how long to wait for peers
+// InitialReadDone takes in that a part of everything is in force. It returns how long to wait for peers
 // to hand over the rest before it is read: where it takes many calls, a few hosts read it and
 // the others ask them.
-func (c *Core) Begun(now time.Time, long bool, within time.Duration) (time.Duration, Effects) {
+func (c *Core) InitialReadDone(now time.Time, long bool, within time.Duration) (time.Duration, Effects) {
 	wait := time.Duration(c.conf.Jitter() * float64(within))
 	switch {
 	case !long:
@@ -147,8 +147,8 @@
 	longRest = 3
 )
 
-// ReadSpared takes in that Effects.Read is not needed any more: a peer handed over the rest.
-func (c *Core) ReadSpared(now time.Time) Effects {
+// CancelRead takes in that Effects.Read is not needed any more: a peer handed over the rest.
+func (c *Core) CancelRead(now time.Time) Effects {
 	c.call = idle
 	return c.step(now)
 }
@@ -182,8 +182,8 @@
 	return c.step(now)
 }
 
-// LookDone gives the result of Effects.Look.
-func (c *Core) LookDone(now time.Time, err error) Effects {
+// PingDone gives the result of Effects.Ping.
+func (c *Core) PingDone(now time.Time, err error) Effects {
 	c.call = idle
 	if err != nil {
 		c.lost(now, c.began, err)
@@ -197,7 +197,7 @@
 // whether anything had changed. The changes are in force already. An error of a
 // watch that was stopped says nothing of the store.
 func (c *Core) WatchDone(now time.Time, revision uint64, changed bool, err error) Effects {
-	waited, stopped := c.watch.Waits, c.stopping
+	waited, stopped := c.watch.LongPoll, c.stopping
 	began := c.watched
 	c.watch, c.stopping = nil, false
 	switch {
@@ -241,19 +241,19 @@
 
 // settleAfter returns the pause after changes that took a watch some time.
 func (c *Core) settleAfter(took time.Duration) time.Duration {
-	if took > c.conf.SettleMax {
+	if took > c.conf.DebounceMax {
 		c.settle = 0
 	}
-	c.settle = min(max(2*c.settle, c.conf.SettleMin), c.settleMax())
+	c.settle = min(max(2*c.settle, c.conf.DebounceMin), c.settleMax())
 	return c.settle
 }
 
 // settleMax is shorter while others wait for what this host learns.
 func (c *Core) settleMax() time.Duration {
 	if c.ranks.alone() {
-		return c.conf.SettleMax
+		return c.conf.DebounceMax
 	}
-	return 2 * c.conf.SettleMin
+	return 2 * c.conf.DebounceMin
 }
 
 // lost takes in that a call failed. One that began before the store was answering
@@ -301,11 +301,11 @@
 // hasReturned takes in that an outage ended at t. News of the same outage from
 // another host changes nothing.
 func (c *Core) hasReturned(t time.Time) {
-	if t.Sub(c.returned) < c.conf.ReturnedFor {
+	if t.Sub(c.returned) < c.conf.RecoveryAnnouncePeriod {
 		return
 	}
 	c.returned = t
-	c.out.Returned = t
+	c.out.RecoveredAt = t
 }
 
 // looksOften reports whether this host looks for all whether the store is back: it is
--- a/pkg/storesync/tree.go
+++ b/pkg/storesync/tree.go
@@ -158,9 +158,9 @@
 		switch {
 		case !ok:
 		case newer:
-			c.out.Tell = append(c.out.Tell, way)
+			c.out.SendUpdate = append(c.out.SendUpdate, way)
 		default:
-			c.out.Warn = append(c.out.Warn, way)
+			c.out.SendOutageUpdate = append(c.out.SendOutageUpdate, way)
 		}
 	}
 }
--- a/pkg/storesync/world_test.go
+++ b/pkg/storesync/world_test.go
@@ -64,7 +64,7 @@
 	harmed   time.Time // when a fault of this host last began or ended
 	tick     time.Time // when Tick is scheduled
 	watch    *openWatch
-	delays   Delays
+	delays   DelayEstimator
 	ncalls   int
 	busy     time.Time // until when it answers questions
 	serving  int       // peers that it hands everything to
@@ -146,18 +146,18 @@
 	}
 
 	return Config{
-		ChangeWithin: changeWithin,
-		AloneEvery:   1500 * time.Millisecond,
-		WatchSlack:   150 * time.Millisecond,
-		SettleMin:    150 * time.Millisecond,
-		SettleMax:    1300 * time.Millisecond,
-		MinOutage:    500 * time.Millisecond,
-		ReturnedFor:  3 * time.Second,
-		RetryMin:     150 * time.Millisecond,
-		RetryMax:     400 * time.Millisecond,
-		ReadAfter:    readAfter,
-		AskAfter:     askAfter,
-		Jitter:       w.random.Float64,
+		MaxChangeDelay:         changeWithin,
+		SoloCheckInterval:      1500 * time.Millisecond,
+		MaxWatchDelay:          150 * time.Millisecond,
+		DebounceMin:            150 * time.Millisecond,
+		DebounceMax:            1300 * time.Millisecond,
+		MinOutage:              500 * time.Millisecond,
+		RecoveryAnnouncePeriod: 3 * time.Second,
+		RetryMin:               150 * time.Millisecond,
+		RetryMax:               400 * time.Millisecond,
+		StartReadDelay:         readAfter,
+		StartFetchDelay:        askAfter,
+		Jitter:                 w.random.Float64,
 	}
 }
 
@@ -207,7 +207,7 @@
 	}
 	w.after(w.viewLag/2+time.Duration(w.random.Float64()*float64(w.viewLag)/2), func() {
 		for _, h := range w.hosts {
-			h.input(h.life, func() { h.do(h.Hosts(h.clock(), h.self, alive, true)) })
+			h.input(h.life, func() { h.do(h.SetHosts(h.clock(), h.self, alive, true)) })
 		}
 	})
 }
@@ -217,7 +217,7 @@
 func (h *host) start(first bool) {
 	h.life++
 	h.alive, h.paused, h.held, h.watch = true, false, nil, nil
-	h.delays = Delays{}
+	h.delays = DelayEstimator{}
 	h.harmed = h.world.now
 	h.tick = time.Time{}
 	h.frozen, h.stood = false, 0
@@ -226,7 +226,7 @@
 	for _, s := range h.world.hosts[:min(seeds, len(h.world.hosts))] {
 		known = append(known, Host{Address: s.self.Address})
 	}
-	h.input(h.life, func() { h.do(h.Hosts(h.clock(), h.self, known, false)) })
+	h.input(h.life, func() { h.do(h.SetHosts(h.clock(), h.self, known, false)) })
 }
 
 func (h *host) kill() {
@@ -295,7 +295,7 @@
 	for _, ev := range e.Events {
 		h.events[ev.Code]++
 	}
-	if !e.Returned.IsZero() {
+	if !e.RecoveredAt.IsZero() {
 		h.returned++
 	}
 	switch {
@@ -307,8 +307,8 @@
 	if e.Check {
 		h.call(func(rev uint64, err error) Effects { return h.CheckDone(h.clock(), rev, err) })
 	}
-	if e.Look {
-		h.call(func(_ uint64, err error) Effects { return h.LookDone(h.clock(), err) })
+	if e.Ping {
+		h.call(func(_ uint64, err error) Effects { return h.PingDone(h.clock(), err) })
 	}
 	if e.Watch != nil {
 		h.beginWatch(*e.Watch)
@@ -316,17 +316,17 @@
 	if e.StopWatch && h.watch != nil {
 		h.endWatch(0, false, errCall)
 	}
-	if e.Ask != nil {
-		h.ask(*e.Ask)
+	if e.Fetch != nil {
+		h.ask(*e.Fetch)
 	}
-	for _, way := range e.Tell {
-		if n, ok := h.News(h.clock()); ok {
+	for _, way := range e.SendUpdate {
+		if n, ok := h.Update(h.clock()); ok {
 			n.Tree = way.Tree
 			h.tell(way.To, n, true)
 		}
 	}
-	for _, way := range e.Warn {
-		if n, ok := h.Warning(h.clock()); ok {
+	for _, way := range e.SendOutageUpdate {
+		if n, ok := h.OutageUpdate(h.clock()); ok {
 			n.Tree = way.Tree
 			h.tell(way.To, n, false)
 		}
@@ -335,7 +335,7 @@
 }
 
 func (h *host) schedule() {
-	due, ok := h.Due()
+	due, ok := h.NextTick()
 	if !ok || due.Equal(h.tick) {
 		return
 	}
