--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -70,9 +70,9 @@
 	}
 	f.news = peertransport.New(peertransport.Config{
 		Address: f.newsAddress(address),
-		Heard:   func(t *storewatch.Told) { g.follower.Heard(t) },
-		Answer: func(ctx context.Context, after uint64) (*storewatch.Told, error) {
-			return g.follower.Answer(ctx, after)
+		Heard:   func(t *storewatch.PeerMessage) { g.follower.ApplyPeerMessage(t) },
+		Answer: func(ctx context.Context, after uint64) (*storewatch.PeerMessage, error) {
+			return g.follower.ServeFetch(ctx, after)
 		},
 		Events: g.sink,
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -51,7 +51,7 @@
 
 	loop     *control.Loop
 	control  *controller
-	follower *storewatch.Follower
+	follower *storewatch.Watcher
 	fleet    *fleet // nil without peers
 	hosts    int    // known to be in the fleet, 0 while unknown; of the control goroutine
 	quotas   *quotas.Keeper
@@ -226,19 +226,19 @@
 		return err
 	}
 	conf := storewatch.Config{
-		Store:        store,
-		Follow:       g.followConfig(),
-		Read:         func(s *storewatch.State) { g.surely(func() { g.control.read(s) }) },
-		Part:         g.readPart,
-		RestWithin:   restWithin,
-		Changed:      func(c *storewatch.Changes) { g.surely(func() { g.control.changed(c) }) },
-		Returned:     func(at time.Time) { g.surely(func() { g.control.returned(at) }) },
-		Events:       g.sink,
-		WatchWait:    watchWait,
-		ReadTimeout:  readTimeout,
-		RestTimeout:  restTimeout,
-		CheckTimeout: checkTimeout,
-		AskTimeout:   peerTimeout,
+		Store:              store,
+		Follow:             g.followConfig(),
+		OnRead:             func(s *storewatch.State) { g.surely(func() { g.control.read(s) }) },
+		OnInitialRead:      g.readPart,
+		FullReadSpread:     restWithin,
+		OnChanges:          func(c *storewatch.Changes) { g.surely(func() { g.control.changed(c) }) },
+		OnRecovery:         func(at time.Time) { g.surely(func() { g.control.returned(at) }) },
+		Events:             g.sink,
+		WatchWait:          watchWait,
+		InitialReadTimeout: readTimeout,
+		FullReadTimeout:    restTimeout,
+		CheckTimeout:       checkTimeout,
+		FetchTimeout:       peerTimeout,
 	}
 	if fleet == nil {
 		g.control.pools.options.Turns.Set(clock.Now(), turns.Place{Hosts: 1})
@@ -249,7 +249,7 @@
 		conf.Self = fleet.self()
 		conf.Follow.StartReadDelay, conf.Follow.StartFetchDelay = fleet.startTimes()
 	}
-	g.follower = storewatch.NewFollower(conf)
+	g.follower = storewatch.NewWatcher(conf)
 	g.loop.Every(tickEvery, g.control.tick)
 	g.loop.Every(gossip.RepeatEvery, g.repeatDeaths)
 	g.loop.Every(gossip.RepeatEvery, g.repeatLimits)
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -104,5 +104,5 @@
 // keysKnown reports whether this host knows all keys that were revoked, or need not.
 func (g *Gateway) keysKnown() bool {
 	within := g.keysKnownWithin.Load()
-	return within == 0 || clock.Since(g.follower.Fresh()) <= time.Duration(within)
+	return within == 0 || clock.Since(g.follower.AsOf()) <= time.Duration(within)
 }
--- a/internal/peertransport/answer.go
+++ b/internal/peertransport/answer.go
@@ -96,7 +96,7 @@
 }
 
 // pack returns the compressed body of an answer.
-func (t *Transport) pack(after uint64, told *storewatch.Told) ([]byte, error) {
+func (t *Transport) pack(after uint64, told *storewatch.PeerMessage) ([]byte, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	kept := &t.packed.changes
@@ -123,8 +123,8 @@
 	return out.Bytes(), nil
 }
 
-// Ask implements storewatch.Peers.
-func (t *Transport) Ask(ctx context.Context, peer netip.AddrPort, after uint64) (*storewatch.Told, error) {
+// Fetch implements storewatch.Peers.
+func (t *Transport) Fetch(ctx context.Context, peer netip.AddrPort, after uint64) (*storewatch.PeerMessage, error) {
 	url := "http://" + peer.String() + path + "?" + paramAfter + "=" + strconv.FormatUint(after, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -142,7 +142,7 @@
 	default:
 		return nil, &httpget.StatusError{Code: resp.StatusCode}
 	}
-	told := new(storewatch.Told)
+	told := new(storewatch.PeerMessage)
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(told); err != nil {
 		return nil, errors.Wrap(err, "answer")
 	}
--- a/internal/peertransport/news.go
+++ b/internal/peertransport/news.go
@@ -48,9 +48,9 @@
 	// Address is where peers reach this host, over UDP and TCP.
 	Address netip.AddrPort
 	// Heard takes in a message.
-	Heard func(*storewatch.Told)
+	Heard func(*storewatch.PeerMessage)
 	// Answer answers a question of a peer.
-	Answer func(ctx context.Context, after uint64) (*storewatch.Told, error)
+	Answer func(ctx context.Context, after uint64) (*storewatch.PeerMessage, error)
 	// HeardPoison takes in what a peer tells of ends of upstreams.
 	HeardPoison func(died []poison.Death, answered []poison.Fingerprint)
 	// HeardLimits takes in what a peer tells of the limits of upstreams.
@@ -128,9 +128,9 @@
 	_ = t.server.Close()
 }
 
-// Tell implements storewatch.Peers. A message that can't be sent is as one that is
+// Send implements storewatch.Peers. A message that can't be sent is as one that is
 // lost.
-func (t *Transport) Tell(to []netip.AddrPort, told *storewatch.Told) {
+func (t *Transport) Send(to []netip.AddrPort, told *storewatch.PeerMessage) {
 	datagram, err := encodeDatagram(told)
 	if err != nil {
 		t.refused(err)
@@ -146,7 +146,7 @@
 }
 
 // encodeDatagram leaves the changes out if they don't fit.
-func encodeDatagram(told *storewatch.Told) ([]byte, error) {
+func encodeDatagram(told *storewatch.PeerMessage) ([]byte, error) {
 	datagram, err := json.Marshal(told)
 	if err != nil || len(datagram) <= maxDatagramBytes {
 		return datagram, err
@@ -214,8 +214,8 @@
 	return func(text []byte, _ netip.AddrPort) error { return heard(text) }
 }
 
-func decodeDatagram(datagram []byte) (*storewatch.Told, error) {
-	told := new(storewatch.Told)
+func decodeDatagram(datagram []byte) (*storewatch.PeerMessage, error) {
+	told := new(storewatch.PeerMessage)
 	if err := json.Unmarshal(datagram, told); err != nil {
 		return nil, errors.Wrap(err, "message")
 	}
@@ -223,7 +223,7 @@
 }
 
 // validate checks what another version of the product may write otherwise.
-func validate(told *storewatch.Told) error {
+func validate(told *storewatch.PeerMessage) error {
 	switch {
 	case told.Revision == 0:
 		return errors.New("revision: is 0")
@@ -244,8 +244,8 @@
 // maxUnanswered bounds the calls of one message; hosts of this version name three.
 const maxUnanswered = 16
 
-func validUnanswered(calls []storewatch.Unanswered) bool {
-	return len(calls) <= maxUnanswered && !slices.ContainsFunc(calls, func(u storewatch.Unanswered) bool {
+func validUnanswered(calls []storewatch.FailedCall) bool {
+	return len(calls) <= maxUnanswered && !slices.ContainsFunc(calls, func(u storewatch.FailedCall) bool {
 		return !u.Host.IsValid() || u.Age < 0
 	})
 }
--- a/internal/peertransport/news_test.go
+++ b/internal/peertransport/news_test.go
@@ -29,10 +29,10 @@
 type host struct {
 	*Transport
 	address netip.AddrPort
-	heard   chan *storewatch.Told
+	heard   chan *storewatch.PeerMessage
 	mu      sync.Mutex
 	events  []event.Event
-	told    *storewatch.Told // its answer; nil knows nothing
+	told    *storewatch.PeerMessage // its answer; nil knows nothing
 	poison  chan poisonHeard
 	limits  chan []ratelimit.News
 	book    *ratelimit.Book
@@ -77,14 +77,14 @@
 
 func begin(t *testing.T) *host {
 	address := freeAddress(t)
-	h := &host{address: address, heard: make(chan *storewatch.Told, 8), poison: make(chan poisonHeard, 8),
+	h := &host{address: address, heard: make(chan *storewatch.PeerMessage, 8), poison: make(chan poisonHeard, 8),
 		limits: make(chan []ratelimit.News, 8), book: ratelimit.NewBook(turns.Alone())}
 	h.Transport = New(Config{
 		Address: address,
-		Heard:   func(told *storewatch.Told) { h.heard <- told },
-		Answer: func(context.Context, uint64) (*storewatch.Told, error) {
+		Heard:   func(told *storewatch.PeerMessage) { h.heard <- told },
+		Answer: func(context.Context, uint64) (*storewatch.PeerMessage, error) {
 			if h.told == nil {
-				return nil, storewatch.ErrKnowsNothing
+				return nil, storewatch.ErrNoState
 			}
 			return h.told, nil
 		},
@@ -103,8 +103,8 @@
 	return h
 }
 
-func (h *host) message(upstreams int) *storewatch.Told {
-	out := &storewatch.Told{
+func (h *host) message(upstreams int) *storewatch.PeerMessage {
+	out := &storewatch.PeerMessage{
 		From:     storesync.Host{Address: h.address, FailureDomain: "a"},
 		Revision: 7,
 		Age:      40 * time.Millisecond,
@@ -118,7 +118,7 @@
 	return out
 }
 
-func (h *host) hears(t *testing.T) *storewatch.Told {
+func (h *host) hears(t *testing.T) *storewatch.PeerMessage {
 	t.Helper()
 	select {
 	case told := <-h.heard:
@@ -132,10 +132,10 @@
 func TestTellCarriesChangesThatFit(t *testing.T) {
 	is := is.New(t)
 	a, b := begin(t), begin(t)
-	a.Tell([]netip.AddrPort{b.address}, a.message(2))
+	a.Send([]netip.AddrPort{b.address}, a.message(2))
 	got := b.hears(t)
 	is.Equal(got, a.message(2))
-	a.Tell([]netip.AddrPort{b.address}, a.message(200))
+	a.Send([]netip.AddrPort{b.address}, a.message(200))
 	got = b.hears(t)
 	is.Equal(got.Changes, nil)
 	is.Equal(got.Revision, uint64(7))
@@ -145,8 +145,8 @@
 	is := is.New(t)
 	a, b := begin(t), begin(t)
 	told := a.message(0)
-	told.Unanswered = []storewatch.Unanswered{{Host: b.address, Age: time.Second}, {Host: a.address}}
-	a.Tell([]netip.AddrPort{b.address}, told)
+	told.Unanswered = []storewatch.FailedCall{{Host: b.address, Age: time.Second}, {Host: a.address}}
+	a.Send([]netip.AddrPort{b.address}, told)
 	is.Equal(b.hears(t), told)
 }
 
@@ -158,15 +158,15 @@
 	empty := a.message(0)
 	empty.Revision = 0
 	early, nameless, many := a.message(0), a.message(0), a.message(0)
-	early.Unanswered = []storewatch.Unanswered{{Host: a.address, Age: -1}}
-	nameless.Unanswered = []storewatch.Unanswered{{}}
-	many.Unanswered = slices.Repeat([]storewatch.Unanswered{{Host: a.address}}, maxUnanswered+1)
-	for _, told := range []*storewatch.Told{forged, empty, early, nameless, many} {
-		a.Tell([]netip.AddrPort{b.address}, told)
+	early.Unanswered = []storewatch.FailedCall{{Host: a.address, Age: -1}}
+	nameless.Unanswered = []storewatch.FailedCall{{}}
+	many.Unanswered = slices.Repeat([]storewatch.FailedCall{{Host: a.address}}, maxUnanswered+1)
+	for _, told := range []*storewatch.PeerMessage{forged, empty, early, nameless, many} {
+		a.Send([]netip.AddrPort{b.address}, told)
 	}
 	_, err := a.conn.WriteToUDPAddrPort([]byte("{"), b.address)
 	is.NoErr(err)
-	a.Tell([]netip.AddrPort{b.address}, a.message(1))
+	a.Send([]netip.AddrPort{b.address}, a.message(1))
 	is.Equal(len(b.hears(t).Changes.Events), 1)
 	is.Equal(b.refusals(), 6)
 }
@@ -176,7 +176,7 @@
 func TestAsk(t *testing.T) {
 	is := is.New(t)
 	a, b := begin(t), begin(t)
-	_, err := a.Ask(t.Context(), b.address, 0)
+	_, err := a.Fetch(t.Context(), b.address, 0)
 	status := new(httpget.StatusError)
 	is.True(errors.As(err, &status))
 	is.Equal(status.Code, http.StatusServiceUnavailable)
@@ -188,7 +188,7 @@
 	b.told = told
 	for _, age := range []time.Duration{40 * time.Millisecond, 900 * time.Millisecond} {
 		told.Age = age
-		got, err := a.Ask(t.Context(), b.address, 0)
+		got, err := a.Fetch(t.Context(), b.address, 0)
 		is.NoErr(err)
 		is.True(got.Age >= age)
 		is.True(got.ReturnedAge == time.Second)
@@ -222,7 +222,7 @@
 	a, b := begin(t), begin(t)
 	b.told = b.message(0)
 	b.told.Changes.Configurations = []*config.Configuration{{}} // version 0
-	_, err := a.Ask(t.Context(), b.address, 5)
+	_, err := a.Fetch(t.Context(), b.address, 5)
 	is.True(err != nil)
 }
 
--- a/internal/storewatch/follower.go
+++ b/internal/storewatch/follower.go
@@ -21,39 +21,39 @@
 	Self storesync.Host
 	// Peers reaches the other hosts; nil for a host that has none.
 	Peers Peers
-	// Read takes in everything that is published. Like Changed and Returned it is
+	// OnRead takes in everything that is published. Like Changed and Returned it is
 	// called on the follower's goroutine.
-	Read func(*State)
-	// Part takes in a part of everything, while a host that knows nothing yet reads the
+	OnRead func(*State)
+	// OnInitialRead takes in a part of everything, while a host that knows nothing yet reads the
 	// rest. It reports whether the host serves with it.
-	Part func(*State) bool
-	// RestWithin is the time over which the hosts that serve with a part spread their
+	OnInitialRead func(*State) bool
+	// FullReadSpread is the time over which the hosts that serve with a part spread their
 	// reads of the rest.
-	RestWithin time.Duration
-	// Changed takes in changes.
-	Changed func(*Changes)
-	// Returned is told since when the store answers again after an outage in which
+	FullReadSpread time.Duration
+	// OnChanges takes in changes.
+	OnChanges func(*Changes)
+	// OnRecovery is told since when the store answers again after an outage in which
 	// leases may have run out.
-	Returned func(at time.Time)
+	OnRecovery func(at time.Time)
 	// Events receives what was lost, regained and refused.
 	Events event.Sink
 	// WatchWait is how long one watch waits at the store.
 	WatchWait time.Duration
-	// ReadTimeout bounds a call that reads a part of everything, and RestTimeout the calls
+	// InitialReadTimeout bounds a call that reads a part of everything, and RestTimeout the calls
 	// that read the rest.
-	ReadTimeout, RestTimeout time.Duration
+	InitialReadTimeout, FullReadTimeout time.Duration
 	// CheckTimeout is the silence after which a short call has failed.
 	CheckTimeout time.Duration
-	// AskTimeout is the silence after which a question to a peer has failed.
-	AskTimeout time.Duration
+	// FetchTimeout is the silence after which a question to a peer has failed.
+	FetchTimeout time.Duration
 }
 
 // inputsLength bounds the results and messages that wait for the follower.
 const inputsLength = 256
 
-// Follower keeps an entry host in step with a store: it carries out what
+// Watcher keeps an entry host in step with a store: it carries out what
 // storesync.Core decides.
-type Follower struct {
+type Watcher struct {
 	conf    Config
 	inputs  chan func()
 	process uint64 // names this process
@@ -69,10 +69,10 @@
 	ctx                  context.Context
 }
 
-// NewFollower returns a follower that has read nothing.
-func NewFollower(conf Config) *Follower {
+// NewWatcher returns a follower that has read nothing.
+func NewWatcher(conf Config) *Watcher {
 	now := clock.Now()
-	f := &Follower{
+	f := &Watcher{
 		conf:    conf,
 		inputs:  make(chan func(), inputsLength),
 		process: rand.Uint64(),
@@ -84,13 +84,13 @@
 	return f
 }
 
-// Fresh returns the newest moment of which this host knows every change; zero while it knows
+// AsOf returns the newest moment of which this host knows every change; zero while it knows
 // nothing. It may be called on any goroutine.
-func (f *Follower) Fresh() time.Time { return *f.fresh.Load() }
+func (f *Watcher) AsOf() time.Time { return *f.fresh.Load() }
 
 // Run follows the store until ctx ends. Hosts that were set before are known from
 // the start.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Watcher) Run(ctx context.Context) {
 	f.ctx = ctx
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -115,7 +115,7 @@
 }
 
 // post hands work to Run's goroutine, unless ctx ends first.
-func (f *Follower) post(ctx context.Context, input func()) {
+func (f *Watcher) post(ctx context.Context, input func()) {
 	select {
 	case f.inputs <- input:
 	case <-ctx.Done():
@@ -123,7 +123,7 @@
 }
 
 // do carries out effects; what takes time runs beside and posts its result.
-func (f *Follower) do(e storesync.Effects) {
+func (f *Watcher) do(e storesync.Effects) {
 	if fresh := f.core.AsOf(); !fresh.Equal(*f.fresh.Load()) {
 		f.fresh.Store(&fresh)
 	}
@@ -131,7 +131,7 @@
 		f.emit(ev)
 	}
 	if !e.RecoveredAt.IsZero() {
-		f.conf.Returned(e.RecoveredAt)
+		f.conf.OnRecovery(e.RecoveredAt)
 	}
 	ctx := f.ctx
 	if e.Read {
@@ -161,7 +161,7 @@
 // read reads everything. A host that can serve with the first part of it leaves the
 // store to others for a while: where all hosts start at once, the store's link is the
 // narrowest, and what each needs to begin is a small part of everything.
-func (f *Follower) read(ctx context.Context) {
+func (f *Watcher) read(ctx context.Context) {
 	state, spared, err := f.begin(ctx)
 	if spared {
 		f.post(ctx, func() { f.do(f.core.CancelRead(clock.Now())) })
@@ -183,10 +183,10 @@
 
 // begin reads the first part and puts it in force. It returns when the rest is due, or
 // spared if a peer has handed it over by then.
-func (f *Follower) begin(ctx context.Context) (begun *State, spared bool, err error) {
-	callCtx, cancel := context.WithTimeout(ctx, f.conf.ReadTimeout)
+func (f *Watcher) begin(ctx context.Context) (begun *State, spared bool, err error) {
+	callCtx, cancel := context.WithTimeout(ctx, f.conf.InitialReadTimeout)
 	defer cancel()
-	begun, err = f.conf.Store.Begin(callCtx)
+	begun, err = f.conf.Store.ReadInitial(callCtx)
 	if err != nil {
 		return nil, false, err
 	}
@@ -204,7 +204,7 @@
 }
 
 // runOnce runs input on Run's goroutine and waits for its end.
-func (f *Follower) runOnce(ctx context.Context, input func()) error {
+func (f *Watcher) runOnce(ctx context.Context, input func()) error {
 	done := make(chan struct{})
 	f.post(ctx, func() {
 		defer close(done)
@@ -218,23 +218,23 @@
 	}
 }
 
-func (f *Follower) rest(ctx context.Context, begun *State) (*State, error) {
-	callCtx, cancel := context.WithTimeout(ctx, f.conf.RestTimeout)
+func (f *Watcher) rest(ctx context.Context, begun *State) (*State, error) {
+	callCtx, cancel := context.WithTimeout(ctx, f.conf.FullReadTimeout)
 	defer cancel()
-	return f.conf.Store.Rest(callCtx, begun)
+	return f.conf.Store.ReadAll(callCtx, begun)
 }
 
-func (f *Follower) check(ctx context.Context) {
+func (f *Watcher) check(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, f.conf.CheckTimeout)
 	defer cancel()
 	revision, err := f.conf.Store.Revision(callCtx)
 	f.post(ctx, func() { f.do(f.core.CheckDone(clock.Now(), revision, err)) })
 }
 
-func (f *Follower) look(ctx context.Context) {
+func (f *Watcher) look(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, f.conf.CheckTimeout)
 	defer cancel()
-	err := f.conf.Store.Alive(callCtx)
+	err := f.conf.Store.Ping(callCtx)
 	f.post(ctx, func() { f.do(f.core.PingDone(clock.Now(), err)) })
 }
 
@@ -242,10 +242,10 @@
 const shortWait = time.Millisecond
 
 // watch calls with watchCtx, which may be ended early.
-func (f *Follower) watch(ctx, watchCtx context.Context, call storesync.Watch) {
+func (f *Watcher) watch(ctx, watchCtx context.Context, call storesync.Watch) {
 	wait, timeout := shortWait, f.conf.CheckTimeout
 	if call.LongPoll {
-		wait, timeout = f.conf.WatchWait, f.conf.WatchWait+f.conf.ReadTimeout
+		wait, timeout = f.conf.WatchWait, f.conf.WatchWait+f.conf.InitialReadTimeout
 	}
 	callCtx, cancel := context.WithTimeout(watchCtx, timeout)
 	defer cancel()
@@ -263,37 +263,37 @@
 }
 
 // takeAll puts everything in force.
-func (f *Follower) takeAll(s *State) {
+func (f *Watcher) takeAll(s *State) {
 	f.mirror.replace(s)
-	f.conf.Read(s)
+	f.conf.OnRead(s)
 }
 
 // takePart lets a host that knows nothing serve with a part. It returns how long to wait for
 // the rest; 0 if it is to be read at once.
-func (f *Follower) takePart(s *State) time.Duration {
-	if f.mirror.revision != 0 || !f.conf.Part(s) {
+func (f *Watcher) takePart(s *State) time.Duration {
+	if f.mirror.revision != 0 || !f.conf.OnInitialRead(s) {
 		return 0
 	}
-	wait, effects := f.core.InitialReadDone(clock.Now(), s.Long, f.conf.RestWithin)
+	wait, effects := f.core.InitialReadDone(clock.Now(), s.Large, f.conf.FullReadSpread)
 	f.do(effects)
 	return wait
 }
 
 // take puts changes in force. Those that are known already change nothing.
-func (f *Follower) take(c *Changes) {
+func (f *Watcher) take(c *Changes) {
 	f.mirror.apply(c)
 	if len(c.Configurations) > 0 || len(c.Events) > 0 {
-		f.conf.Changed(c)
+		f.conf.OnChanges(c)
 	}
 }
 
-func (f *Follower) reject(list []Rejected) {
+func (f *Watcher) reject(list []Rejected) {
 	for _, r := range list {
 		f.emit(event.Event{Code: event.StoreItemRejected, Reason: r.Item, Detail: r.Reason, Value: int64(r.Revision)})
 	}
 }
 
-func (f *Follower) emit(e event.Event) {
+func (f *Watcher) emit(e event.Event) {
 	e.At = time.Now()
 	f.conf.Events.Emit(e)
 }
--- a/internal/storewatch/follower_test.go
+++ b/internal/storewatch/follower_test.go
@@ -65,7 +65,7 @@
 	return nil
 }
 
-func (s *fakeStore) Begin(ctx context.Context) (*State, error) {
+func (s *fakeStore) ReadInitial(ctx context.Context) (*State, error) {
 	if err := s.call(ctx); err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 	return out, nil
 }
 
-func (s *fakeStore) Rest(ctx context.Context, begun *State) (*State, error) {
+func (s *fakeStore) ReadAll(ctx context.Context, begun *State) (*State, error) {
 	if err := s.call(ctx); err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 	return s.revision, nil
 }
 
-func (s *fakeStore) Alive(ctx context.Context) error { return s.call(ctx) }
+func (s *fakeStore) Ping(ctx context.Context) error { return s.call(ctx) }
 
 func (s *fakeStore) Watch(ctx context.Context, after uint64, wait time.Duration) (*Changes, error) {
 	s.mu.Lock()
@@ -145,7 +145,7 @@
 // of outages it told of in returned.
 type following struct {
 	store    *fakeStore
-	follower *Follower
+	follower *Watcher
 	mu       sync.Mutex
 	learned  map[string]time.Time
 	returned int
@@ -217,35 +217,35 @@
 			RetryMax:               400 * time.Millisecond,
 			Jitter:                 rand.Float64,
 		},
-		Part: func(s *State) bool {
+		OnInitialRead: func(s *State) bool {
 			for _, u := range s.Upstreams {
 				f.learn(u.ID)
 			}
 			return false
 		},
-		RestWithin: time.Second, RestTimeout: 5 * time.Second,
-		Read: func(s *State) {
+		FullReadSpread: time.Second, FullReadTimeout: 5 * time.Second,
+		OnRead: func(s *State) {
 			for _, u := range s.Upstreams {
 				f.learn(u.ID)
 			}
 		},
-		Changed: func(c *Changes) {
+		OnChanges: func(c *Changes) {
 			for _, e := range c.Events {
 				f.learn(e.Upstream.ID)
 			}
 		},
-		Returned: func(time.Time) {
+		OnRecovery: func(time.Time) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.returned++
 		},
-		Events:       f,
-		WatchWait:    30 * time.Second,
-		ReadTimeout:  2 * time.Second,
-		CheckTimeout: 700 * time.Millisecond,
+		Events:             f,
+		WatchWait:          30 * time.Second,
+		InitialReadTimeout: 2 * time.Second,
+		CheckTimeout:       700 * time.Millisecond,
 	}
 	change(&conf)
-	f.follower = NewFollower(conf)
+	f.follower = NewWatcher(conf)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
--- a/internal/storewatch/peers.go
+++ b/internal/storewatch/peers.go
@@ -12,8 +12,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
-// Told is what one host tells another of what is published.
-type Told struct {
+// PeerMessage is what one host tells another of what is published.
+type PeerMessage struct {
 	// From is who tells it.
 	From storesync.Host
 	// Process names its process, and Sent is that process's steady clock when it
@@ -30,7 +30,7 @@
 	// Tree is the way on which the message came.
 	Tree storesync.Tree `json:",omitzero"`
 	// Unanswered are calls of different hosts that the store did not answer.
-	Unanswered []Unanswered `json:",omitempty"`
+	Unanswered []FailedCall `json:",omitempty"`
 	// After and Changes are what came after one revision up to Revision; Changes
 	// is nil if the message does not carry that.
 	After   uint64
@@ -39,8 +39,8 @@
 	State *State
 }
 
-// Unanswered is a call of a host that the store did not answer.
-type Unanswered struct {
+// FailedCall is a call of a host that the store did not answer.
+type FailedCall struct {
 	// Host made the call.
 	Host netip.AddrPort
 	// Age is how long ago it began.
@@ -50,20 +50,20 @@
 // Peers moves messages between the hosts of a fleet. A message may be lost; a
 // question ends with its context.
 type Peers interface {
-	// Tell sends a message to each of the hosts. Its changes are left out if they
+	// Send sends a message to each of the hosts. Its changes are left out if they
 	// are too large.
-	Tell(to []netip.AddrPort, t *Told)
-	// Ask asks a host for what came after a revision, or for everything.
-	Ask(ctx context.Context, peer netip.AddrPort, after uint64) (*Told, error)
+	Send(to []netip.AddrPort, t *PeerMessage)
+	// Fetch asks a host for what came after a revision, or for everything.
+	Fetch(ctx context.Context, peer netip.AddrPort, after uint64) (*PeerMessage, error)
 }
 
-// ErrKnowsNothing is the answer of a host that has not learned anything yet.
-var ErrKnowsNothing = errors.New("the host knows nothing yet")
+// ErrNoState is the answer of a host that has not learned anything yet.
+var ErrNoState = errors.New("the host knows nothing yet")
 
-// Answer returns what this host tells a peer that asks for what came after a
+// ServeFetch returns what this host tells a peer that asks for what came after a
 // revision. It may be called on any goroutine.
-func (f *Follower) Answer(ctx context.Context, after uint64) (*Told, error) {
-	var out *Told
+func (f *Watcher) ServeFetch(ctx context.Context, after uint64) (*PeerMessage, error) {
+	var out *PeerMessage
 	done := make(chan struct{})
 	f.post(ctx, func() {
 		defer close(done)
@@ -75,23 +75,23 @@
 	case <-done:
 	}
 	if out == nil {
-		return nil, ErrKnowsNothing
+		return nil, ErrNoState
 	}
 	return out, nil
 }
 
 // Resumed takes in that the machine was suspended: what this host knows is older than its
 // timers count, so that what is due is looked for now. It may be called on any goroutine.
-func (f *Follower) Resumed() {
+func (f *Watcher) Resumed() {
 	select {
 	case f.inputs <- func() { f.do(f.core.Tick(clock.Now())) }:
 	default: // so much happens that it is looked for anyway
 	}
 }
 
-// Heard takes in what a peer tells. It may be called on any goroutine; a message
+// ApplyPeerMessage takes in what a peer tells. It may be called on any goroutine; a message
 // that finds the queue full is lost.
-func (f *Follower) Heard(t *Told) {
+func (f *Watcher) ApplyPeerMessage(t *PeerMessage) {
 	arrived := clock.Now()
 	select {
 	case f.inputs <- func() { f.heard(arrived, t) }:
@@ -101,7 +101,7 @@
 
 // SetHosts takes in which hosts are believed alive; settled is false until that
 // was learned from one of them. It reports false if the queue is full.
-func (f *Follower) SetHosts(hosts []storesync.Host, settled bool) bool {
+func (f *Watcher) SetHosts(hosts []storesync.Host, settled bool) bool {
 	select {
 	case f.inputs <- func() { f.do(f.core.SetHosts(clock.Now(), f.conf.Self, hosts, settled)) }:
 		return true
@@ -112,7 +112,7 @@
 
 // told returns what this host knows, without the changes; nil while it knows
 // nothing.
-func (f *Follower) told(now time.Time) *Told {
+func (f *Watcher) told(now time.Time) *PeerMessage {
 	n, ok := f.core.Update(now)
 	if !ok {
 		return nil
@@ -130,8 +130,8 @@
 
 // message returns a message of this host that states its revision and how fresh its
 // knowledge is.
-func (f *Follower) message(now time.Time, n storesync.Update) *Told {
-	return &Told{
+func (f *Watcher) message(now time.Time, n storesync.Update) *PeerMessage {
+	return &PeerMessage{
 		From:     f.conf.Self,
 		Process:  f.process,
 		Sent:     now.Sub(f.started),
@@ -142,7 +142,7 @@
 
 // answer returns what this host tells a peer that knows a revision: what came
 // after, or everything if the peer knows nothing or lacks too much.
-func (f *Follower) answer(now time.Time, after uint64) *Told {
+func (f *Watcher) answer(now time.Time, after uint64) *PeerMessage {
 	out := f.told(now)
 	if out == nil {
 		return nil
@@ -158,7 +158,7 @@
 
 // tell tells peers what this host knows, with the changes since the message
 // before the last: one of them may have been lost.
-func (f *Follower) tell(now time.Time, ways []storesync.Route) {
+func (f *Watcher) tell(now time.Time, ways []storesync.Route) {
 	if f.conf.Peers == nil || len(ways) == 0 {
 		return
 	}
@@ -171,28 +171,28 @@
 	}
 	for _, way := range ways {
 		t.Tree = way.Tree
-		f.conf.Peers.Tell(way.To, t)
+		f.conf.Peers.Send(way.To, t)
 	}
 	f.toldBefore, f.toldLast = f.toldLast, t.Revision
 }
 
 // warn tells peers of calls that the store did not answer.
-func (f *Follower) warn(now time.Time, ways []storesync.Route) {
+func (f *Watcher) warn(now time.Time, ways []storesync.Route) {
 	n, ok := f.core.OutageUpdate(now)
 	if !ok || f.conf.Peers == nil || len(ways) == 0 {
 		return
 	}
 	t := f.message(now, n)
 	for _, u := range n.FailedCalls {
-		t.Unanswered = append(t.Unanswered, Unanswered{Host: u.Host, Age: now.Sub(u.At)})
+		t.Unanswered = append(t.Unanswered, FailedCall{Host: u.Host, Age: now.Sub(u.At)})
 	}
 	for _, way := range ways {
 		t.Tree = way.Tree
-		f.conf.Peers.Tell(way.To, t)
+		f.conf.Peers.Send(way.To, t)
 	}
 }
 
-func (f *Follower) heard(arrived time.Time, t *Told) {
+func (f *Watcher) heard(arrived time.Time, t *PeerMessage) {
 	// What it says was so when it was sent, which may be long ago.
 	arrived = arrived.Add(-f.delays.Delay(t.From.Address, t.Process, t.Sent, arrived))
 	f.heardReturn(arrived, t)
@@ -204,13 +204,13 @@
 	f.do(f.core.ApplyPeerUpdate(clock.Now(), t.From, newsOf(arrived, t), known))
 }
 
-func (f *Follower) heardReturn(at time.Time, t *Told) {
+func (f *Watcher) heardReturn(at time.Time, t *PeerMessage) {
 	if t.ReturnedAge > 0 {
 		f.do(f.core.ApplyPeerRecovery(clock.Now(), at.Add(-t.ReturnedAge)))
 	}
 }
 
-func newsOf(at time.Time, t *Told) storesync.Update {
+func newsOf(at time.Time, t *PeerMessage) storesync.Update {
 	out := storesync.Update{Revision: t.Revision, AsOf: at.Add(-t.Age), Tree: t.Tree}
 	for _, u := range t.Unanswered {
 		out.FailedCalls = append(out.FailedCalls, storesync.FailedCall{Host: u.Host, At: at.Add(-u.Age)})
@@ -219,16 +219,16 @@
 }
 
 // ask asks a peer. Its answer is as old as it says when the question was sent.
-func (f *Follower) ask(ctx context.Context, q storesync.PeerFetch) {
+func (f *Watcher) ask(ctx context.Context, q storesync.PeerFetch) {
 	peer := storesync.Host{Address: q.Peer}
 	began := clock.Now()
-	timeout := f.conf.AskTimeout + q.ExtraTimeout
+	timeout := f.conf.FetchTimeout + q.ExtraTimeout
 	if q.After == 0 {
-		timeout = f.conf.ReadTimeout // everything is large, and the store is read beside
+		timeout = f.conf.InitialReadTimeout // everything is large, and the store is read beside
 	}
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	t, err := f.conf.Peers.Ask(callCtx, q.Peer, q.After)
+	t, err := f.conf.Peers.Fetch(callCtx, q.Peer, q.After)
 	f.post(ctx, func() {
 		if err == nil {
 			err = f.takeAnswer(began, t)
@@ -244,7 +244,7 @@
 // errGap says that an answer does not go on where this host's knowledge ends.
 var errGap = errors.New("the answer leaves out changes")
 
-func (f *Follower) takeAnswer(began time.Time, t *Told) error {
+func (f *Watcher) takeAnswer(began time.Time, t *PeerMessage) error {
 	f.heardReturn(began, t)
 	whole := t.State != nil
 	if !whole && (t.Changes == nil || f.mirror.revision == 0 || t.After > f.mirror.revision) {
@@ -255,7 +255,7 @@
 }
 
 // takeTold puts in force what a peer told.
-func (f *Follower) takeTold(t *Told) {
+func (f *Watcher) takeTold(t *PeerMessage) {
 	f.emit(event.Event{Code: event.StorePeerTold, Reason: t.From.Address.String(), Value: int64(t.Revision)})
 	if t.State != nil {
 		f.takeAll(t.State)
--- a/internal/storewatch/peers_test.go
+++ b/internal/storewatch/peers_test.go
@@ -18,7 +18,7 @@
 // exchange is the network among the followers of one test.
 type exchange struct {
 	mu        sync.Mutex
-	followers map[netip.AddrPort]*Follower
+	followers map[netip.AddrPort]*Watcher
 	bare      bool // messages leave the changes out
 	asked     int
 }
@@ -34,7 +34,7 @@
 	*exchange
 }
 
-func (p port) Tell(to []netip.AddrPort, t *Told) {
+func (p port) Send(to []netip.AddrPort, t *PeerMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	own := *t
@@ -43,12 +43,12 @@
 	}
 	for _, a := range to {
 		if f := p.followers[a]; f != nil { // else it has not started
-			f.Heard(&own)
+			f.ApplyPeerMessage(&own)
 		}
 	}
 }
 
-func (p port) Ask(ctx context.Context, peer netip.AddrPort, after uint64) (*Told, error) {
+func (p port) Fetch(ctx context.Context, peer netip.AddrPort, after uint64) (*PeerMessage, error) {
 	p.mu.Lock()
 	f := p.followers[peer]
 	p.asked++
@@ -56,7 +56,7 @@
 	if f == nil {
 		return nil, errors.New("nobody there")
 	}
-	return f.Answer(ctx, after)
+	return f.ServeFetch(ctx, after)
 }
 
 func hostAt(n byte) storesync.Host {
@@ -66,7 +66,7 @@
 
 // group starts followers that each have a store of their own, all alike.
 func group(t *testing.T, x *exchange, stores ...*fakeStore) []*following {
-	x.followers = make(map[netip.AddrPort]*Follower)
+	x.followers = make(map[netip.AddrPort]*Watcher)
 	var hosts []storesync.Host
 	for i := range stores {
 		hosts = append(hosts, hostAt(byte(i+1)))
@@ -76,7 +76,7 @@
 		f := beginAs(t, s, func(c *Config) {
 			c.Self = hosts[i]
 			c.Peers = port{x}
-			c.AskTimeout = 300 * time.Millisecond
+			c.FetchTimeout = 300 * time.Millisecond
 		})
 		f.follower.SetHosts(hosts, true)
 		x.mu.Lock()
@@ -180,13 +180,13 @@
 		time.Sleep(time.Second)
 		_, ok := all[1].after("a", time.Now())
 		is.True(ok)
-		_, err := NewFollower(Config{}).AnswerNow()
-		is.True(errors.Is(err, ErrKnowsNothing))
+		_, err := NewWatcher(Config{}).AnswerNow()
+		is.True(errors.Is(err, ErrNoState))
 	})
 }
 
 // AnswerNow is Answer of a follower that does not run.
-func (f *Follower) AnswerNow() (*Told, error) {
+func (f *Watcher) AnswerNow() (*PeerMessage, error) {
 	go func() { (<-f.inputs)() }()
-	return f.Answer(context.Background(), 0)
+	return f.ServeFetch(context.Background(), 0)
 }
--- a/internal/storewatch/source.go
+++ b/internal/storewatch/source.go
@@ -18,20 +18,20 @@
 
 // Store reads what is published. Calls end with their context.
 type Store interface {
-	// Begin returns the configuration, the evacuations, some of the upstreams, and the
+	// ReadInitial returns the configuration, the evacuations, some of the upstreams, and the
 	// revision of the first two. It takes far less than everything where there are many
 	// upstreams.
-	Begin(ctx context.Context) (*State, error)
-	// Rest returns everything. Begun is what Begin returned; the revision stays, and a
+	ReadInitial(ctx context.Context) (*State, error)
+	// ReadAll returns everything. Begun is what Begin returned; the revision stays, and a
 	// watch from there misses nothing.
-	Rest(ctx context.Context, begun *State) (*State, error)
+	ReadAll(ctx context.Context, begun *State) (*State, error)
 	// Watch returns the changes after a revision, waiting up to wait for one. The
 	// error is ErrHistoryLost when the store no longer has all of them.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (*Changes, error)
 	// Revision returns the store's revision.
 	Revision(ctx context.Context) (uint64, error)
-	// Alive makes the cheapest call that shows that the store answers.
-	Alive(ctx context.Context) error
+	// Ping makes the cheapest call that shows that the store answers.
+	Ping(ctx context.Context) error
 }
 
 // ErrHistoryLost says that changes were missed; everything must be read anew.
@@ -49,8 +49,8 @@
 	Upstreams []discovery.Upstream
 	// Rejected are the items that could not be decoded. Peers are not told of them.
 	Rejected []Rejected `json:"-"`
-	// Long states of a first part that the rest takes many calls.
-	Long bool `json:"-"`
+	// Large states of a first part that the rest takes many calls.
+	Large bool `json:"-"`
 }
 
 // Changes are what happened after a revision, oldest first.
--- a/internal/storewatch/start_test.go
+++ b/internal/storewatch/start_test.go
@@ -20,8 +20,8 @@
 				store.put("b")
 				start := time.Now()
 				f := beginAs(t, store, func(c *Config) {
-					learn := c.Part
-					c.Part = func(s *State) bool {
+					learn := c.OnInitialRead
+					c.OnInitialRead = func(s *State) bool {
 						learn(s)
 						return serves
 					}
--- a/internal/storewatch/suspend_test.go
+++ b/internal/storewatch/suspend_test.go
@@ -22,14 +22,14 @@
 		store.put("i-1")
 		f := begin(t, store)
 		synctest.Wait()
-		told, err := f.follower.Answer(t.Context(), 0)
+		told, err := f.follower.ServeFetch(t.Context(), 0)
 		is.NoErr(err)
 		is.True(told.Age < time.Second)
 		sent := told.Sent
 
 		store.change(func() { store.silent = true }) // what it asks is on its way when it looks
 		defer clock.Skip(suspended)()
-		told, err = f.follower.Answer(t.Context(), 0)
+		told, err = f.follower.ServeFetch(t.Context(), 0)
 		is.NoErr(err)
 		is.True(told.Age >= suspended)
 		is.True(told.Sent-sent >= suspended) // delays of messages are told from it
