--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -69,17 +69,17 @@
 		return nil, err
 	}
 	f.news = peertransport.New(peertransport.Config{
-		Address: f.newsAddress(address),
-		Heard:   func(t *storewatch.PeerMessage) { g.follower.ApplyPeerMessage(t) },
-		Answer: func(ctx context.Context, after uint64) (*storewatch.PeerMessage, error) {
+		Address:   f.newsAddress(address),
+		OnMessage: func(t *storewatch.PeerMessage) { g.follower.ApplyPeerMessage(t) },
+		ServeFetch: func(ctx context.Context, after uint64) (*storewatch.PeerMessage, error) {
 			return g.follower.ServeFetch(ctx, after)
 		},
 		Events: g.sink,
 
-		HeardLimits: g.heardLimits,
-		GrantRoom:   g.quotas.Answer,
-		Lend:        func(s ratelimit.Server) bool { return g.control.pools.limits.Lend(clock.Now(), s) },
-		HeardPoison: func(died []poison.Death, answered []poison.Fingerprint) { g.proxy.Heard(died, answered) },
+		OnLimits:   g.heardLimits,
+		GrantQuota: g.quotas.Answer,
+		LendTurn:   func(s ratelimit.Server) bool { return g.control.pools.limits.Lend(clock.Now(), s) },
+		OnPoison:   func(died []poison.Death, answered []poison.Fingerprint) { g.proxy.Heard(died, answered) },
 	})
 	return f, nil
 }
--- a/internal/gateway/poison.go
+++ b/internal/gateway/poison.go
@@ -20,14 +20,14 @@
 // Died implements proxy.PoisonNews.
 func (n poisonNews) Died(d poison.Death) {
 	if f := n.gateway.fleet; f != nil {
-		f.news.TellDeaths(*f.others.Load(), []poison.Death{d})
+		f.news.SendDeaths(*f.others.Load(), []poison.Death{d})
 	}
 }
 
 // Answered implements proxy.PoisonNews.
 func (n poisonNews) Answered(p poison.Fingerprint) {
 	if f := n.gateway.fleet; f != nil {
-		f.news.TellAnswered(*f.others.Load(), p)
+		f.news.SendAnswered(*f.others.Load(), p)
 	}
 }
 
@@ -41,7 +41,7 @@
 		return
 	}
 	others := slices.Clone(*g.fleet.others.Load())
-	g.fleet.news.TellDeaths(gossip.Draw(others, gossip.RepeatTo, rand.IntN), gossip.Draw(deaths, peertransport.DeathsPerMessage, rand.IntN))
+	g.fleet.news.SendDeaths(gossip.Draw(others, gossip.RepeatTo, rand.IntN), gossip.Draw(deaths, peertransport.DeathsPerMessage, rand.IntN))
 }
 
 // knowOthers takes in the other hosts. It runs on the control goroutine.
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -22,7 +22,7 @@
 		return
 	}
 	if told, ok := s.News(clock.Now()); ok {
-		g.fleet.news.TellLimits(*g.fleet.others.Load(), []ratelimit.News{told})
+		g.fleet.news.SendLimits(*g.fleet.others.Load(), []ratelimit.News{told})
 	}
 }
 
@@ -36,7 +36,7 @@
 		return
 	}
 	others := slices.Clone(*g.fleet.others.Load())
-	g.fleet.news.TellLimits(gossip.Draw(others, gossip.RepeatTo, rand.IntN), gossip.Draw(known, peertransport.LimitsPerMessage, rand.IntN))
+	g.fleet.news.SendLimits(gossip.Draw(others, gossip.RepeatTo, rand.IntN), gossip.Draw(known, peertransport.LimitsPerMessage, rand.IntN))
 }
 
 // heardLimits takes in what another host tells.
--- a/internal/peertransport/answer.go
+++ b/internal/peertransport/answer.go
@@ -52,7 +52,7 @@
 		return
 	}
 	defer func() { <-t.answering }()
-	told, err := t.conf.Answer(ctx, after)
+	told, err := t.conf.ServeFetch(ctx, after)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
--- a/internal/peertransport/limits.go
+++ b/internal/peertransport/limits.go
@@ -25,9 +25,9 @@
 	AgeUs     int64   `json:"a"` // when it was sent
 }
 
-// TellLimits sends what is known of limits to each of the hosts, in as many messages as it
+// SendLimits sends what is known of limits to each of the hosts, in as many messages as it
 // takes.
-func (t *Transport) TellLimits(to []netip.AddrPort, told []ratelimit.News) {
+func (t *Transport) SendLimits(to []netip.AddrPort, told []ratelimit.News) {
 	for part := range slices.Chunk(told, LimitsPerMessage) {
 		var messages []limitMessage
 		for _, n := range part {
@@ -62,6 +62,6 @@
 		}
 		told = append(told, n)
 	}
-	t.conf.HeardLimits(told)
+	t.conf.OnLimits(told)
 	return nil
 }
--- a/internal/peertransport/limits_test.go
+++ b/internal/peertransport/limits_test.go
@@ -25,7 +25,7 @@
 			Age:       4999999 * time.Microsecond,
 		})
 	}
-	a.TellLimits([]netip.AddrPort{b.address}, told)
+	a.SendLimits([]netip.AddrPort{b.address}, told)
 	is.Equal(append(<-b.limits, <-b.limits...), told)
 	for _, text := range []string{`{`, `[{"r":-1}]`, `[{"r":1,"a":-1}]`, `[{"r":1e300}]`, `[{"a":9000000000000}]`} {
 		is.True(b.heardLimits([]byte(text)) != nil)
--- a/internal/peertransport/news.go
+++ b/internal/peertransport/news.go
@@ -47,20 +47,20 @@
 type Config struct {
 	// Address is where peers reach this host, over UDP and TCP.
 	Address netip.AddrPort
-	// Heard takes in a message.
-	Heard func(*storewatch.PeerMessage)
-	// Answer answers a question of a peer.
-	Answer func(ctx context.Context, after uint64) (*storewatch.PeerMessage, error)
-	// HeardPoison takes in what a peer tells of ends of upstreams.
-	HeardPoison func(died []poison.Death, answered []poison.Fingerprint)
-	// HeardLimits takes in what a peer tells of the limits of upstreams.
-	HeardLimits func([]ratelimit.News)
-	// Lend uses a turn of this host at an upstream for another host. It reports whether
+	// OnMessage takes in a message.
+	OnMessage func(*storewatch.PeerMessage)
+	// ServeFetch answers a question of a peer.
+	ServeFetch func(ctx context.Context, after uint64) (*storewatch.PeerMessage, error)
+	// OnPoison takes in what a peer tells of ends of upstreams.
+	OnPoison func(died []poison.Death, answered []poison.Fingerprint)
+	// OnLimits takes in what a peer tells of the limits of upstreams.
+	OnLimits func([]ratelimit.News)
+	// LendTurn uses a turn of this host at an upstream for another host. It reports whether
 	// there was one.
-	Lend func(ratelimit.Server) bool
-	// GrantRoom answers a host's question for room of a customer's quota. It may take as long
+	LendTurn func(ratelimit.Server) bool
+	// GrantQuota answers a host's question for room of a customer's quota. It may take as long
 	// as asking hosts does, and runs on a goroutine of its own.
-	GrantRoom func(from netip.AddrPort, q *quotas.Question) quota.Answer
+	GrantQuota func(from netip.AddrPort, q *quotas.Question) quota.Answer
 	// Events receives what was refused.
 	Events event.Sink
 }
@@ -182,7 +182,7 @@
 			t.refused(errors.Newf("%s says that it is %s", sender, told.From.Address))
 			continue
 		}
-		t.conf.Heard(told)
+		t.conf.OnMessage(told)
 	}
 }
 
--- a/internal/peertransport/news_test.go
+++ b/internal/peertransport/news_test.go
@@ -80,9 +80,9 @@
 	h := &host{address: address, heard: make(chan *storewatch.PeerMessage, 8), poison: make(chan poisonHeard, 8),
 		limits: make(chan []ratelimit.News, 8), book: ratelimit.NewBook(turns.Alone())}
 	h.Transport = New(Config{
-		Address: address,
-		Heard:   func(told *storewatch.PeerMessage) { h.heard <- told },
-		Answer: func(context.Context, uint64) (*storewatch.PeerMessage, error) {
+		Address:   address,
+		OnMessage: func(told *storewatch.PeerMessage) { h.heard <- told },
+		ServeFetch: func(context.Context, uint64) (*storewatch.PeerMessage, error) {
 			if h.told == nil {
 				return nil, storewatch.ErrNoState
 			}
@@ -90,9 +90,9 @@
 		},
 		Events: h,
 
-		HeardLimits: func(told []ratelimit.News) { h.limits <- told },
-		Lend:        func(s ratelimit.Server) bool { return h.book.Lend(time.Now(), s) },
-		HeardPoison: func(died []poison.Death, answered []poison.Fingerprint) {
+		OnLimits: func(told []ratelimit.News) { h.limits <- told },
+		LendTurn: func(s ratelimit.Server) bool { return h.book.Lend(time.Now(), s) },
+		OnPoison: func(died []poison.Death, answered []poison.Fingerprint) {
 			h.poison <- poisonHeard{died, answered}
 		},
 	})
@@ -257,7 +257,7 @@
 		})
 	}
 	to := []netip.AddrPort{b.address}
-	a.TellDeaths(to, deaths)
+	a.SendDeaths(to, deaths)
 	for range 2 {
 		for _, got := range (<-b.poison).died {
 			at := slices.IndexFunc(deaths, func(d poison.Death) bool { return d.Request == got.Request })
@@ -271,7 +271,7 @@
 	}
 	is.Equal(len(deaths), 0)
 	f := poison.Of("GET", "shop", "/", nil, "caller")
-	a.TellAnswered(to, f)
+	a.SendAnswered(to, f)
 	is.Equal((<-b.poison).answered, []poison.Fingerprint{f})
 	for _, text := range []string{`{`, `{"d":[{"b":1,"e":2}]}`, `{"d":[{"b":-2,"e":-3}]}`, `{"d":[{"b":9000000000000000,"e":2}]}`} {
 		is.True(b.heardPoison([]byte(text)) != nil)
--- a/internal/peertransport/poison.go
+++ b/internal/peertransport/poison.go
@@ -45,9 +45,9 @@
 	return poison.Fingerprint{Target: m[0], Content: m[1], Caller: m[2]}
 }
 
-// TellDeaths sends ends of upstreams to each of the hosts, in as many messages as it
+// SendDeaths sends ends of upstreams to each of the hosts, in as many messages as it
 // takes.
-func (t *Transport) TellDeaths(to []netip.AddrPort, deaths []poison.Death) {
+func (t *Transport) SendDeaths(to []netip.AddrPort, deaths []poison.Death) {
 	now := clock.Now()
 	for part := range slices.Chunk(deaths, DeathsPerMessage) {
 		var m poisonMessage
@@ -64,9 +64,9 @@
 	}
 }
 
-// TellAnswered tells each of the hosts that a request under which upstreams ended was
+// SendAnswered tells each of the hosts that a request under which upstreams ended was
 // answered.
-func (t *Transport) TellAnswered(to []netip.AddrPort, f poison.Fingerprint) {
+func (t *Transport) SendAnswered(to []netip.AddrPort, f poison.Fingerprint) {
 	t.tellKind(to, poisonKind, &poisonMessage{Answered: []fingerprintMessage{encodeFingerprint(f)}})
 }
 
@@ -99,7 +99,7 @@
 	for _, f := range m.Answered {
 		answered = append(answered, f.decode())
 	}
-	t.conf.HeardPoison(died, answered)
+	t.conf.OnPoison(died, answered)
 	return nil
 }
 
--- a/internal/peertransport/quotas.go
+++ b/internal/peertransport/quotas.go
@@ -93,7 +93,7 @@
 	}
 	go func() {
 		defer t.relays.Add(-1)
-		t.grant(m.Question, from, t.conf.GrantRoom(asker, q))
+		t.grant(m.Question, from, t.conf.GrantQuota(asker, q))
 	}()
 	return nil
 }
