--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -70,9 +70,9 @@
 // themselves, beside what is kept of their lifecycle.
 func registeredConfig(upstreams lifecycle.Config) discovery.Config {
 	return discovery.Config{
-		ReturnGrace:  returnGrace,
-		Forget:       upstreams.KeepNotices + forgetMargin,
-		EarlierAfter: earlierAfter,
+		RecoveryGrace:      returnGrace,
+		TombstoneRetention: upstreams.KeepNotices + forgetMargin,
+		EarlierStartDelay:  earlierAfter,
 	}
 }
 
@@ -171,7 +171,7 @@
 		if change.Ended {
 			code = event.DomainReturned
 		}
-		known := c.set.Touch(change.FailureDomain)
+		known := c.set.MarkChanged(change.FailureDomain)
 		c.gateway.emit(event.Event{Code: code, Reason: change.FailureDomain, Value: int64(known)})
 	}
 }
@@ -185,7 +185,7 @@
 
 // returned is told since when the store answers again.
 func (c *controller) returned(at time.Time) {
-	c.set.Returned(at)
+	c.set.StoreRecovered(at)
 	time.AfterFunc(clock.Until(at.Add(returnGrace)), func() {
 		c.gateway.loop.Post(func() { c.tick(clock.Now()) })
 	})
@@ -246,7 +246,7 @@
 	for _, service := range c.set.Changed() {
 		c.revision++
 		var listings []lifecycle.Listing
-		for _, u := range c.set.Of(service) {
+		for _, u := range c.set.Upstreams(service) {
 			listings = append(listings, lifecycle.Listing{
 				Upstream:   u.ID,
 				Draining:   u.Draining,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -251,8 +251,8 @@
 	}
 	g.follower = storewatch.NewWatcher(conf)
 	g.loop.Every(tickEvery, g.control.tick)
-	g.loop.Every(gossip.RepeatEvery, g.repeatDeaths)
-	g.loop.Every(gossip.RepeatEvery, g.repeatLimits)
+	g.loop.Every(gossip.RepeatInterval, g.repeatDeaths)
+	g.loop.Every(gossip.RepeatInterval, g.repeatLimits)
 	g.loop.Every(quotasEvery, g.quotas.Tick)
 	g.loop.Every(retry.SaveEvery, func(time.Time) { g.proxy.Tick() })
 	return nil
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -26,7 +26,7 @@
 			list := func() {
 				revision++
 				var listings []lifecycle.Listing
-				for _, u := range set.Of("s") {
+				for _, u := range set.Upstreams("s") {
 					listings = append(listings, lifecycle.Listing{Upstream: u.ID, Activation: u.Start})
 				}
 				registry.Configure(now, "s", revision, listings)
--- a/internal/gateway/poison.go
+++ b/internal/gateway/poison.go
@@ -41,7 +41,7 @@
 		return
 	}
 	others := slices.Clone(*g.fleet.others.Load())
-	g.fleet.news.SendDeaths(gossip.Draw(others, gossip.RepeatTo, rand.IntN), gossip.Draw(deaths, peertransport.DeathsPerMessage, rand.IntN))
+	g.fleet.news.SendDeaths(gossip.Sample(others, gossip.RepeatFanOut, rand.IntN), gossip.Sample(deaths, peertransport.DeathsPerMessage, rand.IntN))
 }
 
 // knowOthers takes in the other hosts. It runs on the control goroutine.
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -116,7 +116,7 @@
 		if pl.lifecycle == p.lifecycle.ServiceVersion(service) {
 			continue
 		}
-		p.refreshPool(pl, set.Of(service), forget)
+		p.refreshPool(pl, set.Upstreams(service), forget)
 		pl.rebuild(service, p.lifecycle)
 		changed = append(changed, service)
 	}
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -36,7 +36,7 @@
 		return
 	}
 	others := slices.Clone(*g.fleet.others.Load())
-	g.fleet.news.SendLimits(gossip.Draw(others, gossip.RepeatTo, rand.IntN), gossip.Draw(known, peertransport.LimitsPerMessage, rand.IntN))
+	g.fleet.news.SendLimits(gossip.Sample(others, gossip.RepeatFanOut, rand.IntN), gossip.Sample(known, peertransport.LimitsPerMessage, rand.IntN))
 }
 
 // heardLimits takes in what another host tells.
--- a/internal/limitnews/limitnews.go
+++ b/internal/limitnews/limitnews.go
@@ -64,7 +64,7 @@
 func New(conf Config) *Teller {
 	t := &Teller{conf: conf}
 	limitsv1.RegisterLimitsServer(conf.Server, server{teller: t})
-	conf.Loop.Every(gossip.RepeatEvery, t.repeat)
+	conf.Loop.Every(gossip.RepeatInterval, t.repeat)
 	return t
 }
 
@@ -81,7 +81,7 @@
 	if len(known) == 0 {
 		return
 	}
-	t.tell(gossip.Draw(t.conf.Peers(), gossip.RepeatTo, rand.IntN), gossip.Draw(known, maxLimits, rand.IntN))
+	t.tell(gossip.Sample(t.conf.Peers(), gossip.RepeatFanOut, rand.IntN), gossip.Sample(known, maxLimits, rand.IntN))
 }
 
 // tell sends a message to each of the hosts, beside the caller. One that is not reached
--- a/internal/poisonnews/poisonnews.go
+++ b/internal/poisonnews/poisonnews.go
@@ -52,7 +52,7 @@
 func New(conf Config) *Teller {
 	t := &Teller{conf: conf}
 	poisonv1.RegisterPoisonServer(conf.Server, t)
-	conf.Loop.Every(gossip.RepeatEvery, t.repeat)
+	conf.Loop.Every(gossip.RepeatInterval, t.repeat)
 	return t
 }
 
@@ -72,8 +72,8 @@
 	if len(deaths) == 0 {
 		return
 	}
-	told := encodeDeaths(now, gossip.Draw(deaths, maxDeaths, rand.IntN))
-	t.tell(gossip.Draw(t.conf.Peers(), gossip.RepeatTo, rand.IntN), &poisonv1.TellRequest{Died: told})
+	told := encodeDeaths(now, gossip.Sample(deaths, maxDeaths, rand.IntN))
+	t.tell(gossip.Sample(t.conf.Peers(), gossip.RepeatFanOut, rand.IntN), &poisonv1.TellRequest{Died: told})
 }
 
 // tell sends a message to each of the hosts, beside the caller. One that is not reached
--- a/internal/quotas/charge.go
+++ b/internal/quotas/charge.go
@@ -131,7 +131,7 @@
 
 // look asks some hosts whether they reach the host in charge.
 func (k *Keeper) look(f *view, charged netip.AddrPort) sight {
-	asked := gossip.Draw(slices.Clone(f.Others), witnesses, rand.IntN)
+	asked := gossip.Sample(slices.Clone(f.Others), witnesses, rand.IntN)
 	probe := quota.Ask{Customer: noCustomer, Limit: quota.Limit{PerSecond: 1}}
 	answers := make([]quota.Answer, len(asked))
 	heard := make([]bool, len(asked))
--- a/pkg/discovery/listed_test.go
+++ b/pkg/discovery/listed_test.go
@@ -28,7 +28,7 @@
 		case 0, 1, 2:
 			s.Remove(now, u.ID, revision+1)
 		case 3:
-			s.Returned(now)
+			s.StoreRecovered(now)
 		case 4:
 			s.Tick(now)
 		case 5:
@@ -37,7 +37,7 @@
 			s.Put(now, u)
 		}
 		for _, service := range []string{"a", "b", "c"} {
-			is.Equal(s.Of(service), lookAtAll(s, service))
+			is.Equal(s.Upstreams(service), lookAtAll(s, service))
 		}
 	}
 }
--- a/pkg/discovery/registered.go
+++ b/pkg/discovery/registered.go
@@ -25,7 +25,7 @@
 	// Born is its start that the entry is about, in Unix milliseconds by its own clock;
 	// 0 if the entry does not say, and then the id is of one start only.
 	Born int64 `json:",omitempty"`
-	// Start counts the starts under this id that this host knows of, from 1. Set.Of
+	// Start counts the starts under this id that this host knows of, from 1. Set.Upstreams
 	// sets it.
 	Start uint64 `json:"-"`
 	// Service is what it belongs to.
@@ -60,17 +60,17 @@
 
 // Config bounds a Set.
 type Config struct {
-	// ReturnGrace is how long after the store came back a vanished entry is kept:
+	// RecoveryGrace is how long after the store came back a vanished entry is kept:
 	// the time in which living upstreams register again.
-	ReturnGrace time.Duration
-	// Forget is how long the id of an upstream that is gone is remembered, so that
+	RecoveryGrace time.Duration
+	// TombstoneRetention is how long the id of an upstream that is gone is remembered, so that
 	// a read of an old state can't bring it back.
-	Forget time.Duration
-	// EarlierAfter is how long news about an earlier start than the known one has to
+	TombstoneRetention time.Duration
+	// EarlierStartDelay is how long news about an earlier start than the known one has to
 	// stand before it is believed: longer than two writes of a living upstream are apart.
 	// The writes of a start that has ended may arrive after the first ones of the next;
 	// and the clock that a start is told by may have been set back.
-	EarlierAfter time.Duration
+	EarlierStartDelay time.Duration
 }
 
 // Set holds the known upstreams.
@@ -97,8 +97,8 @@
 	}
 }
 
-// Returned records that the store is reached again after an outage.
-func (s *Set) Returned(now time.Time) { s.returned = now }
+// StoreRecovered records that the store is reached again after an outage.
+func (s *Set) StoreRecovered(now time.Time) { s.returned = now }
 
 // Put takes in an entry. News that is not newer than what is known is ignored.
 func (s *Set) Put(now time.Time, u Upstream) {
@@ -172,7 +172,7 @@
 
 // keeps reports whether what vanishes now may be back soon.
 func (s *Set) keeps(now time.Time) bool {
-	return !s.returned.IsZero() && now.Sub(s.returned) < s.conf.ReturnGrace
+	return !s.returned.IsZero() && now.Sub(s.returned) < s.conf.RecoveryGrace
 }
 
 func (s *Set) drop(now time.Time, e *entry) {
@@ -201,7 +201,7 @@
 // earlier start that has stood, and forgets ids that are long gone.
 func (s *Set) Tick(now time.Time) {
 	for _, e := range s.entries {
-		if e.earlier != nil && now.Sub(e.earlierSince) >= s.conf.EarlierAfter {
+		if e.earlier != nil && now.Sub(e.earlierSince) >= s.conf.EarlierStartDelay {
 			s.put(e, *e.earlier)
 		}
 		if !e.gone && !e.vanished.IsZero() && !s.keeps(now) {
@@ -209,7 +209,7 @@
 		}
 	}
 	for id, at := range s.goneAt {
-		if now.Sub(at) > s.conf.Forget {
+		if now.Sub(at) > s.conf.TombstoneRetention {
 			delete(s.goneAt, id)
 			delete(s.entries, id)
 		}
@@ -223,9 +223,9 @@
 	return names
 }
 
-// Touch marks the services with upstreams in a failure domain as changed: something
+// MarkChanged marks the services with upstreams in a failure domain as changed: something
 // else about the domain has. It returns the number of these upstreams.
-func (s *Set) Touch(failureDomain string) int {
+func (s *Set) MarkChanged(failureDomain string) int {
 	known := 0
 	for _, e := range s.entries {
 		if !e.gone && e.upstream.FailureDomain == failureDomain {
@@ -236,8 +236,8 @@
 	return known
 }
 
-// Of returns the upstreams of a service, by id.
-func (s *Set) Of(service string) []Upstream {
+// Upstreams returns the upstreams of a service, by id.
+func (s *Set) Upstreams(service string) []Upstream {
 	list := s.listed[service]
 	if len(list) == 0 {
 		return nil
--- a/pkg/discovery/registered_test.go
+++ b/pkg/discovery/registered_test.go
@@ -12,7 +12,7 @@
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func newSet() *Set {
-	return NewSet(Config{ReturnGrace: 1500 * time.Millisecond, Forget: time.Minute, EarlierAfter: 4500 * time.Millisecond})
+	return NewSet(Config{RecoveryGrace: 1500 * time.Millisecond, TombstoneRetention: time.Minute, EarlierStartDelay: 4500 * time.Millisecond})
 }
 
 func entryOf(id string, revision uint64) Upstream {
@@ -21,7 +21,7 @@
 
 func ids(s *Set) []string {
 	var out []string
-	for _, u := range s.Of("a") {
+	for _, u := range s.Upstreams("a") {
 		out = append(out, u.ID)
 	}
 	return out
@@ -47,7 +47,7 @@
 	leaving.Draining = true
 	s.Put(at(0), leaving)
 	s.Put(at(0), entryOf("i-1", 6))
-	is.True(s.Of("a")[0].Draining)
+	is.True(s.Upstreams("a")[0].Draining)
 }
 
 // TestVanishedAfterAnOutage keeps what vanished while the store was away, but
@@ -61,7 +61,7 @@
 	leaving := entryOf("i-3", 2)
 	leaving.Draining = true
 	s.Put(at(0), leaving)
-	s.Returned(at(0))
+	s.StoreRecovered(at(0))
 	s.Replace(at(0), nil, 10)
 	is.Equal(ids(s), []string{"i-1", "i-2"}) // one that said it leaves is gone
 	s.Put(at(0), entryOf("i-2", 11))
@@ -75,7 +75,7 @@
 	is := is.New(t)
 	s := newSet()
 	s.Put(at(0), entryOf("i-1", 1))
-	s.Returned(at(0))
+	s.StoreRecovered(at(0))
 	s.Remove(at(1500), "i-1", 2)
 	is.Equal(len(ids(s)), 0)
 }
--- a/pkg/discovery/restart_test.go
+++ b/pkg/discovery/restart_test.go
@@ -16,7 +16,7 @@
 
 func only(t *testing.T, s *Set) Upstream {
 	t.Helper()
-	list := s.Of("a")
+	list := s.Upstreams("a")
 	if len(list) != 1 {
 		t.Fatalf("%d upstreams, not one", len(list))
 	}
@@ -107,5 +107,5 @@
 	s.Put(at(1), bornAt(100, 6, false))
 	s.Remove(at(2), "i-1", 7)
 	s.Tick(start.Add(time.Minute / 2))
-	is.Equal(len(s.Of("a")), 0)
+	is.Equal(len(s.Upstreams("a")), 0)
 }
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -7,17 +7,17 @@
 import "time"
 
 const (
-	// RepeatEvery is the pause between two repeats, and RepeatTo how many other hosts hear
+	// RepeatInterval is the pause between two repeats, and RepeatTo how many other hosts hear
 	// one. Each host hears four a second: of those that missed a piece of news, one in 50
 	// does not hear of it within a second.
-	RepeatEvery = 500 * time.Millisecond
-	RepeatTo    = 2
+	RepeatInterval = 500 * time.Millisecond
+	RepeatFanOut   = 2
 )
 
-// Draw returns up to n of a list, drawn by a function that returns a random number below
+// Sample returns up to n of a list, drawn by a function that returns a random number below
 // the one it is given, and reorders the list: the hosts that hear a repeat, or the news that
 // fit one.
-func Draw[T any](list []T, n int, random func(int) int) []T {
+func Sample[T any](list []T, n int, random func(int) int) []T {
 	n = min(n, len(list))
 	for i := range n {
 		j := i + random(len(list)-i)
--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -16,7 +16,7 @@
 	drawn := make(map[int]int)
 	for range 4000 {
 		list := []int{0, 1, 2, 3}
-		got := gossip.Draw(list, 2, random.IntN)
+		got := gossip.Sample(list, 2, random.IntN)
 		is.Equal(len(got), 2)
 		is.True(got[0] != got[1])
 		drawn[got[0]]++
@@ -25,6 +25,6 @@
 	for i := range 4 {
 		is.True(drawn[i] > 1850 && drawn[i] < 2150)
 	}
-	is.Equal(len(gossip.Draw([]int{7}, 2, random.IntN)), 1)
-	is.Equal(len(gossip.Draw([]int{}, 2, random.IntN)), 0)
+	is.Equal(len(gossip.Sample([]int{7}, 2, random.IntN)), 1)
+	is.Equal(len(gossip.Sample([]int{}, 2, random.IntN)), 0)
 }
