--- a/internal/entry/capacity_test.go
+++ b/internal/entry/capacity_test.go
@@ -153,7 +153,7 @@
 				e.control.registry.ConnectFailed(time.Now(), key)
 			}
 			e.control.publishChanged()
-			e.control.registry.Reached(time.Now(), key)
+			e.control.registry.ConnectSucceeded(time.Now(), key)
 			e.control.publishChanged()
 		}
 	})
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -97,7 +97,7 @@
 	for _, d := range c.config.InForce {
 		present[d.Name] = d.Revision
 		if known, ok := c.revisions[d.Name]; !ok || known != d.Revision {
-			c.registry.Configure(now, d.Name, d.Revision, lifecycle.Listings(d.Service, activation))
+			c.registry.Configure(now, d.Name, d.Revision, lifecycle.UpstreamSpecs(d.Service, activation))
 		}
 	}
 	for name := range c.revisions {
--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -158,7 +158,7 @@
 		id := g.Upstreams[i].ID
 		view, _ := s.lifecycle.View(lifecycle.UpstreamKey{Service: service, Upstream: id})
 		switch {
-		case !view.Takes:
+		case !view.AcceptsRequests:
 		case view.Unreachable:
 			unreachable = append(unreachable, st.upstreams[id])
 		default:
--- a/internal/entry/groups_test.go
+++ b/internal/entry/groups_test.go
@@ -40,7 +40,7 @@
 func (f *groupFleet) publish(g *config.Group) balancer.Picker {
 	f.revision++
 	f.service.Groups = []config.Group{*g}
-	f.registry.Configure(time.Now(), f.service.Name, f.revision, lifecycle.Listings(&f.service, activation))
+	f.registry.Configure(time.Now(), f.service.Name, f.revision, lifecycle.UpstreamSpecs(&f.service, activation))
 	f.store.lifecycle, _ = f.registry.Flush()
 	return f.store.Group(&f.service, g).Picker
 }
@@ -92,7 +92,7 @@
 	g := groupOf("random", "a", "b")
 	picker := f.publish(g)
 	other := config.Service{Name: "ledger", Groups: []config.Group{*groupOf("random", "x")}}
-	f.registry.Configure(time.Now(), other.Name, 1, lifecycle.Listings(&other, activation))
+	f.registry.Configure(time.Now(), other.Name, 1, lifecycle.UpstreamSpecs(&other, activation))
 	f.store.lifecycle, _ = f.registry.Flush()
 
 	kept := f.store.Group(&f.service, g)
--- a/internal/entry/publish_test.go
+++ b/internal/entry/publish_test.go
@@ -41,7 +41,7 @@
 	is.Equal(after.Version, before+1) // one publication
 	for _, d := range snapshot.InForce {
 		for _, u := range d.Groups[0].Upstreams {
-			is.True(!after.Takes(lifecycle.UpstreamKey{Service: d.Name, Upstream: u.ID}))
+			is.True(!after.AcceptsRequests(lifecycle.UpstreamKey{Service: d.Name, Upstream: u.ID}))
 		}
 	}
 	e.control.ConnectFailed(lifecycle.UpstreamKey{Service: "service-000", Upstream: "none"})
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -71,7 +71,7 @@
 func registeredConfig(upstreams lifecycle.Config) discovery.Config {
 	return discovery.Config{
 		RecoveryGrace:      returnGrace,
-		TombstoneRetention: upstreams.KeepNotices + forgetMargin,
+		TombstoneRetention: upstreams.NoticeRetention + forgetMargin,
 		EarlierStartDelay:  earlierAfter,
 	}
 }
@@ -245,13 +245,13 @@
 	now := clock.Now()
 	for _, service := range c.set.Changed() {
 		c.revision++
-		var listings []lifecycle.Listing
+		var listings []lifecycle.UpstreamSpec
 		for _, u := range c.set.Upstreams(service) {
-			listings = append(listings, lifecycle.Listing{
+			listings = append(listings, lifecycle.UpstreamSpec{
 				Upstream:   u.ID,
 				Draining:   u.Draining,
 				Activation: u.Start,
-				Withheld:   c.evacuated.Holds(u.FailureDomain),
+				Evacuated:  c.evacuated.Holds(u.FailureDomain),
 			})
 		}
 		c.registry.Configure(now, service, c.revision, listings)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -61,7 +61,7 @@
 		FailureDomain: g.conf.FailureDomain,
 		Period:        memberPeriod,
 		Hosts:         f,
-		Ticked:        f.refresh,
+		OnTick:        f.refresh,
 		Loop:          g.loop,
 		Events:        g.sink,
 	})
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -25,15 +25,15 @@
 			now, revision := time.Now(), uint64(0)
 			list := func() {
 				revision++
-				var listings []lifecycle.Listing
+				var listings []lifecycle.UpstreamSpec
 				for _, u := range set.Upstreams("s") {
-					listings = append(listings, lifecycle.Listing{Upstream: u.ID, Activation: u.Start})
+					listings = append(listings, lifecycle.UpstreamSpec{Upstream: u.ID, Activation: u.Start})
 				}
 				registry.Configure(now, "s", revision, listings)
 			}
 			takes := func() bool {
 				s, _ := registry.Flush()
-				return s.Takes(lifecycle.UpstreamKey{Service: "s", Upstream: "u"})
+				return s.AcceptsRequests(lifecycle.UpstreamKey{Service: "s", Upstream: "u"})
 			}
 			set.Put(now, discovery.Upstream{ID: "u", Service: "s", Born: 1, Revision: 1})
 			list()
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -182,7 +182,7 @@
 	for id, u := range pl.records {
 		view, _ := s.View(lifecycle.UpstreamKey{Service: service, Upstream: id})
 		switch {
-		case !view.Takes:
+		case !view.AcceptsRequests:
 		case view.Unreachable:
 			unreachable = append(unreachable, u)
 		default:
--- a/internal/gateway/upstreams.go
+++ b/internal/gateway/upstreams.go
@@ -16,7 +16,7 @@
 
 // Leaving implements proxy.Upstreams.
 func (c *controller) Leaving(k lifecycle.UpstreamKey, activation uint64) {
-	if c.snapshot.Load().KnownToLeave(k) {
+	if c.snapshot.Load().Leaving(k) {
 		return
 	}
 	c.gateway.loop.Post(func() {
@@ -36,7 +36,7 @@
 // Reached implements proxy.Upstreams.
 func (c *controller) Reached(k lifecycle.UpstreamKey) {
 	c.gateway.loop.Post(func() {
-		c.registry.Reached(clock.Now(), k)
+		c.registry.ConnectSucceeded(clock.Now(), k)
 		c.publish(false)
 	})
 }
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -46,15 +46,15 @@
 	Process uint64
 	// Period is the time between two probes. Default: membership.DefaultPeriod.
 	Period time.Duration
-	// PauseBound is the gap that counts as a pause. Default: two periods.
-	PauseBound time.Duration
-	// ForgetAfter is how long dead members are kept. Default: 600 periods.
-	ForgetAfter time.Duration
+	// PauseThreshold is the gap that counts as a pause. Default: two periods.
+	PauseThreshold time.Duration
+	// DeadRetention is how long dead members are kept. Default: 600 periods.
+	DeadRetention time.Duration
 	// Hosts reads the list of hosts.
 	Hosts HostSource
-	// Ticked, if not nil, is given the newest view after each tick, on the control
+	// OnTick, if not nil, is given the newest view after each tick, on the control
 	// goroutine.
-	Ticked func(*membership.Snapshot)
+	OnTick func(*membership.Snapshot)
 	// Loop is the control loop; New must be called before it runs.
 	Loop *control.Loop
 	// Events receives the decisions.
@@ -92,8 +92,8 @@
 	if conf.Period <= 0 {
 		conf.Period = membership.DefaultPeriod
 	}
-	if conf.PauseBound <= 0 {
-		conf.PauseBound = 2 * conf.Period
+	if conf.PauseThreshold <= 0 {
+		conf.PauseThreshold = 2 * conf.Period
 	}
 	conf.Address = netip.AddrPortFrom(conf.Address.Addr().Unmap(), conf.Address.Port())
 	now := clock.Now()
@@ -114,14 +114,14 @@
 		process = random.Uint64()
 	}
 	return membership.Config{
-		Address:       m.conf.Address,
-		FailureDomain: m.conf.FailureDomain,
-		Process:       process,
-		Incarnation:   uint64(now.UnixMilli()),
-		Period:        m.conf.Period,
-		PauseBound:    m.conf.PauseBound,
-		ForgetAfter:   m.conf.ForgetAfter,
-		Rand:          random,
+		Address:        m.conf.Address,
+		FailureDomain:  m.conf.FailureDomain,
+		Process:        process,
+		Incarnation:    uint64(now.UnixMilli()),
+		Period:         m.conf.Period,
+		PauseThreshold: m.conf.PauseThreshold,
+		DeadRetention:  m.conf.DeadRetention,
+		Rand:           random,
 	}
 }
 
@@ -163,7 +163,7 @@
 // that asks right after waking gets the right answer.
 func (m *Members) Waking() bool {
 	silent := clock.Since(m.started) - time.Duration(m.lastTick.Load())
-	return silent > m.conf.PauseBound || m.snapshot.Load().Waking
+	return silent > m.conf.PauseThreshold || m.snapshot.Load().Waking
 }
 
 // SetMetadata publishes up to 64 bytes with this host's entry, at most every
@@ -190,8 +190,8 @@
 	if s := m.core.Snapshot(); s != m.snapshot.Load() {
 		m.snapshot.Store(s)
 	}
-	if m.conf.Ticked != nil {
-		m.conf.Ticked(m.snapshot.Load())
+	if m.conf.OnTick != nil {
+		m.conf.OnTick(m.snapshot.Load())
 	}
 }
 
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -40,14 +40,14 @@
 	is := is.New(t)
 	loop := control.NewLoop()
 	m, err := New(Config{
-		Address:       a,
-		FailureDomain: "a",
-		Keys:          [][]byte{[]byte(key)},
-		Period:        testPeriod,
-		PauseBound:    patience, // a busy machine is no pause
-		Hosts:         l,
-		Loop:          loop,
-		Events:        event.Discard{},
+		Address:        a,
+		FailureDomain:  "a",
+		Keys:           [][]byte{[]byte(key)},
+		Period:         testPeriod,
+		PauseThreshold: patience, // a busy machine is no pause
+		Hosts:          l,
+		Loop:           loop,
+		Events:         event.Discard{},
 	})
 	is.NoErr(err)
 	is.NoErr(m.Start())
--- a/internal/notices/notices_test.go
+++ b/internal/notices/notices_test.go
@@ -20,7 +20,7 @@
 	ledger   = lifecycle.KeyOf("ledger", "caruaru-3")
 	lots     = lifecycle.KeyOf("lots", "caruaru-4")
 	known    = lifecycle.Notice{Key: ledger, DrainRevision: 7}
-	arriving = lifecycle.Notice{Key: lots, LeftBelow: 1}
+	arriving = lifecycle.Notice{Key: lots, MinActivation: 1}
 )
 
 // newSpreader returns a spreader without peers that knows one notice, and what
@@ -108,12 +108,12 @@
 	var pushed map[lifecycle.Key]lifecycle.Notice
 	err := s.conf.Loop.Call(t.Context(), func() {
 		for revision := range uint64(100) {
-			s.Tell([]lifecycle.Notice{{Key: ledger, DrainRevision: revision}, {Key: ledger, LeftBelow: 2}})
+			s.Tell([]lifecycle.Notice{{Key: ledger, DrainRevision: revision}, {Key: ledger, MinActivation: 2}})
 		}
 		pushed = maps.Clone(s.news)
 	})
 	is.NoErr(err)
-	joined := lifecycle.Notice{Key: ledger, DrainRevision: 99, LeftBelow: 2}
+	joined := lifecycle.Notice{Key: ledger, DrainRevision: 99, MinActivation: 2}
 	is.Equal(pushed, map[lifecycle.Key]lifecycle.Notice{ledger: joined})
 }
 
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -71,7 +71,7 @@
 			return status == http.StatusServiceUnavailable && h.Get(HeaderNotRun) == flagSet
 		},
 		Leaving: func(_ int, h http.Header) bool {
-			return lifecycle.SaysLeaving(h.Get(lifecycle.HeaderLeaving))
+			return lifecycle.ParseLeaving(h.Get(lifecycle.HeaderLeaving))
 		},
 		Rest:  ownRest,
 		Limit: ownLimit,
--- a/internal/proxy/turning_test.go
+++ b/internal/proxy/turning_test.go
@@ -145,9 +145,9 @@
 // takesAll is a lifecycle in which the upstreams of service take requests.
 func takesAll(upstreams int) *lifecycle.Snapshot {
 	r := lifecycle.NewRegistry(lifecycle.DefaultConfig(), event.Discard{})
-	var listings []lifecycle.Listing
+	var listings []lifecycle.UpstreamSpec
 	for i := range upstreams {
-		listings = append(listings, lifecycle.Listing{Upstream: "up-" + strconv.Itoa(i+1)})
+		listings = append(listings, lifecycle.UpstreamSpec{Upstream: "up-" + strconv.Itoa(i+1)})
 	}
 	r.Configure(time.Now(), "test", 1, listings)
 	s, _ := r.Flush()
--- a/internal/shutdown/hoststop.go
+++ b/internal/shutdown/hoststop.go
@@ -107,11 +107,11 @@
 	if effects.StopAccepting {
 		s.stopAccepting()
 	}
-	if effects.Cut > 0 {
-		s.conf.Emit(event.Event{Code: event.HostCut, Value: effects.Cut})
+	if effects.Aborted > 0 {
+		s.conf.Emit(event.Event{Code: event.HostCut, Value: effects.Aborted})
 	}
 	if effects.Exit {
-		s.exit(effects.Cut)
+		s.exit(effects.Aborted)
 	}
 }
 
--- a/pkg/lifecycle/bench_test.go
+++ b/pkg/lifecycle/bench_test.go
@@ -16,9 +16,9 @@
 		b.Run(fmt.Sprintf("notices=%d", n), func(b *testing.B) {
 			now := time.Unix(1_000_000, 0)
 			r := NewRegistry(DefaultConfig(), event.Discard{})
-			var list []Listing
+			var list []UpstreamSpec
 			for i := range n {
-				list = append(list, Listing{Upstream: fmt.Sprint(i), Draining: true})
+				list = append(list, UpstreamSpec{Upstream: fmt.Sprint(i), Draining: true})
 			}
 			r.Configure(now, "s", 1_000_000, list)
 			var size int
@@ -47,9 +47,9 @@
 			now := time.Unix(1_000_000, 0)
 			r := NewRegistry(DefaultConfig(), event.Discard{})
 			for s := range services {
-				var list []Listing
+				var list []UpstreamSpec
 				for u := range perService {
-					list = append(list, Listing{Upstream: fmt.Sprintf("%d-%d", s, u)})
+					list = append(list, UpstreamSpec{Upstream: fmt.Sprintf("%d-%d", s, u)})
 				}
 				r.Configure(now, fmt.Sprint(s), 1, list)
 			}
--- a/pkg/lifecycle/example_test.go
+++ b/pkg/lifecycle/example_test.go
@@ -12,10 +12,10 @@
 	now := time.Unix(1000, 0)
 	lots3 := lifecycle.UpstreamKey{Service: "lots", Upstream: "caruaru-3"}
 	r := lifecycle.NewRegistry(lifecycle.DefaultConfig(), event.Discard{})
-	r.Configure(now, "lots", 7, []lifecycle.Listing{{Upstream: "caruaru-3"}})
+	r.Configure(now, "lots", 7, []lifecycle.UpstreamSpec{{Upstream: "caruaru-3"}})
 	before, _ := r.Flush()
 	r.Refused(now, lots3, 0) // it answered that it is leaving
 	after, notices := r.Flush()
-	fmt.Println(before.Takes(lots3), after.Takes(lots3), len(notices))
+	fmt.Println(before.AcceptsRequests(lots3), after.AcceptsRequests(lots3), len(notices))
 	// Output: true false 1
 }
--- a/pkg/lifecycle/header.go
+++ b/pkg/lifecycle/header.go
@@ -6,6 +6,6 @@
 
 const leavingValue = "1"
 
-// SaysLeaving reports whether a value of HeaderLeaving says that the upstream
+// ParseLeaving reports whether a value of HeaderLeaving says that the upstream
 // is leaving.
-func SaysLeaving(value string) bool { return value == leavingValue }
+func ParseLeaving(value string) bool { return value == leavingValue }
--- a/pkg/lifecycle/host.go
+++ b/pkg/lifecycle/host.go
@@ -59,8 +59,8 @@
 	CloseIdle bool
 	// StopAccepting closes the listener and refuses new requests.
 	StopAccepting bool
-	// Cut is the number of requests that are cut off.
-	Cut int64
+	// Aborted is the number of requests that are cut off.
+	Aborted int64
 	// Exit ends the process.
 	Exit bool
 }
@@ -143,7 +143,7 @@
 		Exit:          effects.Has(hostDoExit),
 	}
 	if effects.Has(hostDoCut) {
-		out.Cut = inFlight
+		out.Aborted = inFlight
 	}
 	return out
 }
--- a/pkg/lifecycle/host_test.go
+++ b/pkg/lifecycle/host_test.go
@@ -33,12 +33,12 @@
 	h := NewHost(hostConf)
 	h.Ready()
 	h.Signal(now, 3)
-	is.Equal(h.Signal(now.Add(time.Second), 3), HostEffects{StopAccepting: true, Cut: 3, Exit: true})
+	is.Equal(h.Signal(now.Add(time.Second), 3), HostEffects{StopAccepting: true, Aborted: 3, Exit: true})
 	h = NewHost(hostConf)
 	h.Ready()
 	h.Signal(now, 3)
 	h.Tick(now.Add(hostConf.Grace), 3)
-	is.Equal(h.Tick(now.Add(hostConf.Deadline), 2), HostEffects{Cut: 2, Exit: true})
+	is.Equal(h.Tick(now.Add(hostConf.Deadline), 2), HostEffects{Aborted: 2, Exit: true})
 	is.True(HostConfig{Grace: time.Second, Deadline: time.Second}.Validate() != nil)
 }
 
@@ -63,7 +63,7 @@
 			if !e.Exit {
 				continue
 			}
-			is.Equal(e.Cut, running)
+			is.Equal(e.Aborted, running)
 			is.True(running == 0 || second == 30)
 			return
 		}
--- a/pkg/lifecycle/listing.go
+++ b/pkg/lifecycle/listing.go
@@ -2,11 +2,11 @@
 
 import "github.com/dapplespindle/dapplespindle/pkg/config"
 
-// Listings returns the upstreams of a service's document. An upstream that
+// UpstreamSpecs returns the upstreams of a service's document. An upstream that
 // stands in several groups is draining if any of them says so. Activation is
 // the function that reads an upstream's activation; nil means 0 for all.
-func Listings(svc *config.Service, activation func(*config.Upstream) uint64) []Listing {
-	var out []Listing
+func UpstreamSpecs(svc *config.Service, activation func(*config.Upstream) uint64) []UpstreamSpec {
+	var out []UpstreamSpec
 	at := make(map[string]int)
 	for g := range svc.Groups {
 		group := &svc.Groups[g]
@@ -24,8 +24,8 @@
 	return out
 }
 
-func listing(g *config.Group, u *config.Upstream, activation func(*config.Upstream) uint64) Listing {
-	l := Listing{Upstream: u.ID, Draining: u.State == config.Draining, SlowStart: g.SlowStart.Std()}
+func listing(g *config.Group, u *config.Upstream, activation func(*config.Upstream) uint64) UpstreamSpec {
+	l := UpstreamSpec{Upstream: u.ID, Draining: u.State == config.Draining, SlowStart: g.SlowStart.Std()}
 	if activation != nil {
 		l.Activation = activation(u)
 	}
@@ -33,7 +33,7 @@
 }
 
 // strictest joins two entries for one upstream.
-func (l Listing) strictest(o Listing) Listing {
+func (l UpstreamSpec) strictest(o UpstreamSpec) UpstreamSpec {
 	l.Draining = l.Draining || o.Draining
 	l.Activation = min(l.Activation, o.Activation)
 	l.SlowStart = max(l.SlowStart, o.SlowStart)
--- a/pkg/lifecycle/naive_test.go
+++ b/pkg/lifecycle/naive_test.go
@@ -17,9 +17,9 @@
 type product struct{ *Registry }
 
 func (p product) document(revision uint64, listed, draining bool, activation uint64) {
-	var list []Listing
+	var list []UpstreamSpec
 	if listed {
-		list = []Listing{{Upstream: testMember.Upstream, Draining: draining, Activation: activation}}
+		list = []UpstreamSpec{{Upstream: testMember.Upstream, Draining: draining, Activation: activation}}
 	}
 	p.Configure(time.Unix(1000, 0), testMember.Service, revision, list)
 }
@@ -32,7 +32,7 @@
 
 func (p product) peer(w Notice) { p.Merge(time.Unix(1000, 0), w) }
 
-func (p product) takes() bool { return p.snapshot().Takes(testMember) }
+func (p product) takes() bool { return p.snapshot().AcceptsRequests(testMember) }
 
 // lastWins believes whatever it heard last.
 type lastWins struct{ active bool }
@@ -47,10 +47,10 @@
 	if l.active {
 		return Notice{}
 	}
-	return Notice{LeftBelow: 1}
+	return Notice{MinActivation: 1}
 }
 
-func (l *lastWins) peer(w Notice) { l.active = w.LeftBelow == 0 }
+func (l *lastWins) peer(w Notice) { l.active = w.MinActivation == 0 }
 
 func (l *lastWins) takes() bool { return l.active }
 
--- a/pkg/lifecycle/news.go
+++ b/pkg/lifecycle/news.go
@@ -19,7 +19,7 @@
 // Configure takes in the document of a service: the whole list of its
 // upstreams, nil when the service was deleted. A document that is not newer
 // than the last one is ignored, and Configure reports false.
-func (r *Registry) Configure(now time.Time, service string, revision uint64, listings []Listing) bool {
+func (r *Registry) Configure(now time.Time, service string, revision uint64, listings []UpstreamSpec) bool {
 	last, known := r.revisions[service]
 	if known && revision <= last {
 		return false
@@ -42,7 +42,7 @@
 
 // list takes in one entry of a document. Upstreams of the first document that
 // a process sees are taken to be warm.
-func (r *Registry) list(now time.Time, k UpstreamKey, revision uint64, l Listing, first bool) {
+func (r *Registry) list(now time.Time, k UpstreamKey, revision uint64, l UpstreamSpec, first bool) {
 	m := r.member(k)
 	isNew := m == nil
 	if isNew {
@@ -124,7 +124,7 @@
 
 func (r *Registry) left(now time.Time, k UpstreamKey, activation uint64, source string) {
 	key := KeyOf(k.Service, k.Upstream)
-	if r.learn(now, Notice{Key: key, LeftBelow: activation + 1}) {
+	if r.learn(now, Notice{Key: key, MinActivation: activation + 1}) {
 		r.afterNotice(now, key, source)
 	}
 }
@@ -159,8 +159,8 @@
 	}
 }
 
-// Reached takes in a connection or a probe that succeeded.
-func (r *Registry) Reached(now time.Time, k UpstreamKey) {
+// ConnectSucceeded takes in a connection or a probe that succeeded.
+func (r *Registry) ConnectSucceeded(now time.Time, k UpstreamKey) {
 	m := r.member(k)
 	if m == nil {
 		return
@@ -203,7 +203,7 @@
 		}
 	}
 	for key, n := range r.notices {
-		if r.byKey[key] == nil && now.Sub(n.learned) >= r.conf.KeepNotices {
+		if r.byKey[key] == nil && now.Sub(n.learned) >= r.conf.NoticeRetention {
 			delete(r.notices, key)
 		}
 	}
--- a/pkg/lifecycle/notice.go
+++ b/pkg/lifecycle/notice.go
@@ -29,22 +29,22 @@
 	// DrainRevision is the newest revision of its service's document known to
 	// say that it is draining or not listed. Only a newer document revives it.
 	DrainRevision uint64
-	// LeftBelow is one more than the newest activation known to be over. Only
+	// MinActivation is one more than the newest activation known to be over. Only
 	// this activation or a later one is alive; 0 means none is known to be over.
-	LeftBelow uint64
+	MinActivation uint64
 }
 
 // Join returns the knowledge of both notices, which must have one key. It is
 // idempotent, commutative and associative.
 func (n Notice) Join(o Notice) Notice {
 	n.DrainRevision = max(n.DrainRevision, o.DrainRevision)
-	n.LeftBelow = max(n.LeftBelow, o.LeftBelow)
+	n.MinActivation = max(n.MinActivation, o.MinActivation)
 	return n
 }
 
 // allows reports whether a listing outranks everything known by w.
 func (n Notice) allows(revision, activation uint64) bool {
-	return revision > n.DrainRevision && activation >= n.LeftBelow
+	return revision > n.DrainRevision && activation >= n.MinActivation
 }
 
 // MaxNoticeBytes bounds an encoded notice: a key and two varints.
@@ -62,7 +62,7 @@
 func (n Notice) appendTo(b []byte) []byte {
 	b = binary.BigEndian.AppendUint64(b, uint64(n.Key))
 	b = binary.AppendUvarint(b, n.DrainRevision)
-	return binary.AppendUvarint(b, n.LeftBelow)
+	return binary.AppendUvarint(b, n.MinActivation)
 }
 
 // decodeNotice reads one notice and returns the rest of b.
@@ -76,7 +76,7 @@
 	if n.DrainRevision, rest, err = decodeNumber(rest); err != nil {
 		return Notice{}, nil, err
 	}
-	if n.LeftBelow, rest, err = decodeNumber(rest); err != nil {
+	if n.MinActivation, rest, err = decodeNumber(rest); err != nil {
 		return Notice{}, nil, err
 	}
 	return n, rest, nil
--- a/pkg/lifecycle/notice_test.go
+++ b/pkg/lifecycle/notice_test.go
@@ -22,7 +22,7 @@
 	draw := rapid.Custom(func(t *rapid.T) Notice {
 		return Notice{
 			DrainRevision: rapid.Uint64Range(0, 5).Draw(t, "drain revision"),
-			LeftBelow:     rapid.Uint64Range(0, 5).Draw(t, "left below"),
+			MinActivation: rapid.Uint64Range(0, 5).Draw(t, "left below"),
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
@@ -36,8 +36,8 @@
 
 func TestBytesOfANotice(t *testing.T) {
 	is := is.New(t)
-	usual := Notice{Key: KeyOf("lot-catalogue", "caruaru-3"), DrainRevision: 15000 * 365, LeftBelow: 2}
-	largest := Notice{Key: math.MaxUint64, DrainRevision: math.MaxUint64, LeftBelow: math.MaxUint64}
+	usual := Notice{Key: KeyOf("lot-catalogue", "caruaru-3"), DrainRevision: 15000 * 365, MinActivation: 2}
+	largest := Notice{Key: math.MaxUint64, DrainRevision: math.MaxUint64, MinActivation: math.MaxUint64}
 	t.Logf("usual notice %d bytes, largest %d bytes", len(usual.appendTo(nil)), len(largest.appendTo(nil)))
 	is.Equal(len(largest.appendTo(nil)), MaxNoticeBytes)
 	is.True(MaxNoticeBytes <= 64)
@@ -50,7 +50,7 @@
 
 // FuzzDecodeNotices checks that what decodes encodes to the same knowledge.
 func FuzzDecodeNotices(f *testing.F) {
-	f.Add(EncodeNotices([]Notice{{Key: 1, DrainRevision: 300, LeftBelow: 2}}))
+	f.Add(EncodeNotices([]Notice{{Key: 1, DrainRevision: 300, MinActivation: 2}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		notices, err := DecodeNotices(b)
 		if err != nil {
--- a/pkg/lifecycle/registry.go
+++ b/pkg/lifecycle/registry.go
@@ -27,8 +27,8 @@
 	ConnectFailures int
 	// UnreachablePause is the time after which an unreachable upstream is tried again.
 	UnreachablePause time.Duration
-	// KeepNotices is how long the notice about an upstream that is not configured is kept.
-	KeepNotices time.Duration
+	// NoticeRetention is how long the notice about an upstream that is not configured is kept.
+	NoticeRetention time.Duration
 	// MaxNotices bounds the notices kept. At the bound news about upstreams that
 	// are not configured is dropped and counted; none is evicted.
 	MaxNotices int
@@ -39,13 +39,13 @@
 	return Config{
 		ConnectFailures:  3,
 		UnreachablePause: 2 * time.Second,
-		KeepNotices:      time.Hour,
+		NoticeRetention:  time.Hour,
 		MaxNotices:       4096,
 	}
 }
 
-// Listing is one upstream as the document of its service lists it.
-type Listing struct {
+// UpstreamSpec is one upstream as the document of its service lists it.
+type UpstreamSpec struct {
 	// Upstream is its id.
 	Upstream string
 	// Draining is true when the operator asked that it take no new requests.
@@ -55,15 +55,15 @@
 	Activation uint64
 	// SlowStart is the time over which its share grows; 0 is off.
 	SlowStart time.Duration
-	// Withheld is true while nothing new may be sent to it although it does not leave:
+	// Evacuated is true while nothing new may be sent to it although it does not leave:
 	// its failure domain is evacuated.
-	Withheld bool
+	Evacuated bool
 }
 
 // member is one configured upstream.
 type member struct {
 	key       UpstreamKey
-	listing   Listing
+	listing   UpstreamSpec
 	revision  uint64
 	state     statechart.State
 	warmSince time.Time
@@ -145,13 +145,13 @@
 	out := &serviceViews{version: r.version, views: make(map[string]View, len(members))}
 	for upstream, m := range members {
 		out.views[upstream] = View{
-			State:       charts.Upstream.StateName(m.state),
-			Takes:       r.takes(m) && !m.listing.Withheld,
-			Left:        m.state == stLeaving || m.state == stDrained,
-			Unreachable: m.state == stUnreachable,
-			Activation:  m.listing.Activation,
-			WarmSince:   m.warmSince,
-			SlowStart:   m.listing.SlowStart,
+			State:           charts.Upstream.StateName(m.state),
+			AcceptsRequests: r.takes(m) && !m.listing.Evacuated,
+			Leaving:         m.state == stLeaving || m.state == stDrained,
+			Unreachable:     m.state == stUnreachable,
+			Activation:      m.listing.Activation,
+			WarmSince:       m.warmSince,
+			SlowStart:       m.listing.SlowStart,
 		}
 	}
 	return out
@@ -213,7 +213,7 @@
 // nil for an upstream that is not configured.
 func (r *Registry) repeats(now time.Time, m *member, n *knownNotice) bool {
 	if m == nil {
-		return now.Sub(n.learned) < r.conf.KeepNotices/2
+		return now.Sub(n.learned) < r.conf.NoticeRetention/2
 	}
 	return m.listing.Draining || !n.notice.allows(m.revision, m.listing.Activation)
 }
--- a/pkg/lifecycle/registry_test.go
+++ b/pkg/lifecycle/registry_test.go
@@ -177,7 +177,7 @@
 	case 0:
 		p.ConnectFailed(now, testMember)
 	case 1:
-		p.Reached(now, testMember)
+		p.ConnectSucceeded(now, testMember)
 	case 2:
 		p.InFlight(now, testMember, 0)
 	default:
@@ -219,14 +219,14 @@
 	var events recorder
 	r := NewRegistry(DefaultConfig(), &events)
 	list := func(revision, activation uint64, draining bool) {
-		r.Configure(now, "lots", revision, []Listing{{Upstream: "u", Draining: draining, Activation: activation, SlowStart: 10 * time.Second}})
+		r.Configure(now, "lots", revision, []UpstreamSpec{{Upstream: "u", Draining: draining, Activation: activation, SlowStart: 10 * time.Second}})
 	}
-	takes := func() bool { return r.snapshot().Takes(testMember) }
+	takes := func() bool { return r.snapshot().AcceptsRequests(testMember) }
 	list(1, 0, false)
 	is.True(takes())
 	list(2, 0, true)
 	is.True(!takes())
-	is.True(!r.Configure(now, "lots", 1, []Listing{{Upstream: "u"}})) // a late document
+	is.True(!r.Configure(now, "lots", 1, []UpstreamSpec{{Upstream: "u"}})) // a late document
 	list(3, 0, false)
 	is.True(takes()) // a newer document undrains
 	v, _ := r.snapshot().View(testMember)
@@ -234,7 +234,7 @@
 	is.Equal(v.Weight(now.Add(5*time.Second)), 0.5)
 	r.Refused(now, testMember, 0)
 	_, announced := r.Flush()
-	is.Equal(announced[len(announced)-1], Notice{Key: KeyOf("lots", "u"), DrainRevision: 2, LeftBelow: 1})
+	is.Equal(announced[len(announced)-1], Notice{Key: KeyOf("lots", "u"), DrainRevision: 2, MinActivation: 1})
 	list(4, 0, false)
 	is.True(!takes()) // an unrelated change revives nothing
 	list(5, 1, false)
@@ -258,13 +258,13 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	r := NewRegistry(DefaultConfig(), event.Discard{})
-	r.Configure(now, "lots", 1, []Listing{{Upstream: "u"}})
+	r.Configure(now, "lots", 1, []UpstreamSpec{{Upstream: "u"}})
 	for range 3 {
 		r.ConnectFailed(now, testMember)
 	}
 	snapshot, _ := r.Flush()
 	v, _ := snapshot.View(testMember)
-	is.True(v.Takes && v.Unreachable)
+	is.True(v.AcceptsRequests && v.Unreachable)
 	r.Tick(now.Add(3 * time.Second))
 	snapshot, announced := r.Flush()
 	v, _ = snapshot.View(testMember)
@@ -279,12 +279,12 @@
 	conf.MaxNotices = 2
 	r := NewRegistry(conf, event.Discard{})
 	for k := range 5 {
-		r.Merge(now, Notice{Key: Key(k), LeftBelow: 1})
+		r.Merge(now, Notice{Key: Key(k), MinActivation: 1})
 	}
 	is.Equal(len(r.Notices(now)), 2)
-	is.Equal(len(r.Notices(now.Add(conf.KeepNotices/2))), 0) // no longer repeated
+	is.Equal(len(r.Notices(now.Add(conf.NoticeRetention/2))), 0) // no longer repeated
 	is.Equal(r.Dropped(), uint64(3))
-	r.Tick(now.Add(conf.KeepNotices))
+	r.Tick(now.Add(conf.NoticeRetention))
 	is.Equal(len(r.notices), 0)
 }
 
@@ -292,13 +292,13 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	r := NewRegistry(DefaultConfig(), event.Discard{})
-	r.Configure(now, "lots", 1, []Listing{{Upstream: "u"}})
+	r.Configure(now, "lots", 1, []UpstreamSpec{{Upstream: "u"}})
 	before, _ := r.Flush()
 	is.Equal(before.CheckSend(testMember, before.Version), Send)
 	r.Refused(now, testMember, 0)
 	after, _ := r.Flush()
 	is.Equal(after.CheckSend(testMember, before.Version), ChooseAgain)
-	is.Equal(after.CheckSend(testMember, after.Version), Broken)
+	is.Equal(after.CheckSend(testMember, after.Version), InvariantViolated)
 }
 
 func TestListingsTakeTheStrictest(t *testing.T) {
@@ -307,7 +307,7 @@
 		{Upstreams: []config.Upstream{{ID: "a"}, {ID: "b"}}},
 		{Upstreams: []config.Upstream{{ID: "a", State: config.Draining}}, SlowStart: config.Duration(time.Second)},
 	}}
-	is.Equal(Listings(svc, nil), []Listing{{Upstream: "a", Draining: true, SlowStart: time.Second}, {Upstream: "b"}})
+	is.Equal(UpstreamSpecs(svc, nil), []UpstreamSpec{{Upstream: "a", Draining: true, SlowStart: time.Second}, {Upstream: "b"}})
 }
 
 // TestOutrankedNoticesAreNotRepeated follows one upstream over a leave, its
@@ -317,7 +317,7 @@
 	r, now := NewRegistry(DefaultConfig(), event.Discard{}), time.Unix(1_000_000, 0)
 	key := UpstreamKey{"ledger", "a"}
 	list := func(revision, activation uint64, draining bool) {
-		r.Configure(now, key.Service, revision, []Listing{{Upstream: key.Upstream, Activation: activation, Draining: draining}})
+		r.Configure(now, key.Service, revision, []UpstreamSpec{{Upstream: key.Upstream, Activation: activation, Draining: draining}})
 	}
 	list(1, 0, false)
 	r.Refused(now, key, 0)
@@ -326,12 +326,12 @@
 	is.Equal(len(r.Notices(now)), 1) // a document that does not activate it
 	list(3, 1, false)
 	is.Equal(len(r.Notices(now)), 0) // takes requests again
-	r.Merge(now, Notice{Key: KeyOf(key.Service, key.Upstream), LeftBelow: 1})
+	r.Merge(now, Notice{Key: KeyOf(key.Service, key.Upstream), MinActivation: 1})
 	is.Equal(len(r.Notices(now)), 0) // old news from a peer that is behind
 	list(4, 1, true)
 	is.Equal(len(r.Notices(now)), 1) // drains
 	list(5, 1, false)
 	is.Equal(len(r.Notices(now)), 0)
 	r.Refused(now, key, 1)
-	is.Equal(r.Notices(now), []Notice{{Key: KeyOf(key.Service, key.Upstream), DrainRevision: 4, LeftBelow: 2}})
+	is.Equal(r.Notices(now), []Notice{{Key: KeyOf(key.Service, key.Upstream), DrainRevision: 4, MinActivation: 2}})
 }
--- a/pkg/lifecycle/seconds_test.go
+++ b/pkg/lifecycle/seconds_test.go
@@ -44,7 +44,7 @@
 
 var sources = []source{
 	{name: "document", lag: documentLag, read: func(r *Registry, now time.Time) {
-		r.Configure(now, "lots", 2, []Listing{{Upstream: "u", Draining: true}})
+		r.Configure(now, "lots", 2, []UpstreamSpec{{Upstream: "u", Draining: true}})
 	}},
 	{name: "host list", lag: listPoll, read: func(r *Registry, now time.Time) { r.HostLeaving(now, testMember) }},
 	{name: "upstream's refusal", refuse: true},
@@ -83,7 +83,7 @@
 	for i := range hosts {
 		h := &hosts[i]
 		h.registry = NewRegistry(DefaultConfig(), event.Discard{})
-		h.registry.Configure(start, "lots", 1, []Listing{{Upstream: "u"}})
+		h.registry.Configure(start, "lots", 1, []UpstreamSpec{{Upstream: "u"}})
 		h.flush()
 		h.learnsAt = time.Duration(rng.Int64N(int64(s.lag) + 1))
 	}
@@ -112,14 +112,14 @@
 		}
 		if rng.Float64() < fleetRate*fleetStep.Seconds() {
 			h := &hosts[rng.IntN(fleetHosts)]
-			if h.snapshot.Takes(testMember) {
+			if h.snapshot.AcceptsRequests(testMember) {
 				sent++
 				if s.refuse {
 					h.registry.Refused(now, testMember, 0)
 				}
 			}
 		}
-		if !slices.ContainsFunc(hosts, func(h fleetHost) bool { return h.snapshot.Takes(testMember) }) {
+		if !slices.ContainsFunc(hosts, func(h fleetHost) bool { return h.snapshot.AcceptsRequests(testMember) }) {
 			return elapsed, sent
 		}
 	}
@@ -159,7 +159,7 @@
 // BenchmarkTakes measures the check before a send.
 func BenchmarkTakes(b *testing.B) {
 	r := NewRegistry(DefaultConfig(), event.Discard{})
-	r.Configure(time.Unix(1000, 0), "lots", 1, []Listing{{Upstream: "u"}})
+	r.Configure(time.Unix(1000, 0), "lots", 1, []UpstreamSpec{{Upstream: "u"}})
 	s, _ := r.Flush()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pkg/lifecycle/snapshot.go
+++ b/pkg/lifecycle/snapshot.go
@@ -16,11 +16,11 @@
 type View struct {
 	// State is the name of its state in charts/upstream.yaml.
 	State string
-	// Takes is true when it may be sent new requests. It is a promise: an
+	// AcceptsRequests is true when it may be sent new requests. It is a promise: an
 	// upstream that is leaving, or whose failure domain is evacuated, is never sent one.
-	Takes bool
-	// Left is true when it is known to leave or to have left.
-	Left bool
+	AcceptsRequests bool
+	// Leaving is true when it is known to leave or to have left.
+	Leaving bool
 	// Unreachable is true when connections failed. It is advice: a balancer
 	// that has nothing else may still try.
 	Unreachable bool
@@ -84,17 +84,17 @@
 	return names
 }
 
-// Takes reports whether an upstream may be sent new requests.
-func (s *Snapshot) Takes(k UpstreamKey) bool {
+// AcceptsRequests reports whether an upstream may be sent new requests.
+func (s *Snapshot) AcceptsRequests(k UpstreamKey) bool {
 	view, _ := s.View(k)
-	return view.Takes
+	return view.AcceptsRequests
 }
 
-// KnownToLeave reports whether an upstream is known to leave. One that takes no requests for
+// Leaving reports whether an upstream is known to leave. One that takes no requests for
 // another reason, or is not configured at present, is not.
-func (s *Snapshot) KnownToLeave(k UpstreamKey) bool {
+func (s *Snapshot) Leaving(k UpstreamKey) bool {
 	view, _ := s.View(k)
-	return view.Left
+	return view.Leaving
 }
 
 // Verdict is the answer to a check right before sending.
@@ -106,20 +106,20 @@
 	Send Verdict = iota
 	// ChooseAgain means that the upstream left after it was chosen.
 	ChooseAgain
-	// Broken means that the balancer chose an upstream that was known to leave
+	// InvariantViolated means that the balancer chose an upstream that was known to leave
 	// in the very snapshot it chose from. The request must not be sent.
-	Broken
+	InvariantViolated
 )
 
 // CheckSend is called right before a request is sent, on the newest snapshot.
 // Chosen is the version of the snapshot that the choice was made from.
 func (s *Snapshot) CheckSend(k UpstreamKey, chosen uint64) Verdict {
 	switch {
-	case s.Takes(k):
+	case s.AcceptsRequests(k):
 		return Send
 	case chosen < s.Version:
 		return ChooseAgain
 	default:
-		return Broken
+		return InvariantViolated
 	}
 }
--- a/pkg/lifecycle/snapshot_test.go
+++ b/pkg/lifecycle/snapshot_test.go
@@ -75,22 +75,22 @@
 	key := UpstreamKey{service, fmt.Sprintf("u%d", random.IntN(4))}
 	switch random.IntN(7) {
 	case 0, 1:
-		var list []Listing
+		var list []UpstreamSpec
 		for u := range random.IntN(5) {
-			list = append(list, Listing{Upstream: fmt.Sprintf("u%d", u), Draining: random.IntN(4) == 0,
+			list = append(list, UpstreamSpec{Upstream: fmt.Sprintf("u%d", u), Draining: random.IntN(4) == 0,
 				Activation: revision / 40, SlowStart: time.Duration(random.IntN(2)) * time.Second})
 		}
 		r.Configure(now, service, revision, list)
 	case 2:
 		r.Refused(now, key, revision/40)
 	case 3:
-		r.Merge(now, Notice{Key: KeyOf(key.Service, key.Upstream), LeftBelow: uint64(random.IntN(3))})
+		r.Merge(now, Notice{Key: KeyOf(key.Service, key.Upstream), MinActivation: uint64(random.IntN(3))})
 	case 4:
 		for range DefaultConfig().ConnectFailures {
 			r.ConnectFailed(now, key)
 		}
 	case 5:
-		r.Reached(now, key)
+		r.ConnectSucceeded(now, key)
 		r.InFlight(now, key, 0)
 	case 6:
 		r.Tick(now)
--- a/pkg/membership/core.go
+++ b/pkg/membership/core.go
@@ -35,11 +35,11 @@
 	Incarnation uint64
 	// Period is the time between two probes. Default: DefaultPeriod.
 	Period time.Duration
-	// PauseBound is the gap between two inputs that counts as a pause.
+	// PauseThreshold is the gap between two inputs that counts as a pause.
 	// Default: two periods.
-	PauseBound time.Duration
-	// ForgetAfter is how long a dead member is kept. Default: 600 periods.
-	ForgetAfter time.Duration
+	PauseThreshold time.Duration
+	// DeadRetention is how long a dead member is kept. Default: 600 periods.
+	DeadRetention time.Duration
 	// MaxMembers bounds memory. Default: DefaultMaxMembers.
 	MaxMembers int
 	// Rand is the only source of randomness.
@@ -126,11 +126,11 @@
 	if conf.Period <= 0 {
 		conf.Period = DefaultPeriod
 	}
-	if conf.PauseBound <= 0 {
-		conf.PauseBound = defaultPausePeriods * conf.Period
+	if conf.PauseThreshold <= 0 {
+		conf.PauseThreshold = defaultPausePeriods * conf.Period
 	}
-	if conf.ForgetAfter <= 0 {
-		conf.ForgetAfter = defaultForgetPeriods * conf.Period
+	if conf.DeadRetention <= 0 {
+		conf.DeadRetention = defaultForgetPeriods * conf.Period
 	}
 	if conf.MaxMembers <= 0 {
 		conf.MaxMembers = DefaultMaxMembers
@@ -191,7 +191,7 @@
 	if gap <= 0 {
 		return
 	}
-	if gap > c.conf.PauseBound && !c.stopped {
+	if gap > c.conf.PauseThreshold && !c.stopped {
 		c.startWaking(gap)
 	}
 	if gap > c.conf.Period/2 {
--- a/pkg/membership/news.go
+++ b/pkg/membership/news.go
@@ -99,7 +99,7 @@
 		r.deadline = c.clock + c.suspicionTimeout()
 		c.emit(event.MemberSuspected, &r.entry)
 	case Dead:
-		r.deadline = c.clock + c.conf.ForgetAfter
+		r.deadline = c.clock + c.conf.DeadRetention
 		c.emit(event.MemberDead, &r.entry)
 	}
 	if was == Alive && r.entry.State != Alive && !slices.Contains(c.timed, r) {
