--- a/pkg/statechart/chart.go
+++ b/pkg/statechart/chart.go
@@ -44,14 +44,14 @@
 	line int
 }
 
-// NoArrowError means that an event has no arrow in the current state.
-type NoArrowError struct {
+// NoTransitionError means that an event has no arrow in the current state.
+type NoTransitionError struct {
 	// Chart, State and Event are names from the file.
 	Chart, State, Event string
 }
 
 // Error implements error.
-func (e *NoArrowError) Error() string {
+func (e *NoTransitionError) Error() string {
 	return fmt.Sprintf("chart %s: state %s has no arrow for event %s", e.Chart, e.State, e.Event)
 }
 
@@ -59,7 +59,7 @@
 type cell struct {
 	to      State
 	effects Effects
-	missing *NoArrowError
+	missing *NoTransitionError
 }
 
 // Chart is a checked and compiled state chart.
@@ -133,7 +133,7 @@
 	c.table = make([]cell, len(c.states)*len(c.events))
 	for s := range c.states {
 		for e := range c.events {
-			missing := &NoArrowError{c.name, c.states[s].Name, c.events[e].Name}
+			missing := &NoTransitionError{c.name, c.states[s].Name, c.events[e].Name}
 			c.table[s*len(c.events)+e] = cell{to: State(s), missing: missing}
 		}
 	}
--- a/pkg/statechart/chart_test.go
+++ b/pkg/statechart/chart_test.go
@@ -37,9 +37,9 @@
 	is.True(effects.Has(c.MustEffect("ring")))
 	same, _, err := c.Step(s, c.MustEvent("open"))
 	is.Equal(same, s)
-	var missing *NoArrowError
+	var missing *NoTransitionError
 	is.True(errors.As(err, &missing))
-	is.Equal(*missing, NoArrowError{"door", "opened", "open"})
+	is.Equal(*missing, NoTransitionError{"door", "opened", "open"})
 	s, _, err = c.Step(s, c.MustEvent("burn"))
 	is.NoErr(err)
 	is.True(c.IsFinal(s))
