--- a/internal/configfeed/feed.go
+++ b/internal/configfeed/feed.go
@@ -15,8 +15,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// TickEvery is how often the core is told of the time.
-const TickEvery = 100 * time.Millisecond
+// TickInterval is how often the core is told of the time.
+const TickInterval = 100 * time.Millisecond
 
 // membersEvery is how often the list of members is taken over.
 const membersEvery = time.Second
@@ -55,8 +55,8 @@
 	Frontier uint64
 	// Ready is true when the host may serve.
 	Ready bool
-	// Learning is true between waking from a pause and hearing from a peer.
-	Learning bool
+	// CatchingUp is true between waking from a pause and hearing from a peer.
+	CatchingUp bool
 }
 
 // Feed keeps the configuration of one entry host. Its methods may be called
@@ -82,25 +82,25 @@
 	f.sender = newSender(f)
 	f.publish()
 	pb.RegisterConfigSyncServer(conf.Server, &service{feed: f})
-	conf.Loop.Every(TickEvery, f.tick)
+	conf.Loop.Every(TickInterval, f.tick)
 	return f
 }
 
 // Watermark returns what this host publishes in its membership metadata.
 func (f *Feed) Watermark() configsync.Watermark { return *f.watermark.Load() }
 
-// Learning reports whether this host woke from a pause and has not yet heard
+// CatchingUp reports whether this host woke from a pause and has not yet heard
 // from a peer.
-func (f *Feed) Learning() bool { return f.learning.Load() }
+func (f *Feed) CatchingUp() bool { return f.learning.Load() }
 
 // PlatformCalls returns the number of calls made to the platform's
 // configuration service.
 func (f *Feed) PlatformCalls() int64 { return f.calls.Load() }
 
-// Follow reports how far revision of key has come over members.
-func (f *Feed) Follow(ctx context.Context, key string, revision uint64, members []configsync.MemberWatermark) (configsync.Progress, error) {
+// Progress reports how far revision of key has come over members.
+func (f *Feed) Progress(ctx context.Context, key string, revision uint64, members []configsync.MemberWatermark) (configsync.Progress, error) {
 	var out configsync.Progress
-	err := f.conf.Loop.Call(ctx, func() { out = f.node.Follow(key, revision, members) })
+	err := f.conf.Loop.Call(ctx, func() { out = f.node.Progress(key, revision, members) })
 	if err != nil {
 		return configsync.Progress{}, err
 	}
@@ -127,10 +127,10 @@
 	f.publish()
 	if e.InForce {
 		f.conf.OnChange(Snapshot{
-			InForce:  f.node.InForce(),
-			Frontier: f.node.State().Frontier(),
-			Ready:    f.node.Ready(),
-			Learning: f.node.Learning(),
+			InForce:    f.node.InForce(),
+			Frontier:   f.node.State().Frontier(),
+			Ready:      f.node.Ready(),
+			CatchingUp: f.node.CatchingUp(),
 		})
 	}
 	for _, out := range e.Send {
@@ -144,7 +144,7 @@
 func (f *Feed) publish() {
 	w := f.node.Watermark()
 	f.watermark.Store(&w)
-	f.learning.Store(f.node.Learning())
+	f.learning.Store(f.node.CatchingUp())
 }
 
 func (f *Feed) emit(ev event.Event) {
--- a/internal/configfeed/feed_test.go
+++ b/internal/configfeed/feed_test.go
@@ -69,7 +69,7 @@
 	loop := control.NewLoop()
 	m.Feed = New(ctx, Config{
 		Host:     m.Address,
-		Options:  configsync.Options{Self: m.Member, AloneAfter: 5 * time.Second},
+		Options:  configsync.Options{Self: m.Member, SoloStartTimeout: 5 * time.Second},
 		Loop:     loop,
 		Server:   m.server,
 		Pool:     m.pool,
@@ -196,7 +196,7 @@
 	for _, m := range f.hosts {
 		marks = append(marks, configsync.MemberWatermark{Member: m.Member, Watermark: m.Watermark()})
 	}
-	p, err := f.hosts[0].Follow(context.Background(), "services/a", second, marks)
+	p, err := f.hosts[0].Progress(context.Background(), "services/a", second, marks)
 	is.NoErr(err)
 	is.Equal(p.Verdict, configsync.Superseded)
 }
--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -245,8 +245,8 @@
 	e.feed = configfeed.New(ctx, configfeed.Config{
 		Host: e.host,
 		Options: configsync.Options{
-			Self:       configsync.Member{Address: e.conf.PeerListen, FailureDomain: e.conf.FailureDomain},
-			AloneAfter: e.conf.JoinTimeout,
+			Self:             configsync.Member{Address: e.conf.PeerListen, FailureDomain: e.conf.FailureDomain},
+			SoloStartTimeout: e.conf.JoinTimeout,
 		},
 		Loop:     e.loop,
 		Server:   e.peerServer,
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -69,7 +69,7 @@
 	if !c.entry.proxy.Ready() {
 		return false
 	}
-	return c.silent() > pausedAfter || c.waking.Load() || c.entry.feed.Learning()
+	return c.silent() > pausedAfter || c.waking.Load() || c.entry.feed.CatchingUp()
 }
 
 // probed hands the report of a probe to the groups that list the server.
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -76,10 +76,10 @@
 		},
 		Events: g.sink,
 
-		OnLimits:   g.heardLimits,
-		GrantQuota: g.quotas.Answer,
-		LendTurn:   func(s ratelimit.Server) bool { return g.control.pools.limits.Lend(clock.Now(), s) },
-		OnPoison:   func(died []poison.Death, answered []poison.Fingerprint) { g.proxy.Heard(died, answered) },
+		OnLimits:     g.heardLimits,
+		GrantQuota:   g.quotas.Answer,
+		LendTimeSlot: func(s ratelimit.Server) bool { return g.control.pools.limits.Lend(clock.Now(), s) },
+		OnPoison:     func(died []poison.Death, answered []poison.Fingerprint) { g.proxy.Heard(died, answered) },
 	})
 	return f, nil
 }
--- a/internal/peertransport/news.go
+++ b/internal/peertransport/news.go
@@ -55,9 +55,9 @@
 	OnPoison func(died []poison.Death, answered []poison.Fingerprint)
 	// OnLimits takes in what a peer tells of the limits of upstreams.
 	OnLimits func([]ratelimit.News)
-	// LendTurn uses a turn of this host at an upstream for another host. It reports whether
+	// LendTimeSlot uses a turn of this host at an upstream for another host. It reports whether
 	// there was one.
-	LendTurn func(ratelimit.Server) bool
+	LendTimeSlot func(ratelimit.Server) bool
 	// GrantQuota answers a host's question for room of a customer's quota. It may take as long
 	// as asking hosts does, and runs on a goroutine of its own.
 	GrantQuota func(from netip.AddrPort, q *quotas.Question) quota.Answer
--- a/internal/peertransport/news_test.go
+++ b/internal/peertransport/news_test.go
@@ -90,8 +90,8 @@
 		},
 		Events: h,
 
-		OnLimits: func(told []ratelimit.News) { h.limits <- told },
-		LendTurn: func(s ratelimit.Server) bool { return h.book.Lend(time.Now(), s) },
+		OnLimits:     func(told []ratelimit.News) { h.limits <- told },
+		LendTimeSlot: func(s ratelimit.Server) bool { return h.book.Lend(time.Now(), s) },
 		OnPoison: func(died []poison.Death, answered []poison.Fingerprint) {
 			h.poison <- poisonHeard{died, answered}
 		},
--- a/internal/peertransport/turns.go
+++ b/internal/peertransport/turns.go
@@ -58,7 +58,7 @@
 	if err := json.Unmarshal(text, &m); err != nil {
 		return errors.Wrap(err, "question for a turn")
 	}
-	lent := t.conf.LendTurn(ratelimit.Server{Name: m.Upstream, Born: m.Born})
+	lent := t.conf.LendTimeSlot(ratelimit.Server{Name: m.Upstream, Born: m.Born})
 	t.tellKind([]netip.AddrPort{from}, lentKind, lentMessage{m.Question, lent})
 	return nil
 }
--- a/pkg/configsync/bootstrap.go
+++ b/pkg/configsync/bootstrap.go
@@ -36,7 +36,7 @@
 		return
 	}
 	b.order = spread(n.opt, n.members)
-	b.order = b.order[:min(len(b.order), n.opt.AskPeers)]
+	b.order = b.order[:min(len(b.order), n.opt.StartPeers)]
 	if b.status == nil {
 		b.status = make(map[string]answer)
 		b.due = make(map[string]time.Time)
@@ -71,7 +71,7 @@
 	} else {
 		b.status[to] = failed
 	}
-	b.due[to] = now.Add(n.opt.AskTimeout)
+	b.due[to] = now.Add(n.opt.PeerTimeout)
 	n.send(to, n.summary(now, true))
 }
 
@@ -125,7 +125,7 @@
 		b.finish(n, event.ConfigReady, "every listed peer answered")
 	case b.listed && b.resolved() && b.enough(n.members):
 		b.finish(n, event.ConfigReady, "peers that serve answered")
-	case n.opt.AloneAfter >= 0 && now.Sub(n.started) >= n.opt.AloneAfter:
+	case n.opt.SoloStartTimeout >= 0 && now.Sub(n.started) >= n.opt.SoloStartTimeout:
 		b.finish(n, event.ConfigUnconfirmed, "listed peers did not answer")
 	}
 }
--- a/pkg/configsync/fleet_test.go
+++ b/pkg/configsync/fleet_test.go
@@ -33,7 +33,7 @@
 }
 
 func newRealNode(w *world, m Member) subject {
-	return NewNode(w.now, Options{Self: m, Rand: rand.New(rand.NewPCG(w.rand.Uint64(), 2)), AskTimeout: 2 * time.Second})
+	return NewNode(w.now, Options{Self: m, Rand: rand.New(rand.NewPCG(w.rand.Uint64(), 2)), PeerTimeout: 2 * time.Second})
 }
 
 // naive takes whatever it last read of the platform or heard from a peer, and
--- a/pkg/configsync/node.go
+++ b/pkg/configsync/node.go
@@ -66,7 +66,7 @@
 // is not ready.
 func NewNode(now time.Time, opt Options) *Node {
 	n := &Node{opt: opt.withDefaults(), state: NewState(), last: now, started: now}
-	n.nextSync = now.Add(n.jitter(n.opt.SyncEvery))
+	n.nextSync = now.Add(n.jitter(n.opt.SyncInterval))
 	return n
 }
 
@@ -74,9 +74,9 @@
 // what it has in force is no older than what its peers have.
 func (n *Node) Ready() bool { return n.start.done }
 
-// Learning reports whether the host woke from a pause and has not yet heard
+// CatchingUp reports whether the host woke from a pause and has not yet heard
 // from a peer. It must not act on its configuration for long-lived decisions.
-func (n *Node) Learning() bool { return !n.wakeUntil.IsZero() }
+func (n *Node) CatchingUp() bool { return !n.wakeUntil.IsZero() }
 
 // InForce returns the documents in force, ordered by name.
 func (n *Node) InForce() []Document { return n.state.InForce() }
@@ -91,7 +91,7 @@
 
 // SetMembers takes the present list of entry hosts. It may contain this host.
 // Until the first call a host is no reader and waits, unless
-// Options.AloneAfter passes.
+// Options.SoloStartTimeout passes.
 func (n *Node) SetMembers(now time.Time, members []Member) Effects {
 	n.begin(now)
 	if !n.start.listed || !slices.Equal(members, n.listed) {
@@ -127,7 +127,7 @@
 func (n *Node) begin(now time.Time) {
 	silence := now.Sub(n.last)
 	n.last = now
-	if silence > n.opt.PauseAfter {
+	if silence > n.opt.PauseThreshold {
 		n.wake(now)
 	}
 }
@@ -136,7 +136,7 @@
 	if !n.Ready() || len(n.members) == 0 {
 		return
 	}
-	n.wakeUntil = now.Add(n.opt.WakeWait)
+	n.wakeUntil = now.Add(n.opt.WakeTimeout)
 	n.event(event.Event{Code: event.ConfigLearning, Reason: "woke from a pause"})
 	n.out.InForce = true
 	for _, to := range n.neighbours.pick(n.opt.Rand, n.opt.FanOutInside, n.opt.FanOutOutside) {
@@ -145,7 +145,7 @@
 }
 
 func (n *Node) stepWake(now time.Time) {
-	if n.Learning() && now.After(n.wakeUntil) {
+	if n.CatchingUp() && now.After(n.wakeUntil) {
 		n.learned("no peer answered in time")
 	}
 }
@@ -161,7 +161,7 @@
 	if now.Before(n.nextSync) {
 		return
 	}
-	n.nextSync = now.Add(n.jitter(n.opt.SyncEvery))
+	n.nextSync = now.Add(n.jitter(n.opt.SyncInterval))
 	if to, ok := n.neighbours.one(n.opt.Rand); ok {
 		n.send(to, n.summary(now, true))
 	}
--- a/pkg/configsync/options.go
+++ b/pkg/configsync/options.go
@@ -29,30 +29,30 @@
 	// NeighboursInside and NeighboursOutside bound the peers that this host
 	// talks to, in its own failure domain and in others. Default: 12 and 8.
 	NeighboursInside, NeighboursOutside int
-	// SyncEvery is the mean time between comparisons with a random peer. Default: 1s.
-	SyncEvery time.Duration
+	// SyncInterval is the mean time between comparisons with a random peer. Default: 1s.
+	SyncInterval time.Duration
 	// WatchWait is how long a watch of a reader waits for a change. Default: 2s.
 	WatchWait time.Duration
-	// WatchPause is the least time between two calls of a reader. Default: 100ms.
-	WatchPause time.Duration
-	// RetryPause is the time between two calls of a reader when the platform
+	// WatchInterval is the least time between two calls of a reader. Default: 100ms.
+	WatchInterval time.Duration
+	// RetryDelay is the time between two calls of a reader when the platform
 	// does not answer. Default: 1s.
-	RetryPause time.Duration
-	// FreshFor is the time without confirmation by the platform after which a
+	RetryDelay time.Duration
+	// FallbackReadAfter is the time without confirmation by the platform after which a
 	// host that is no reader reads for itself. Default: 6s.
-	FreshFor time.Duration
-	// AskPeers is the number of peers that a starting host asks. Default: 16.
-	AskPeers int
-	// AskTimeout is how long a starting or waking host waits for one peer. Default: 1s.
-	AskTimeout time.Duration
-	// AloneAfter is the time after which a starting host serves although listed
+	FallbackReadAfter time.Duration
+	// StartPeers is the number of peers that a starting host asks. Default: 16.
+	StartPeers int
+	// PeerTimeout is how long a starting or waking host waits for one peer. Default: 1s.
+	PeerTimeout time.Duration
+	// SoloStartTimeout is the time after which a starting host serves although listed
 	// peers did not answer. Negative: never. Default: 20s.
-	AloneAfter time.Duration
-	// PauseAfter is the silence of its own clock after which a host takes it
+	SoloStartTimeout time.Duration
+	// PauseThreshold is the silence of its own clock after which a host takes it
 	// that it was paused. Default: 3s.
-	PauseAfter time.Duration
-	// WakeWait bounds the time that a woken host waits for a peer. Default: 2s.
-	WakeWait time.Duration
+	PauseThreshold time.Duration
+	// WakeTimeout bounds the time that a woken host waits for a peer. Default: 2s.
+	WakeTimeout time.Duration
 	// PageBytes is the size at which an answer is split, in bytes. One document
 	// may exceed it. Default: 256 KiB.
 	PageBytes int
@@ -78,16 +78,16 @@
 	o.FanOutOutside = cmp.Or(o.FanOutOutside, 1)
 	o.NeighboursInside = cmp.Or(o.NeighboursInside, 12)
 	o.NeighboursOutside = cmp.Or(o.NeighboursOutside, 8)
-	o.SyncEvery = cmp.Or(o.SyncEvery, time.Second)
+	o.SyncInterval = cmp.Or(o.SyncInterval, time.Second)
 	o.WatchWait = cmp.Or(o.WatchWait, 2*time.Second)
-	o.WatchPause = cmp.Or(o.WatchPause, 100*time.Millisecond)
-	o.RetryPause = cmp.Or(o.RetryPause, time.Second)
-	o.FreshFor = cmp.Or(o.FreshFor, 6*time.Second)
-	o.AskPeers = cmp.Or(o.AskPeers, 16)
-	o.AskTimeout = cmp.Or(o.AskTimeout, time.Second)
-	o.AloneAfter = cmp.Or(o.AloneAfter, 20*time.Second)
-	o.PauseAfter = cmp.Or(o.PauseAfter, 3*time.Second)
-	o.WakeWait = cmp.Or(o.WakeWait, 2*time.Second)
+	o.WatchInterval = cmp.Or(o.WatchInterval, 100*time.Millisecond)
+	o.RetryDelay = cmp.Or(o.RetryDelay, time.Second)
+	o.FallbackReadAfter = cmp.Or(o.FallbackReadAfter, 6*time.Second)
+	o.StartPeers = cmp.Or(o.StartPeers, 16)
+	o.PeerTimeout = cmp.Or(o.PeerTimeout, time.Second)
+	o.SoloStartTimeout = cmp.Or(o.SoloStartTimeout, 20*time.Second)
+	o.PauseThreshold = cmp.Or(o.PauseThreshold, 3*time.Second)
+	o.WakeTimeout = cmp.Or(o.WakeTimeout, 2*time.Second)
 	o.PageBytes = cmp.Or(o.PageBytes, 256<<10)
 	return o
 }
--- a/pkg/configsync/reader.go
+++ b/pkg/configsync/reader.go
@@ -46,13 +46,13 @@
 	if since.IsZero() {
 		since = n.started
 	}
-	return now.Sub(since) > n.opt.FreshFor
+	return now.Sub(since) > n.opt.FallbackReadAfter
 }
 
 // fallbackEvery is the time between two reads of a host that is no reader. It
 // grows with the fleet.
 func (n *Node) fallbackEvery() time.Duration {
-	return max(n.opt.FreshFor, time.Duration(len(n.members)+1)*fallbackPerHost)
+	return max(n.opt.FallbackReadAfter, time.Duration(len(n.members)+1)*fallbackPerHost)
 }
 
 func (n *Node) call(now time.Time, wait time.Duration) {
@@ -60,7 +60,7 @@
 	if n.read.reread {
 		after, wait = 0, 0
 	}
-	n.read.next = now.Add(n.opt.WatchPause)
+	n.read.next = now.Add(n.opt.WatchInterval)
 	n.read.pending = &Read{After: after, Wait: wait}
 	n.out.Read = n.read.pending
 }
@@ -69,7 +69,7 @@
 func (n *Node) PlatformFailed(now time.Time, err error) Effects {
 	n.begin(now)
 	n.read.pending = nil
-	n.read.next = now.Add(n.jitter(n.opt.RetryPause))
+	n.read.next = now.Add(n.jitter(n.opt.RetryDelay))
 	if n.read.reachable || n.confirmed.IsZero() {
 		n.event(event.Event{Code: event.PlatformUnreadable, Detail: err.Error()})
 	}
--- a/pkg/configsync/receive.go
+++ b/pkg/configsync/receive.go
@@ -48,7 +48,7 @@
 		n.confirmed = at
 	}
 	n.start.cover(now, n, from, m.Ready)
-	if n.Learning() && m.Ready {
+	if n.CatchingUp() && m.Ready {
 		n.learned("a peer holds the same state")
 	}
 }
@@ -173,7 +173,7 @@
 	if r.Conflict {
 		emit(event.ConfigConflict)
 	}
-	if r.FellBack {
+	if r.Regressed {
 		emit(event.ConfigFellBack)
 	}
 	if r.InForce {
--- a/pkg/configsync/state.go
+++ b/pkg/configsync/state.go
@@ -60,9 +60,9 @@
 	Conflict bool
 	// Invalid is why the document can't be in force; nil when it is valid.
 	Invalid error
-	// FellBack is true when an older version would have replaced the one in
+	// Regressed is true when an older version would have replaced the one in
 	// force. The state refused; it is a breach of an invariant.
-	FellBack bool
+	Regressed bool
 }
 
 // Merge joins v into the state.
@@ -89,8 +89,8 @@
 		e.rejected = v.ID
 	case better:
 		out.Changed = true
-		out.FellBack = !e.put(&v, service)
-		out.InForce = !out.FellBack
+		out.Regressed = !e.put(&v, service)
+		out.InForce = !out.Regressed
 	}
 	s.entries[v.Key] = e
 	s.buckets[bucketOf(v.Key)] ^= before ^ e.hash(v.Key)
--- a/pkg/configsync/state_test.go
+++ b/pkg/configsync/state_test.go
@@ -98,10 +98,10 @@
 		{Member{Address: "x"}, Watermark{Frontier: 5, Ready: true}},
 		{Member{Address: "y"}, Watermark{Frontier: 4, Ready: true}},
 	}
-	got := n.Follow("services/a", 5, members)
+	got := n.Progress("services/a", 5, members)
 	is.Equal(got, Progress{Current, []string{"y"}})
-	is.True(!got.Everywhere())
-	is.True(n.Follow("services/a", 5, members[:1]).Everywhere())
+	is.True(!got.Complete())
+	is.True(n.Progress("services/a", 5, members[:1]).Complete())
 }
 
 func TestDamagedItemIsDropped(t *testing.T) {
@@ -123,7 +123,7 @@
 	n.SetMembers(epoch, []Member{{"b", "d"}})
 	later := epoch.Add(time.Minute)
 	n.Receive(later, "b", Announce{})
-	is.True(n.Learning())
+	is.True(n.CatchingUp())
 	n.Receive(later, "b", Summary{Ready: true})
-	is.True(!n.Learning())
+	is.True(!n.CatchingUp())
 }
--- a/pkg/configsync/watermark.go
+++ b/pkg/configsync/watermark.go
@@ -85,14 +85,14 @@
 	Lagging []string
 }
 
-// Everywhere reports whether the revision, or a newer one of its key, is in
+// Complete reports whether the revision, or a newer one of its key, is in
 // force on this host and on every member given.
-func (p Progress) Everywhere() bool {
+func (p Progress) Complete() bool {
 	return (p.Verdict == Current || p.Verdict == Superseded) && len(p.Lagging) == 0
 }
 
-// Follow reports on revision of key over members.
-func (n *Node) Follow(key string, revision uint64, members []MemberWatermark) Progress {
+// Progress reports on revision of key over members.
+func (n *Node) Progress(key string, revision uint64, members []MemberWatermark) Progress {
 	out := Progress{Verdict: n.state.verdict(key, revision)}
 	for _, m := range members {
 		if m.Frontier < revision || !m.Ready {
