--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -188,7 +188,7 @@
 		Limited:   e.control.groups.limits.Limited,
 		Path:      e.conf.Probe.Path,
 		Timeout:   e.conf.Probe.Timeout,
-		FreshFor:  e.conf.Probe.FreshFor,
+		FreshFor:  e.conf.Probe.ReportTTL,
 	})
 	e.poison = poisonnews.New(poisonnews.Config{
 		Loop:   e.loop,
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -87,7 +87,7 @@
 	_, hosts := rank(c.entry.members.Snapshot())
 	c.shareConnections(hosts)
 	c.tellOperators()
-	c.entry.prober.SetTargets(prober.Targets(services(s), c.entry.conf.MaxEntryHosts, c.entry.conf.Probe.Linger))
+	c.entry.prober.SetTargets(prober.Targets(services(s), c.entry.conf.MaxEntryHosts, c.entry.conf.Probe.MaxLateness))
 }
 
 // list takes the documents that are new into the registry, and out of it the
--- a/internal/gateway/apply_bench_test.go
+++ b/internal/gateway/apply_bench_test.go
@@ -26,7 +26,7 @@
 			g, err := New(Settings{
 				Host: "127.0.0.1", FailureDomain: "here", LogLevel: "error",
 				Listen: "127.0.0.1:1", ReadyListen: "127.0.0.1:2",
-				StopWithin: 3 * time.Second, ChangeWithin: 2 * time.Second, LeaveWithin: 2 * time.Second,
+				StopTimeout: 3 * time.Second, MaxChangeDelay: 2 * time.Second, MaxLeaveDelay: 2 * time.Second,
 			}, noStore{}, proxy.OwnDialect(), io.Discard)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{gateway: g, address: address, port: g.conf.NewsPort}
+	f := &fleet{gateway: g, address: address, port: g.conf.PeerTransportPort}
 	f.others.Store(new([]netip.AddrPort))
 	f.inTurn.Store(new([]netip.AddrPort))
 	f.members, err = members.New(members.Config{
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -70,7 +70,7 @@
 		return nil, errors.Wrap(err, "boot clock")
 	}
 	g := &Gateway{conf: conf, loop: control.NewLoop()}
-	g.keysKnownWithin.Store(int64(conf.KeysKnownWithin))
+	g.keysKnownWithin.Store(int64(conf.MaxKeyStaleness))
 	if err := g.buildEvents(w); err != nil {
 		return nil, err
 	}
@@ -319,7 +319,7 @@
 )
 
 func stopTimes(s Settings) lifecycle.HostConfig {
-	deadline := s.StopWithin - stopMargin
+	deadline := s.StopTimeout - stopMargin
 	return lifecycle.HostConfig{Grace: min(acceptWhileStopping, deadline/2), Deadline: deadline}
 }
 
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -31,7 +31,7 @@
 		return errors.Newf("%s: can't change while the process runs", name)
 	}
 	g.conf = next
-	g.keysKnownWithin.Store(int64(next.KeysKnownWithin))
+	g.keysKnownWithin.Store(int64(next.MaxKeyStaleness))
 	g.loop.Post(g.shareRetries)
 	g.stopper.SetTimes(stopTimes(next))
 	return nil
@@ -48,10 +48,10 @@
 		{"metrics-listen", s.MetricsListen, next.MetricsListen},
 		{"peer-listen", s.PeerListen, next.PeerListen},
 		{"memory-bytes", strconv.FormatInt(s.MemoryBytes, 10), strconv.FormatInt(next.MemoryBytes, 10)},
-		{"news-port", strconv.Itoa(int(s.NewsPort)), strconv.Itoa(int(next.NewsPort))},
+		{"news-port", strconv.Itoa(int(s.PeerTransportPort)), strconv.Itoa(int(next.PeerTransportPort))},
 		{"log-level", s.LogLevel, next.LogLevel},
-		{"change-within", s.ChangeWithin.String(), next.ChangeWithin.String()},
-		{"leave-within", s.LeaveWithin.String(), next.LeaveWithin.String()},
+		{"change-within", s.MaxChangeDelay.String(), next.MaxChangeDelay.String()},
+		{"leave-within", s.MaxLeaveDelay.String(), next.MaxLeaveDelay.String()},
 	} {
 		if f.old != f.new {
 			return f.name
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -25,27 +25,27 @@
 	// PeerListen is the IP:port where peers find this host; empty for a host that
 	// has none. The IP is also where they tell it news.
 	PeerListen string
-	// NewsPort is the port of news among hosts, the same on all of them.
-	NewsPort uint16
+	// PeerTransportPort is the port of news among hosts, the same on all of them.
+	PeerTransportPort uint16
 	// Seeds are the PeerListen of some hosts; they may be out of date.
 	Seeds []netip.AddrPort
 	// FirstStart is true when the whole fleet starts for the first time.
 	FirstStart bool
 	// LogLevel is debug, info, warn or error.
 	LogLevel string
-	// StopWithin is the time after a signal in which the process must have ended.
-	StopWithin time.Duration
-	// ChangeWithin is the time in which a published change must be in force.
-	ChangeWithin time.Duration
-	// LeaveWithin is the time after which an upstream that leaves must get no new
+	// StopTimeout is the time after a signal in which the process must have ended.
+	StopTimeout time.Duration
+	// MaxChangeDelay is the time in which a published change must be in force.
+	MaxChangeDelay time.Duration
+	// MaxLeaveDelay is the time after which an upstream that leaves must get no new
 	// requests.
-	LeaveWithin time.Duration
+	MaxLeaveDelay time.Duration
 	// MemoryBytes is what the process may take in all. Default: 0, not known.
 	MemoryBytes int64
-	// KeysKnownWithin is the time after which requests with a customer's key are refused if
+	// MaxKeyStaleness is the time after which requests with a customer's key are refused if
 	// it is not certain that all keys that were revoked are known. Default: 0, they are
 	// served by what is known.
-	KeysKnownWithin time.Duration
+	MaxKeyStaleness time.Duration
 	// RetryBudgetRatio bounds the sends beyond the first to a service, over all
 	// entry hosts, as a share of its requests.
 	RetryBudgetRatio float64
@@ -64,7 +64,7 @@
 	}
 	if s.PeerListen != "" {
 		addresses = append(addresses, struct{ name, value string }{"peer-listen", s.PeerListen})
-		if s.NewsPort == 0 {
+		if s.PeerTransportPort == 0 {
 			return errors.New("news-port: is 0; set it to a port that is free on all hosts")
 		}
 	}
@@ -79,20 +79,20 @@
 	if _, err := zerolog.ParseLevel(s.LogLevel); err != nil {
 		return errors.Newf("log-level: %q is not debug, info, warn or error", s.LogLevel)
 	}
-	if s.StopWithin <= minStop {
-		return errors.Newf("stop-within: %s is not above %s", s.StopWithin, minStop)
+	if s.StopTimeout <= minStop {
+		return errors.Newf("stop-within: %s is not above %s", s.StopTimeout, minStop)
 	}
-	if s.ChangeWithin < minChange {
-		return errors.Newf("change-within: %s is below %s", s.ChangeWithin, minChange)
+	if s.MaxChangeDelay < minChange {
+		return errors.Newf("change-within: %s is below %s", s.MaxChangeDelay, minChange)
 	}
-	if s.LeaveWithin < minChange {
-		return errors.Newf("leave-within: %s is below %s", s.LeaveWithin, minChange)
+	if s.MaxLeaveDelay < minChange {
+		return errors.Newf("leave-within: %s is below %s", s.MaxLeaveDelay, minChange)
 	}
 	if s.MemoryBytes < 0 {
 		return errors.Newf("memory-bytes: %d is negative", s.MemoryBytes)
 	}
-	if s.KeysKnownWithin < 0 {
-		return errors.Newf("keys-known-within: %s is negative", s.KeysKnownWithin)
+	if s.MaxKeyStaleness < 0 {
+		return errors.Newf("keys-known-within: %s is negative", s.MaxKeyStaleness)
 	}
 	if s.RetryBudgetRatio < 0 || s.RetryBudgetRatio > 1 {
 		return errors.Newf("retry-budget-ratio: %v is outside 0 to 1", s.RetryBudgetRatio)
@@ -104,7 +104,7 @@
 }
 
 // knownWithin is the time in which any change of the store must be known.
-func (s *Settings) knownWithin() time.Duration { return min(s.ChangeWithin, s.LeaveWithin) }
+func (s *Settings) knownWithin() time.Duration { return min(s.MaxChangeDelay, s.MaxLeaveDelay) }
 
 // minChange is the shortest time in which a change can be learned: the calls of a
 // watch and the pause before it fit in.
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -106,7 +106,7 @@
 	if v := opts.GetExpected(); v != nil {
 		req.Expected = &plan.Base{Revision: v.GetRevision(), Digest: v.GetDigest()}
 	}
-	p, err := plan.Make(state, req)
+	p, err := plan.Compute(state, req)
 	if err != nil {
 		return nil, toStatus(s.tellConflict(ctx, state, err))
 	}
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -10,9 +10,9 @@
 // without a signal.
 const fileEvery = 2 * time.Second
 
-// FollowFile calls changed after each signal, and when the file at path has
+// WatchFile calls changed after each signal, and when the file at path has
 // another time or size than before, until ctx ends.
-func FollowFile(ctx context.Context, path string, signals <-chan os.Signal, changed func()) {
+func WatchFile(ctx context.Context, path string, signals <-chan os.Signal, changed func()) {
 	ticker := time.NewTicker(fileEvery)
 	defer ticker.Stop()
 	last := stampOf(path)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -84,10 +84,10 @@
 	Path string
 	// Timeout ends a probe; it bounds the slot time that one takes.
 	Timeout time.Duration
-	// FreshFor is how long a report that rode on an answer makes a probe needless.
-	FreshFor time.Duration
-	// Linger bounds how late a probe may reach its upstream after it was sent.
-	Linger time.Duration
+	// ReportTTL is how long a report that rode on an answer makes a probe needless.
+	ReportTTL time.Duration
+	// MaxLateness bounds how late a probe may reach its upstream after it was sent.
+	MaxLateness time.Duration
 }
 
 // Stop holds the times of a planned stop.
@@ -140,6 +140,6 @@
 func (p *Probe) register(fs *pflag.FlagSet) {
 	fs.StringVar(&p.Path, "probe-path", "/", "request path of a probe")
 	fs.DurationVar(&p.Timeout, "probe-timeout", 50*time.Millisecond, "time until a probe is given up")
-	fs.DurationVar(&p.FreshFor, "probe-fresh-for", time.Second, "time for which a report on an answer makes a probe needless")
-	fs.DurationVar(&p.Linger, "probe-linger", time.Second, "latest time at which a probe that was sent reaches its upstream")
+	fs.DurationVar(&p.ReportTTL, "probe-fresh-for", time.Second, "time for which a report on an answer makes a probe needless")
+	fs.DurationVar(&p.MaxLateness, "probe-linger", time.Second, "latest time at which a probe that was sent reaches its upstream")
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -112,8 +112,8 @@
 		{"dial-timeout", e.Limits.DialTimeout},
 		{"ticket-lifetime", e.Tickets.Lifetime},
 		{"probe-timeout", e.Probe.Timeout},
-		{"probe-fresh-for", e.Probe.FreshFor},
-		{"probe-linger", e.Probe.Linger},
+		{"probe-fresh-for", e.Probe.ReportTTL},
+		{"probe-linger", e.Probe.MaxLateness},
 		{"stop-timeout", e.Stop.Timeout},
 	})
 	if err != nil {
--- a/pkg/config/config.go
+++ b/pkg/config/config.go
@@ -14,8 +14,8 @@
 // MaxDocumentBytes is the largest document the platform holds, in bytes.
 const MaxDocumentBytes = 1 << 20
 
-// MaxUnserved is the longest reason why a service is not served, in bytes.
-const MaxUnserved = 1024
+// MaxUnservedBytes is the longest reason why a service is not served, in bytes.
+const MaxUnservedBytes = 1024
 
 // Duration is a time.Duration written as text in JSON, such as "250ms".
 type Duration time.Duration
--- a/pkg/config/parse.go
+++ b/pkg/config/parse.go
@@ -174,7 +174,7 @@
 	if len(s.Groups) > 0 || len(s.Rules) > 0 {
 		return &FieldError{"unserved", "is set beside groups or rules", "remove it, or them"}
 	}
-	if len(s.Unserved) > MaxUnserved {
+	if len(s.Unserved) > MaxUnservedBytes {
 		return &FieldError{"unserved", "is over 1,024 bytes", "write a short reason"}
 	}
 	return nil
--- a/pkg/plan/plan.go
+++ b/pkg/plan/plan.go
@@ -48,9 +48,9 @@
 // Unchanged reports whether the plan changes nothing.
 func (p *Plan) Unchanged() bool { return len(p.Differences) == 0 }
 
-// Make computes a plan against the state in force. The error is a
+// Compute computes a plan against the state in force. The error is a
 // *ConflictError, *NotFoundError, *ExistsError or *config.FieldError.
-func Make(state *State, req Request) (*Plan, error) {
+func Compute(state *State, req Request) (*Plan, error) {
 	doc := state.Find(req.Service)
 	base := baseOf(doc)
 	if req.Expected != nil && *req.Expected != base {
--- a/pkg/plan/plan_test.go
+++ b/pkg/plan/plan_test.go
@@ -68,7 +68,7 @@
 			is := is.New(t)
 			state := testState(t)
 			before := Digest(state.Documents[0].Service)
-			p, err := Make(state, Request{Service: "ledger", Edit: tc.edit})
+			p, err := Compute(state, Request{Service: "ledger", Edit: tc.edit})
 			is.NoErr(err)
 			var diff []string
 			for _, d := range p.Differences {
@@ -91,7 +91,7 @@
 	is := is.New(t)
 	state := testState(t)
 	state.Documents[0].Service.Groups[0].Upstreams[1].State = config.Draining
-	p, err := Make(state, Request{Service: "ledger", Edit: SetUpstreamState{"ledger-1", config.Draining}})
+	p, err := Compute(state, Request{Service: "ledger", Edit: SetUpstreamState{"ledger-1", config.Draining}})
 	is.NoErr(err)
 	is.Equal(p.Warnings, []string{"group main has no active upstream left: its requests are refused as no-upstream"})
 }
@@ -121,7 +121,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			_, err := Make(testState(t), Request{Service: tc.service, Edit: tc.edit, Expected: tc.base})
+			_, err := Compute(testState(t), Request{Service: tc.service, Edit: tc.edit, Expected: tc.base})
 			is.New(t).True(errors.As(err, tc.target))
 		})
 	}
@@ -129,7 +129,7 @@
 
 func TestSameContentIsUnchanged(t *testing.T) {
 	is := is.New(t)
-	p, err := Make(testState(t), Request{Service: "ledger", Edit: PutService{parse(t, ledger), false}})
+	p, err := Compute(testState(t), Request{Service: "ledger", Edit: PutService{parse(t, ledger), false}})
 	is.NoErr(err)
 	is.True(p.Unchanged())
 	is.Equal(p.Digest, p.Base.Digest)
