--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -122,7 +122,7 @@
 // traffic goroutines, in this order.
 func (c *controller) publish() {
 	snapshot, news := c.registry.Flush()
-	c.entry.notices.Tell(news)
+	c.entry.notices.Broadcast(news)
 	if snapshot != nil {
 		c.snapshot.Store(snapshot)
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -50,7 +50,7 @@
 	control   *controller
 	members   *members.Members
 	feed      *configfeed.Feed
-	notices   *notices.Spreader
+	notices   *notices.Broadcaster
 	poison    *poisonnews.Teller
 	limits    *limitnews.Teller
 	tickets   *execution.Service
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -17,13 +17,13 @@
 
 func (e *Entry) newStopper() *shutdown.Stopper {
 	return shutdown.New(shutdown.Config{
-		Times:    lifecycle.HostConfig{Grace: e.conf.Stop.Grace, Deadline: e.conf.Stop.Timeout},
-		Server:   e.server,
-		Ready:    e.control.served,
-		SetReady: e.admin.SetReady,
-		Draining: e.draining,
-		Finished: e.finished,
-		Emit:     e.emit,
+		Timeouts:   lifecycle.HostConfig{Grace: e.conf.Stop.Grace, Deadline: e.conf.Stop.Timeout},
+		Server:     e.server,
+		Ready:      e.control.served,
+		SetReady:   e.admin.SetReady,
+		OnDraining: e.draining,
+		OnFinished: e.finished,
+		Emit:       e.emit,
 	})
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -83,12 +83,12 @@
 		g.figures = admin.New(admin.Config{Address: conf.MetricsListen, Metrics: g.metrics})
 	}
 	g.stopper = shutdown.New(shutdown.Config{
-		Times:    stopTimes(conf),
-		Server:   g.server,
-		Ready:    g.control.served,
-		SetReady: g.ready.SetReady,
-		Draining: g.leave,
-		Emit:     g.emit,
+		Timeouts:   stopTimes(conf),
+		Server:     g.server,
+		Ready:      g.control.served,
+		SetReady:   g.ready.SetReady,
+		OnDraining: g.leave,
+		Emit:       g.emit,
 	})
 	return g, nil
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -33,7 +33,7 @@
 	g.conf = next
 	g.keysKnownWithin.Store(int64(next.MaxKeyStaleness))
 	g.loop.Post(g.shareRetries)
-	g.stopper.SetTimes(stopTimes(next))
+	g.stopper.SetTimeouts(stopTimes(next))
 	return nil
 }
 
--- a/internal/notices/notices.go
+++ b/internal/notices/notices.go
@@ -55,8 +55,8 @@
 	Waking func() bool
 }
 
-// Spreader spreads notices. Tell belongs to the control goroutine.
-type Spreader struct {
+// Broadcaster spreads notices. Tell belongs to the control goroutine.
+type Broadcaster struct {
 	noticesv1.UnimplementedNoticesServer
 	conf   Config
 	news   map[lifecycle.Key]lifecycle.Notice // being pushed
@@ -67,8 +67,8 @@
 }
 
 // New registers a spreader with the loop and the peers' server.
-func New(conf Config) *Spreader {
-	s := &Spreader{conf: conf, news: make(map[lifecycle.Key]lifecycle.Notice)}
+func New(conf Config) *Broadcaster {
+	s := &Broadcaster{conf: conf, news: make(map[lifecycle.Key]lifecycle.Notice)}
 	s.awake.Store(1)
 	noticesv1.RegisterNoticesServer(conf.Server, s)
 	conf.Loop.Every(pushEvery, s.push)
@@ -78,19 +78,19 @@
 
 // Fetched reports whether a peer's notices were taken in since the start, or
 // since the last Refetch.
-func (s *Spreader) Fetched() bool { return s.fetched.Load() == s.awake.Load() }
+func (s *Broadcaster) Fetched() bool { return s.fetched.Load() == s.awake.Load() }
 
 // Refetch asks several peers for their notices, since this process was paused.
 // Answers to what was asked before do not count. It belongs to the control
 // goroutine.
-func (s *Spreader) Refetch() {
+func (s *Broadcaster) Refetch() {
 	s.awake.Add(1)
 	s.ask(clock.Now(), refetchFanOut, func(error) {})
 }
 
-// Tell pushes news to peers in the next rounds. News about an upstream that is
+// Broadcast pushes news to peers in the next rounds. News about an upstream that is
 // being pushed is joined with it, so that a push holds each upstream once.
-func (s *Spreader) Tell(news []lifecycle.Notice) {
+func (s *Broadcaster) Broadcast(news []lifecycle.Notice) {
 	if len(news) == 0 {
 		return
 	}
@@ -107,7 +107,7 @@
 	s.push(clock.Now())
 }
 
-func (s *Spreader) push(time.Time) {
+func (s *Broadcaster) push(time.Time) {
 	if s.rounds == 0 {
 		return
 	}
@@ -121,7 +121,7 @@
 
 // exchange exchanges everything known with one peer, or fetches until that was
 // done.
-func (s *Spreader) exchange(now time.Time) {
+func (s *Broadcaster) exchange(now time.Time) {
 	if s.Fetched() {
 		s.ask(now, 1, func(error) {})
 		return
@@ -132,7 +132,7 @@
 // fetch asks many peers: one that has just started too has nothing to tell. When
 // each host asked a single one, and eight of thirteen were restarted together, one
 // of them served without a notice that the five others had.
-func (s *Spreader) fetch(now time.Time) {
+func (s *Broadcaster) fetch(now time.Time) {
 	awake := s.awake.Load()
 	f := fetching{left: min(fetchFanOut, len(s.conf.Peers()))}
 	s.ask(now, f.left, func(err error) {
@@ -164,7 +164,7 @@
 }
 
 // ask exchanges everything known with n peers, and tells how each call ended.
-func (s *Spreader) ask(now time.Time, n int, ended func(error)) {
+func (s *Broadcaster) ask(now time.Time, n int, ended func(error)) {
 	req := &noticesv1.ExchangeRequest{Notices: lifecycle.EncodeNotices(s.conf.Known(now)), Want: true}
 	awake := s.awake.Load()
 	for _, p := range choose(s.conf.Peers(), n) {
@@ -174,7 +174,7 @@
 
 // call sends one message. A peer that does not answer hears it from another.
 // Awake is when it was asked for.
-func (s *Spreader) call(address string, req *noticesv1.ExchangeRequest, awake uint64) error {
+func (s *Broadcaster) call(address string, req *noticesv1.ExchangeRequest, awake uint64) error {
 	conn, err := s.conf.Pool.Conn(address)
 	if err != nil {
 		return err
@@ -194,7 +194,7 @@
 
 // raiseFetched records that notices asked for at awake were taken in. An older
 // call that ends later changes nothing.
-func (s *Spreader) raiseFetched(awake uint64) {
+func (s *Broadcaster) raiseFetched(awake uint64) {
 	for {
 		known := s.fetched.Load()
 		if known >= awake || s.fetched.CompareAndSwap(known, awake) {
@@ -204,7 +204,7 @@
 }
 
 // Exchange implements noticesv1.NoticesServer.
-func (s *Spreader) Exchange(ctx context.Context, req *noticesv1.ExchangeRequest) (*noticesv1.ExchangeResponse, error) {
+func (s *Broadcaster) Exchange(ctx context.Context, req *noticesv1.ExchangeRequest) (*noticesv1.ExchangeResponse, error) {
 	if err := s.take(ctx, req.GetNotices()); err != nil {
 		return nil, err
 	}
@@ -224,7 +224,7 @@
 	return resp, err
 }
 
-func (s *Spreader) take(ctx context.Context, text []byte) error {
+func (s *Broadcaster) take(ctx context.Context, text []byte) error {
 	list, err := lifecycle.DecodeNotices(text)
 	if err != nil {
 		return err
--- a/internal/notices/notices_test.go
+++ b/internal/notices/notices_test.go
@@ -25,7 +25,7 @@
 
 // newSpreader returns a spreader without peers that knows one notice, and what
 // it has merged.
-func newSpreader(t *testing.T) (*Spreader, *[]lifecycle.Notice) {
+func newSpreader(t *testing.T) (*Broadcaster, *[]lifecycle.Notice) {
 	t.Helper()
 	var merged []lifecycle.Notice
 	loop := control.NewLoop()
@@ -108,7 +108,7 @@
 	var pushed map[lifecycle.Key]lifecycle.Notice
 	err := s.conf.Loop.Call(t.Context(), func() {
 		for revision := range uint64(100) {
-			s.Tell([]lifecycle.Notice{{Key: ledger, DrainRevision: revision}, {Key: ledger, MinActivation: 2}})
+			s.Broadcast([]lifecycle.Notice{{Key: ledger, DrainRevision: revision}, {Key: ledger, MinActivation: 2}})
 		}
 		pushed = maps.Clone(s.news)
 	})
--- a/internal/shutdown/hoststop.go
+++ b/internal/shutdown/hoststop.go
@@ -19,19 +19,19 @@
 
 // Config says what is stopped and who is told.
 type Config struct {
-	// Times bounds the stop.
-	Times lifecycle.HostConfig
+	// Timeouts bounds the stop.
+	Timeouts lifecycle.HostConfig
 	// Server is the callers' listener.
 	Server *httpwire.Server
 	// Ready is closed when the host may serve.
 	Ready <-chan struct{}
 	// SetReady sets the readiness endpoint.
 	SetReady func(bool)
-	// Draining is called when the planned stop begins; nil is allowed.
-	Draining func()
-	// Finished is called before the process ends, with the requests cut off; nil
+	// OnDraining is called when the planned stop begins; nil is allowed.
+	OnDraining func()
+	// OnFinished is called before the process ends, with the requests cut off; nil
 	// is allowed.
-	Finished func(cut int64)
+	OnFinished func(cut int64)
 	// Emit sends an event.
 	Emit func(event.Event)
 }
@@ -47,12 +47,12 @@
 
 // New returns a stopper for a process that is starting.
 func New(conf Config) *Stopper {
-	return &Stopper{conf: conf, times: make(chan lifecycle.HostConfig, 1), host: lifecycle.NewHost(conf.Times)}
+	return &Stopper{conf: conf, times: make(chan lifecycle.HostConfig, 1), host: lifecycle.NewHost(conf.Timeouts)}
 }
 
-// SetTimes replaces the bounds of the stop. It must not be called after Run has
+// SetTimeouts replaces the bounds of the stop. It must not be called after Run has
 // returned.
-func (s *Stopper) SetTimes(times lifecycle.HostConfig) { s.times <- times }
+func (s *Stopper) SetTimeouts(times lifecycle.HostConfig) { s.times <- times }
 
 // Run returns when the process may exit. A first signal begins the planned
 // stop, a second one ends it at once. Nothing ticks before the first.
@@ -121,14 +121,14 @@
 	s.conf.Emit(event.Event{Code: event.ProcessStopping, Value: s.inFlight()})
 	s.conf.Emit(event.Event{Code: event.HostDraining, Value: s.inFlight()})
 	s.conf.Server.Drain()
-	if s.conf.Draining != nil {
-		s.conf.Draining()
+	if s.conf.OnDraining != nil {
+		s.conf.OnDraining()
 	}
 }
 
 func (s *Stopper) stopAccepting() {
 	s.conf.Emit(event.Event{Code: event.HostFinishing, Value: s.inFlight()})
-	ctx, cancel := context.WithTimeout(context.Background(), s.conf.Times.Deadline)
+	ctx, cancel := context.WithTimeout(context.Background(), s.conf.Timeouts.Deadline)
 	s.cancel = cancel
 	s.busy.Store(true)
 	go func() {
@@ -141,8 +141,8 @@
 	if s.cancel != nil {
 		s.cancel()
 	}
-	if s.conf.Finished != nil {
-		s.conf.Finished(cut)
+	if s.conf.OnFinished != nil {
+		s.conf.OnFinished(cut)
 	}
 	s.conf.Emit(event.Event{Code: event.ProcessStopped, Value: cut})
 }
