--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -47,7 +47,7 @@
 	sink    event.Sink
 	metrics *metrics.Sink
 	output  *logging.NonBlockingWriter
-	trails  *logging.Trails
+	trails  *logging.RequestLogger
 
 	loop     *control.Loop
 	control  *controller
@@ -101,8 +101,8 @@
 	g.metrics = metrics.New()
 	g.output = logging.NonBlocking(w)
 	log := logging.New(g.output, level)
-	g.trails = logging.NewTrails(log)
-	other := logging.NewWithoutRequests(log)
+	g.trails = logging.NewRequestLogger(log)
+	other := logging.NewProcessLogger(log)
 	g.metrics.AddLog(func() int64 { return g.output.Dropped() + other.Dropped() }, g.trails.Dropped)
 	g.sink = hostSink{g.conf.Host, events.Fanout{other, g.metrics}}
 	logging.CaptureLibrary(g.sink)
--- a/internal/logging/trails.go
+++ b/internal/logging/trails.go
@@ -16,16 +16,16 @@
 const (
 	// LinesPerSecond bounds the lines about requests, in the long run.
 	LinesPerSecond = 200
-	// LinesAtOnce bounds those of a burst.
-	LinesAtOnce = 1000
-	// OrdinaryLines is what is left of a burst for requests that failed: ordinary
+	// LineBurst bounds those of a burst.
+	LineBurst = 1000
+	// OrdinaryReserve is what is left of a burst for requests that failed: ordinary
 	// ones are written only while more than this is left.
-	OrdinaryLines = 500
-	// OrdinaryEvery is the number of ordinary requests of which one is written.
-	OrdinaryEvery = 256
+	OrdinaryReserve = 500
+	// OrdinarySampling is the number of ordinary requests of which one is written.
+	OrdinarySampling = 256
 	// OtherPerSecond and OtherAtOnce bound the lines that are about no request.
 	OtherPerSecond = 50
-	OtherAtOnce    = 500
+	OtherBurst     = 500
 	// bufferedLines is the number of lines that wait for the reader of the output.
 	bufferedLines = 4096
 )
@@ -47,23 +47,23 @@
 // Dropped returns the number of lines that found no room.
 func (n *NonBlockingWriter) Dropped() int64 { return n.dropped.Load() }
 
-// Trails writes all events of a request at its end, if the request is worth it
+// RequestLogger writes all events of a request at its end, if the request is worth it
 // and the bound allows it: one that failed, was refused, sent again or late in
 // preference to an ordinary one. It is safe for concurrent use.
-type Trails struct {
+type RequestLogger struct {
 	sink     *Sink
 	bound    bucket
 	ordinary atomic.Int64
 	dropped  atomic.Int64
 }
 
-// NewTrails returns a writer of trails to a sink.
-func NewTrails(sink *Sink) *Trails {
-	return &Trails{sink: sink, bound: bucket{perSecond: LinesPerSecond, most: LinesAtOnce, left: LinesAtOnce}}
+// NewRequestLogger returns a writer of trails to a sink.
+func NewRequestLogger(sink *Sink) *RequestLogger {
+	return &RequestLogger{sink: sink, bound: bucket{perSecond: LinesPerSecond, most: LineBurst, left: LineBurst}}
 }
 
 // Ended takes in the events of one request, oldest first. It keeps none.
-func (t *Trails) Ended(trail []event.Event, notable bool) {
+func (t *RequestLogger) Ended(trail []event.Event, notable bool) {
 	if len(trail) == 0 {
 		return
 	}
@@ -76,13 +76,13 @@
 }
 
 // admit takes the lines out of the bound, or counts the request as dropped.
-func (t *Trails) admit(now time.Time, lines int, notable bool) bool {
+func (t *RequestLogger) admit(now time.Time, lines int, notable bool) bool {
 	reserve := 0.0
 	if !notable {
-		if t.ordinary.Add(1)%OrdinaryEvery != 1 {
+		if t.ordinary.Add(1)%OrdinarySampling != 1 {
 			return false
 		}
-		reserve = OrdinaryLines
+		reserve = OrdinaryReserve
 	}
 	if !t.bound.take(now, lines, reserve) {
 		t.dropped.Add(1)
@@ -93,24 +93,24 @@
 
 // Dropped returns the number of requests whose events were not written for the
 // bound's sake.
-func (t *Trails) Dropped() int64 { return t.dropped.Load() }
+func (t *RequestLogger) Dropped() int64 { return t.dropped.Load() }
 
-// WithoutRequests writes the events that are about no request. Warnings and
+// ProcessLogger writes the events that are about no request. Warnings and
 // errors are always written; the others, such as questions that an upstream did
 // not answer, within a bound of their own. It is safe for concurrent use.
-type WithoutRequests struct {
+type ProcessLogger struct {
 	sink    *Sink
 	bound   bucket
 	dropped atomic.Int64
 }
 
-// NewWithoutRequests returns a writer to a sink.
-func NewWithoutRequests(sink *Sink) *WithoutRequests {
-	return &WithoutRequests{sink: sink, bound: bucket{perSecond: OtherPerSecond, most: OtherAtOnce, left: OtherAtOnce}}
+// NewProcessLogger returns a writer to a sink.
+func NewProcessLogger(sink *Sink) *ProcessLogger {
+	return &ProcessLogger{sink: sink, bound: bucket{perSecond: OtherPerSecond, most: OtherBurst, left: OtherBurst}}
 }
 
 // Emit implements event.Sink.
-func (w *WithoutRequests) Emit(e event.Event) {
+func (w *ProcessLogger) Emit(e event.Event) {
 	if e.Request != "" {
 		return
 	}
@@ -122,7 +122,7 @@
 }
 
 // Dropped returns the number of lines that were not written for the bound's sake.
-func (w *WithoutRequests) Dropped() int64 { return w.dropped.Load() }
+func (w *ProcessLogger) Dropped() int64 { return w.dropped.Load() }
 
 // bucket bounds lines over time. It is safe for concurrent use.
 type bucket struct {
--- a/internal/logging/trails_test.go
+++ b/internal/logging/trails_test.go
@@ -24,14 +24,14 @@
 func TestTrailsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	trails := NewTrails(New(&out, zerolog.InfoLevel))
+	trails := NewRequestLogger(New(&out, zerolog.InfoLevel))
 	start := time.Unix(1000, 0)
 	for i := range 10_000 { // in one second
 		trails.Ended(trailAt(start.Add(time.Duration(i)*100*time.Microsecond), 4), true)
 	}
 	lines := bytes.Count(out.Bytes(), []byte("\n"))
-	is.True(lines <= LinesAtOnce+LinesPerSecond)
-	is.True(lines >= LinesAtOnce)
+	is.True(lines <= LineBurst+LinesPerSecond)
+	is.True(lines >= LineBurst)
 	is.Equal(int64(10_000-lines/4), trails.Dropped())
 }
 
@@ -39,15 +39,15 @@
 func TestFailedRequestsGoFirst(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	trails := NewTrails(New(&out, zerolog.InfoLevel))
+	trails := NewRequestLogger(New(&out, zerolog.InfoLevel))
 	at := time.Unix(1000, 0)
-	for range 100 * OrdinaryEvery {
+	for range 100 * OrdinarySampling {
 		trails.Ended(trailAt(at, 100), false)
 	}
 	ordinary := bytes.Count(out.Bytes(), []byte("\n"))
-	is.True(ordinary > 0 && ordinary <= LinesAtOnce-OrdinaryLines)
-	trails.Ended(trailAt(at, OrdinaryLines), true)
-	is.Equal(bytes.Count(out.Bytes(), []byte("\n")), ordinary+OrdinaryLines)
+	is.True(ordinary > 0 && ordinary <= LineBurst-OrdinaryReserve)
+	trails.Ended(trailAt(at, OrdinaryReserve), true)
+	is.Equal(bytes.Count(out.Bytes(), []byte("\n")), ordinary+OrdinaryReserve)
 }
 
 // stuck is a reader of the output that stopped reading.
@@ -87,7 +87,7 @@
 func TestOnlyEventsWithoutRequestPass(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	sink := NewWithoutRequests(New(&out, zerolog.InfoLevel))
+	sink := NewProcessLogger(New(&out, zerolog.InfoLevel))
 	sink.Emit(event.Event{Code: event.RequestRefused, Request: "r"})
 	is.Equal(out.Len(), 0)
 	sink.Emit(event.Event{Code: event.ProcessStarted})
@@ -97,15 +97,15 @@
 func TestOtherLinesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	sink := NewWithoutRequests(New(&out, zerolog.InfoLevel))
+	sink := NewProcessLogger(New(&out, zerolog.InfoLevel))
 	at := time.Unix(1000, 0)
-	for range 10 * OtherAtOnce {
+	for range 10 * OtherBurst {
 		sink.Emit(event.Event{Code: event.ProbeFailed, At: at})
 	}
-	is.Equal(bytes.Count(out.Bytes(), []byte("\n")), OtherAtOnce)
-	is.Equal(sink.Dropped(), int64(9*OtherAtOnce))
+	is.Equal(bytes.Count(out.Bytes(), []byte("\n")), OtherBurst)
+	is.Equal(sink.Dropped(), int64(9*OtherBurst))
 	sink.Emit(event.Event{Code: event.StoreLost, At: at}) // a warning
-	is.Equal(bytes.Count(out.Bytes(), []byte("\n")), OtherAtOnce+1)
+	is.Equal(bytes.Count(out.Bytes(), []byte("\n")), OtherBurst+1)
 }
 
 var _ io.Writer = (*NonBlockingWriter)(nil)
