--- a/internal/logging/trails.go
+++ b/internal/logging/trails.go
@@ -23,7 +23,7 @@
 	OrdinaryReserve = 500
 	// OrdinarySampling is the number of ordinary requests of which one is written.
 	OrdinarySampling = 256
-	// OtherPerSecond and OtherAtOnce bound the lines that are about no request.
+	// OtherPerSecond and OtherBurst bound the lines that are about no request.
 	OtherPerSecond = 50
 	OtherBurst     = 500
 	// bufferedLines is the number of lines that wait for the reader of the output.
--- a/internal/storewatch/source.go
+++ b/internal/storewatch/storewatch.go
@@ -2,7 +2,7 @@
 // and the upstreams that register themselves.
 //
 // Store is the seam to a deployment's own store; its implementations know
-// names and formats and decide nothing. Follower decides when to read, what
+// names and formats and decide nothing. Watcher decides when to read, what
 // to believe and when to try again.
 package storewatch
 
--- a/internal/storewatch/follower.go
+++ b/internal/storewatch/watcher.go
@@ -11,7 +11,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
-// Config holds what a Follower needs.
+// Config holds what a Watcher needs.
 type Config struct {
 	// Store is what is followed.
 	Store Store
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -7,7 +7,7 @@
 import "time"
 
 const (
-	// RepeatInterval is the pause between two repeats, and RepeatTo how many other hosts hear
+	// RepeatInterval is the pause between two repeats, and RepeatFanOut how many other hosts hear
 	// one. Each host hears four a second: of those that missed a piece of news, one in 50
 	// does not hear of it within a second.
 	RepeatInterval = 500 * time.Millisecond
--- a/pkg/statechart/chart.go
+++ b/pkg/statechart/chart.go
@@ -83,7 +83,7 @@
 // IsFinal reports whether nothing leaves s.
 func (c *Chart) IsFinal(s State) bool { return c.states[s].Final }
 
-// Step applies e in state s. The error is a *NoArrowError, and the state is
+// Step applies e in state s. The error is a *NoTransitionError, and the state is
 // then unchanged.
 func (c *Chart) Step(s State, e Event) (State, Effects, error) {
 	to := &c.table[int(s)*len(c.events)+int(e)]
--- a/pkg/storesync/follow.go
+++ b/pkg/storesync/storesync.go
@@ -36,7 +36,7 @@
 	// MaxWatchDelay is how long a watch may take to tell of a change that the store
 	// was seen to have.
 	MaxWatchDelay time.Duration
-	// DebounceMin and SettleMax bound the pause before the next watch, so that a
+	// DebounceMin and DebounceMax bound the pause before the next watch, so that a
 	// burst of changes costs few calls: it doubles while changes keep coming.
 	DebounceMin, DebounceMax time.Duration
 	// MinOutage is the shortest time without answers that counts as an outage.
@@ -92,7 +92,7 @@
 	// RecoveredAt is when the store came back from its last outage; zero if that is
 	// long ago.
 	RecoveredAt time.Time
-	// Tree is the way on which it came. News does not set it.
+	// Tree is the way on which it came. Core.Update does not set it.
 	Tree Tree
 	// FailedCalls are the newest calls of different hosts, this one among them or
 	// not, that the store did not answer. Only a warning has them.
