--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -188,7 +188,7 @@
 		Limited:   e.control.groups.limits.Limited,
 		Path:      e.conf.Probe.Path,
 		Timeout:   e.conf.Probe.Timeout,
-		FreshFor:  e.conf.Probe.FreshFor,
+		FreshFor:  e.conf.Probe.ReportTTL,
 	})
 	e.poison = poisonnews.New(poisonnews.Config{
 		Loop:   e.loop,
@@ -245,8 +245,8 @@
 	e.feed = configfeed.New(ctx, configfeed.Config{
 		Host: e.host,
 		Options: configsync.Options{
-			Self:       configsync.Member{Address: e.conf.PeerListen, FailureDomain: e.conf.FailureDomain},
-			AloneAfter: e.conf.JoinTimeout,
+			Self:             configsync.Member{Address: e.conf.PeerListen, FailureDomain: e.conf.FailureDomain},
+			SoloStartTimeout: e.conf.JoinTimeout,
 		},
 		Loop:     e.loop,
 		Server:   e.peerServer,
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -87,7 +87,7 @@
 	_, hosts := rank(c.entry.members.Snapshot())
 	c.shareConnections(hosts)
 	c.tellOperators()
-	c.entry.prober.SetTargets(prober.Targets(services(s), c.entry.conf.MaxEntryHosts, c.entry.conf.Probe.Linger))
+	c.entry.prober.SetTargets(prober.Targets(services(s), c.entry.conf.MaxEntryHosts, c.entry.conf.Probe.MaxLateness))
 }
 
 // list takes the documents that are new into the registry, and out of it the
@@ -97,7 +97,7 @@
 	for _, d := range c.config.InForce {
 		present[d.Name] = d.Revision
 		if known, ok := c.revisions[d.Name]; !ok || known != d.Revision {
-			c.registry.Configure(now, d.Name, d.Revision, lifecycle.Listings(d.Service, activation))
+			c.registry.Configure(now, d.Name, d.Revision, lifecycle.UpstreamSpecs(d.Service, activation))
 		}
 	}
 	for name := range c.revisions {
@@ -122,7 +122,7 @@
 // traffic goroutines, in this order.
 func (c *controller) publish() {
 	snapshot, news := c.registry.Flush()
-	c.entry.notices.Tell(news)
+	c.entry.notices.Broadcast(news)
 	if snapshot != nil {
 		c.snapshot.Store(snapshot)
 	}
--- a/internal/gateway/apply_bench_test.go
+++ b/internal/gateway/apply_bench_test.go
@@ -8,13 +8,13 @@
 	"time"
 
 	"github.com/dapplespindle/dapplespindle/internal/proxy"
-	"github.com/dapplespindle/dapplespindle/internal/source"
+	"github.com/dapplespindle/dapplespindle/internal/storewatch"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
-	"github.com/dapplespindle/dapplespindle/pkg/registered"
+	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 )
 
 // noStore is never asked.
-type noStore struct{ source.Store }
+type noStore struct{ storewatch.Store }
 
 func (noStore) Revision(context.Context) (uint64, error) { return 0, nil }
 
@@ -26,12 +26,12 @@
 			g, err := New(Settings{
 				Host: "127.0.0.1", FailureDomain: "here", LogLevel: "error",
 				Listen: "127.0.0.1:1", ReadyListen: "127.0.0.1:2",
-				StopWithin: 3 * time.Second, ChangeWithin: 2 * time.Second, LeaveWithin: 2 * time.Second,
+				StopTimeout: 3 * time.Second, MaxChangeDelay: 2 * time.Second, MaxLeaveDelay: 2 * time.Second,
 			}, noStore{}, proxy.OwnDialect(), io.Discard)
 			if err != nil {
 				b.Fatal(err)
 			}
-			state := &source.State{Revision: 1, Configuration: &config.Configuration{Version: 1}}
+			state := &storewatch.State{Revision: 1, Configuration: &config.Configuration{Version: 1}}
 			for i := range 3 {
 				name := fmt.Sprintf("s-%d", i)
 				s := &config.Service{
@@ -43,7 +43,7 @@
 				state.Configuration.Services = append(state.Configuration.Services, s)
 			}
 			for i := range n {
-				state.Upstreams = append(state.Upstreams, registered.Upstream{
+				state.Upstreams = append(state.Upstreams, discovery.Upstream{
 					ID: fmt.Sprintf("i-%06x", i), Service: fmt.Sprintf("s-%d", i%3), Slots: 3, Revision: 1,
 					Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), FailureDomain: fmt.Sprintf("d-%d", i%6),
 				})
@@ -52,12 +52,12 @@
 			revision := uint64(1)
 			b.ReportAllocs()
 			for b.Loop() {
-				changes := new(source.Changes)
+				changes := new(storewatch.Changes)
 				for j := range 6 {
 					revision++
 					u := state.Upstreams[(int(revision)*18+j*3)%n]
 					u.Revision, u.ColdFor = revision, time.Duration(revision)
-					changes.Events = append(changes.Events, source.Event{Upstream: &u, Revision: revision})
+					changes.Events = append(changes.Events, storewatch.Event{Upstream: &u, Revision: revision})
 				}
 				changes.Revision = revision
 				g.control.changed(changes)
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -7,13 +7,13 @@
 
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/internal/httpwire"
-	"github.com/dapplespindle/dapplespindle/internal/source"
+	"github.com/dapplespindle/dapplespindle/internal/storewatch"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 	"github.com/dapplespindle/dapplespindle/pkg/customers"
+	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 	"github.com/dapplespindle/dapplespindle/pkg/evacuation"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
-	"github.com/dapplespindle/dapplespindle/pkg/registered"
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
@@ -39,7 +39,7 @@
 type controller struct {
 	gateway *Gateway
 	config  *config.Configuration // in force; nil before the first
-	set     *registered.Set
+	set     *discovery.Set
 	listed  bool // the upstreams were read once
 	// evacuated holds the failure domains that get nothing new.
 	evacuated evacuation.Set
@@ -57,7 +57,7 @@
 	upstreams := lifecycle.DefaultConfig()
 	c := &controller{
 		gateway:  g,
-		set:      registered.NewSet(registeredConfig(upstreams)),
+		set:      discovery.NewSet(registeredConfig(upstreams)),
 		registry: lifecycle.NewRegistry(upstreams, g.sink),
 		pools:    newPools(g.conf.Host, g.conf.FailureDomain),
 		served:   make(chan struct{}),
@@ -68,16 +68,16 @@
 
 // registeredConfig returns the bounds of what is kept of upstreams that register
 // themselves, beside what is kept of their lifecycle.
-func registeredConfig(upstreams lifecycle.Config) registered.Config {
-	return registered.Config{
-		ReturnGrace:  returnGrace,
-		Forget:       upstreams.KeepNotices + forgetMargin,
-		EarlierAfter: earlierAfter,
+func registeredConfig(upstreams lifecycle.Config) discovery.Config {
+	return discovery.Config{
+		RecoveryGrace:      returnGrace,
+		TombstoneRetention: upstreams.NoticeRetention + forgetMargin,
+		EarlierStartDelay:  earlierAfter,
 	}
 }
 
 // read takes in everything that is published.
-func (c *controller) read(s *source.State) {
+func (c *controller) read(s *storewatch.State) {
 	c.gateway.emit(event.Event{Code: event.UpstreamsRead, Value: int64(len(s.Upstreams))})
 	c.set.Replace(clock.Now(), s.Upstreams, s.Revision)
 	c.evacuate(c.evacuated.Replace(s.Evacuated, s.Revision)...)
@@ -97,7 +97,7 @@
 // 0.74 s when each read a page of 500 first.
 //
 // It reports whether the host serves with it.
-func (c *controller) readPart(s *source.State) bool {
+func (c *controller) readPart(s *storewatch.State) bool {
 	if c.listed || !servesWith(s) {
 		return false
 	}
@@ -114,7 +114,7 @@
 
 // servesWith reports whether a part of what is published has enough upstreams of each
 // service.
-func servesWith(s *source.State) bool {
+func servesWith(s *storewatch.State) bool {
 	if s.Configuration == nil {
 		return false
 	}
@@ -135,7 +135,7 @@
 }
 
 // changed takes in what has changed, and puts it in force at once.
-func (c *controller) changed(changes *source.Changes) {
+func (c *controller) changed(changes *storewatch.Changes) {
 	now := clock.Now()
 	for i := range changes.Events {
 		c.change(now, &changes.Events[i])
@@ -148,7 +148,7 @@
 }
 
 // change takes in one change.
-func (c *controller) change(now time.Time, e *source.Event) {
+func (c *controller) change(now time.Time, e *storewatch.Event) {
 	switch {
 	case e.Evacuation != nil:
 		if c.evacuated.Apply(*e.Evacuation, e.Revision) {
@@ -171,12 +171,12 @@
 		if change.Ended {
 			code = event.DomainReturned
 		}
-		known := c.set.Touch(change.FailureDomain)
+		known := c.set.MarkChanged(change.FailureDomain)
 		c.gateway.emit(event.Event{Code: code, Reason: change.FailureDomain, Value: int64(known)})
 	}
 }
 
-func stateName(u *registered.Upstream) string {
+func stateName(u *discovery.Upstream) string {
 	if u.Draining {
 		return "draining"
 	}
@@ -185,7 +185,7 @@
 
 // returned is told since when the store answers again.
 func (c *controller) returned(at time.Time) {
-	c.set.Returned(at)
+	c.set.StoreRecovered(at)
 	time.AfterFunc(clock.Until(at.Add(returnGrace)), func() {
 		c.gateway.loop.Post(func() { c.tick(clock.Now()) })
 	})
@@ -245,13 +245,13 @@
 	now := clock.Now()
 	for _, service := range c.set.Changed() {
 		c.revision++
-		var listings []lifecycle.Listing
-		for _, u := range c.set.Of(service) {
-			listings = append(listings, lifecycle.Listing{
+		var listings []lifecycle.UpstreamSpec
+		for _, u := range c.set.Upstreams(service) {
+			listings = append(listings, lifecycle.UpstreamSpec{
 				Upstream:   u.ID,
 				Draining:   u.Draining,
 				Activation: u.Start,
-				Withheld:   c.evacuated.Holds(u.FailureDomain),
+				Evacuated:  c.evacuated.Holds(u.FailureDomain),
 			})
 		}
 		c.registry.Configure(now, service, c.revision, listings)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -9,12 +9,12 @@
 
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/internal/members"
-	"github.com/dapplespindle/dapplespindle/internal/news"
-	"github.com/dapplespindle/dapplespindle/internal/source"
-	"github.com/dapplespindle/dapplespindle/pkg/follow"
+	"github.com/dapplespindle/dapplespindle/internal/peertransport"
+	"github.com/dapplespindle/dapplespindle/internal/storewatch"
 	"github.com/dapplespindle/dapplespindle/pkg/membership"
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
+	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 	"github.com/dapplespindle/dapplespindle/pkg/turns"
 )
 
@@ -33,7 +33,7 @@
 	address netip.AddrPort // of membership
 	port    uint16         // of news, on all hosts
 	members *members.Members
-	news    *news.Transport
+	news    *peertransport.Transport
 	version uint64 // of the snapshot given to the follower
 	joined  time.Time
 	settled bool // as given to the follower
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{gateway: g, address: address, port: g.conf.NewsPort}
+	f := &fleet{gateway: g, address: address, port: g.conf.PeerTransportPort}
 	f.others.Store(new([]netip.AddrPort))
 	f.inTurn.Store(new([]netip.AddrPort))
 	f.members, err = members.New(members.Config{
@@ -61,23 +61,25 @@
 		FailureDomain: g.conf.FailureDomain,
 		Period:        memberPeriod,
 		Hosts:         f,
-		Ticked:        f.refresh,
+		OnTick:        f.refresh,
 		Loop:          g.loop,
 		Events:        g.sink,
 	})
 	if err != nil {
 		return nil, err
 	}
-	f.news = news.New(news.Config{
-		Address: f.newsAddress(address),
-		Heard:   func(t *source.Told) { g.follower.Heard(t) },
-		Answer:  func(ctx context.Context, after uint64) (*source.Told, error) { return g.follower.Answer(ctx, after) },
-		Events:  g.sink,
-
-		HeardLimits: g.heardLimits,
-		GrantRoom:   g.quotas.Answer,
-		Lend:        func(s ratelimit.Server) bool { return g.control.pools.limits.Lend(clock.Now(), s) },
-		HeardPoison: func(died []poison.Death, answered []poison.Fingerprint) { g.proxy.Heard(died, answered) },
+	f.news = peertransport.New(peertransport.Config{
+		Address:   f.newsAddress(address),
+		OnMessage: func(t *storewatch.PeerMessage) { g.follower.ApplyPeerMessage(t) },
+		ServeFetch: func(ctx context.Context, after uint64) (*storewatch.PeerMessage, error) {
+			return g.follower.ServeFetch(ctx, after)
+		},
+		Events: g.sink,
+
+		OnLimits:     g.heardLimits,
+		GrantQuota:   g.quotas.Answer,
+		LendTimeSlot: func(s ratelimit.Server) bool { return g.control.pools.limits.Lend(clock.Now(), s) },
+		OnPoison:     func(died []poison.Death, answered []poison.Fingerprint) { g.proxy.Heard(died, answered) },
 	})
 	return f, nil
 }
@@ -104,8 +106,8 @@
 }
 
 // self is this host as the others reach it for news.
-func (f *fleet) self() follow.Host {
-	return follow.Host{Address: f.newsAddress(f.address), FailureDomain: f.gateway.conf.FailureDomain}
+func (f *fleet) self() storesync.Host {
+	return storesync.Host{Address: f.newsAddress(f.address), FailureDomain: f.gateway.conf.FailureDomain}
 }
 
 // refresh gives the follower the hosts when they have changed. It runs on the
@@ -153,14 +155,14 @@
 
 // hosts returns the hosts that are not known to be dead, or the seeds until this
 // host has found others.
-func (f *fleet) hosts(s *membership.Snapshot) []follow.Host {
-	var out []follow.Host
+func (f *fleet) hosts(s *membership.Snapshot) []storesync.Host {
+	var out []storesync.Host
 	for i := range s.Members {
 		m := &s.Members[i]
 		if m.State == membership.Dead {
 			continue
 		}
-		out = append(out, follow.Host{
+		out = append(out, storesync.Host{
 			Address:       f.newsAddress(m.Address),
 			FailureDomain: m.FailureDomain,
 			Leaving:       m.Leaving,
@@ -170,7 +172,7 @@
 		return out
 	}
 	for _, a := range f.seeds() {
-		out = append(out, follow.Host{Address: f.newsAddress(a)})
+		out = append(out, storesync.Host{Address: f.newsAddress(a)})
 	}
 	return out
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,19 +23,19 @@
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/internal/control"
 	"github.com/dapplespindle/dapplespindle/internal/events"
-	"github.com/dapplespindle/dapplespindle/internal/hoststop"
 	"github.com/dapplespindle/dapplespindle/internal/httpwire"
 	"github.com/dapplespindle/dapplespindle/internal/logging"
 	"github.com/dapplespindle/dapplespindle/internal/metrics"
 	"github.com/dapplespindle/dapplespindle/internal/proxy"
 	"github.com/dapplespindle/dapplespindle/internal/quotas"
-	"github.com/dapplespindle/dapplespindle/internal/source"
+	"github.com/dapplespindle/dapplespindle/internal/shutdown"
+	"github.com/dapplespindle/dapplespindle/internal/storewatch"
 	"github.com/dapplespindle/dapplespindle/internal/upstream"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
-	"github.com/dapplespindle/dapplespindle/pkg/follow"
 	"github.com/dapplespindle/dapplespindle/pkg/gossip"
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 	"github.com/dapplespindle/dapplespindle/pkg/retry"
+	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 	"github.com/dapplespindle/dapplespindle/pkg/turns"
 )
 
@@ -43,15 +43,15 @@
 type Gateway struct {
 	confMu  sync.Mutex
 	conf    Settings // guarded by confMu once the process runs
-	stopper *hoststop.Stopper
+	stopper *shutdown.Stopper
 	sink    event.Sink
 	metrics *metrics.Sink
 	output  *logging.NonBlockingWriter
-	trails  *logging.Trails
+	trails  *logging.RequestLogger
 
 	loop     *control.Loop
 	control  *controller
-	follower *source.Follower
+	follower *storewatch.Watcher
 	fleet    *fleet // nil without peers
 	hosts    int    // known to be in the fleet, 0 while unknown; of the control goroutine
 	quotas   *quotas.Keeper
@@ -65,12 +65,12 @@
 }
 
 // New assembles an entry host from checked settings. Logs go to w.
-func New(conf Settings, store source.Store, dialect *proxy.Dialect, w io.Writer) (*Gateway, error) {
+func New(conf Settings, store storewatch.Store, dialect *proxy.Dialect, w io.Writer) (*Gateway, error) {
 	if err := clock.Check(); err != nil {
 		return nil, errors.Wrap(err, "boot clock")
 	}
 	g := &Gateway{conf: conf, loop: control.NewLoop()}
-	g.keysKnownWithin.Store(int64(conf.KeysKnownWithin))
+	g.keysKnownWithin.Store(int64(conf.MaxKeyStaleness))
 	if err := g.buildEvents(w); err != nil {
 		return nil, err
 	}
@@ -82,13 +82,13 @@
 	if conf.MetricsListen != "" {
 		g.figures = admin.New(admin.Config{Address: conf.MetricsListen, Metrics: g.metrics})
 	}
-	g.stopper = hoststop.New(hoststop.Config{
-		Times:    stopTimes(conf),
-		Server:   g.server,
-		Ready:    g.control.served,
-		SetReady: g.ready.SetReady,
-		Draining: g.leave,
-		Emit:     g.emit,
+	g.stopper = shutdown.New(shutdown.Config{
+		Timeouts:   stopTimes(conf),
+		Server:     g.server,
+		Ready:      g.control.served,
+		SetReady:   g.ready.SetReady,
+		OnDraining: g.leave,
+		Emit:       g.emit,
 	})
 	return g, nil
 }
@@ -101,8 +101,8 @@
 	g.metrics = metrics.New()
 	g.output = logging.NonBlocking(w)
 	log := logging.New(g.output, level)
-	g.trails = logging.NewTrails(log)
-	other := logging.NewWithoutRequests(log)
+	g.trails = logging.NewRequestLogger(log)
+	other := logging.NewProcessLogger(log)
 	g.metrics.AddLog(func() int64 { return g.output.Dropped() + other.Dropped() }, g.trails.Dropped)
 	g.sink = hostSink{g.conf.Host, events.Fanout{other, g.metrics}}
 	logging.CaptureLibrary(g.sink)
@@ -220,25 +220,25 @@
 	returnedFor = 3 * time.Second
 )
 
-func (g *Gateway) buildControl(store source.Store) error {
+func (g *Gateway) buildControl(store storewatch.Store) error {
 	fleet, err := newFleet(g)
 	if err != nil {
 		return err
 	}
-	conf := source.Config{
-		Store:        store,
-		Follow:       g.followConfig(),
-		Read:         func(s *source.State) { g.surely(func() { g.control.read(s) }) },
-		Part:         g.readPart,
-		RestWithin:   restWithin,
-		Changed:      func(c *source.Changes) { g.surely(func() { g.control.changed(c) }) },
-		Returned:     func(at time.Time) { g.surely(func() { g.control.returned(at) }) },
-		Events:       g.sink,
-		WatchWait:    watchWait,
-		ReadTimeout:  readTimeout,
-		RestTimeout:  restTimeout,
-		CheckTimeout: checkTimeout,
-		AskTimeout:   peerTimeout,
+	conf := storewatch.Config{
+		Store:              store,
+		Follow:             g.followConfig(),
+		OnRead:             func(s *storewatch.State) { g.surely(func() { g.control.read(s) }) },
+		OnInitialRead:      g.readPart,
+		FullReadSpread:     restWithin,
+		OnChanges:          func(c *storewatch.Changes) { g.surely(func() { g.control.changed(c) }) },
+		OnRecovery:         func(at time.Time) { g.surely(func() { g.control.returned(at) }) },
+		Events:             g.sink,
+		WatchWait:          watchWait,
+		InitialReadTimeout: readTimeout,
+		FullReadTimeout:    restTimeout,
+		CheckTimeout:       checkTimeout,
+		FetchTimeout:       peerTimeout,
 	}
 	if fleet == nil {
 		g.control.pools.options.Turns.Set(clock.Now(), turns.Place{Hosts: 1})
@@ -247,35 +247,35 @@
 		fleet.quotaSeeds()
 		conf.Peers = fleet.news
 		conf.Self = fleet.self()
-		conf.Follow.ReadAfter, conf.Follow.AskAfter = fleet.startTimes()
+		conf.Follow.StartReadDelay, conf.Follow.StartFetchDelay = fleet.startTimes()
 	}
-	g.follower = source.NewFollower(conf)
+	g.follower = storewatch.NewWatcher(conf)
 	g.loop.Every(tickEvery, g.control.tick)
-	g.loop.Every(gossip.RepeatEvery, g.repeatDeaths)
-	g.loop.Every(gossip.RepeatEvery, g.repeatLimits)
+	g.loop.Every(gossip.RepeatInterval, g.repeatDeaths)
+	g.loop.Every(gossip.RepeatInterval, g.repeatLimits)
 	g.loop.Every(quotasEvery, g.quotas.Tick)
 	g.loop.Every(retry.SaveEvery, func(time.Time) { g.proxy.Tick() })
 	return nil
 }
 
-func (g *Gateway) followConfig() follow.Config {
-	return follow.Config{
-		ChangeWithin: g.conf.knownWithin(),
-		AloneEvery:   aloneEvery,
-		WatchSlack:   watchSlack,
-		SettleMin:    settleMin,
-		SettleMax:    time.Duration(settleShare * float64(g.conf.knownWithin())),
-		MinOutage:    minOutage,
-		ReturnedFor:  returnedFor,
-		RetryMin:     retryMin,
-		RetryMax:     retryMax,
-		Jitter:       rand.Float64,
+func (g *Gateway) followConfig() storesync.Config {
+	return storesync.Config{
+		MaxChangeDelay:         g.conf.knownWithin(),
+		SoloCheckInterval:      aloneEvery,
+		MaxWatchDelay:          watchSlack,
+		DebounceMin:            settleMin,
+		DebounceMax:            time.Duration(settleShare * float64(g.conf.knownWithin())),
+		MinOutage:              minOutage,
+		RecoveryAnnouncePeriod: returnedFor,
+		RetryMin:               retryMin,
+		RetryMax:               retryMax,
+		Jitter:                 rand.Float64,
 	}
 }
 
 // readPart puts a part of what is published in force, and reports whether this host
 // serves with it.
-func (g *Gateway) readPart(s *source.State) bool {
+func (g *Gateway) readPart(s *storewatch.State) bool {
 	serves := make(chan bool, 1)
 	g.surely(func() { serves <- g.control.readPart(s) })
 	return <-serves
@@ -319,7 +319,7 @@
 )
 
 func stopTimes(s Settings) lifecycle.HostConfig {
-	deadline := s.StopWithin - stopMargin
+	deadline := s.StopTimeout - stopMargin
 	return lifecycle.HostConfig{Grace: min(acceptWhileStopping, deadline/2), Deadline: deadline}
 }
 
--- a/internal/news/answer.go
+++ b/internal/peertransport/answer.go
@@ -1,4 +1,4 @@
-package news
+package peertransport
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/internal/httpget"
-	"github.com/dapplespindle/dapplespindle/internal/source"
-	"github.com/dapplespindle/dapplespindle/pkg/follow"
+	"github.com/dapplespindle/dapplespindle/internal/storewatch"
+	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
 // The ages of an answer, in microseconds, are headers: its body is the same for
@@ -48,11 +48,11 @@
 	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 	defer cancel()
 	if !t.takeTurn(ctx, after) {
-		http.Error(w, follow.ErrBusy.Error(), http.StatusTooManyRequests)
+		http.Error(w, storesync.ErrBusy.Error(), http.StatusTooManyRequests)
 		return
 	}
 	defer func() { <-t.answering }()
-	told, err := t.conf.Answer(ctx, after)
+	told, err := t.conf.ServeFetch(ctx, after)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -96,7 +96,7 @@
 }
 
 // pack returns the compressed body of an answer.
-func (t *Transport) pack(after uint64, told *source.Told) ([]byte, error) {
+func (t *Transport) pack(after uint64, told *storewatch.PeerMessage) ([]byte, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	kept := &t.packed.changes
@@ -123,8 +123,8 @@
 	return out.Bytes(), nil
 }
 
-// Ask implements source.Peers.
-func (t *Transport) Ask(ctx context.Context, peer netip.AddrPort, after uint64) (*source.Told, error) {
+// Fetch implements storewatch.Peers.
+func (t *Transport) Fetch(ctx context.Context, peer netip.AddrPort, after uint64) (*storewatch.PeerMessage, error) {
 	url := "http://" + peer.String() + path + "?" + paramAfter + "=" + strconv.FormatUint(after, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -138,11 +138,11 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusTooManyRequests:
-		return nil, follow.ErrBusy
+		return nil, storesync.ErrBusy
 	default:
 		return nil, &httpget.StatusError{Code: resp.StatusCode}
 	}
-	told := new(source.Told)
+	told := new(storewatch.PeerMessage)
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(told); err != nil {
 		return nil, errors.Wrap(err, "answer")
 	}
--- a/internal/news/news.go
+++ b/internal/peertransport/transport.go
@@ -1,11 +1,11 @@
-// Package news moves what hosts tell one another of the store: short messages in
+// Package peertransport moves what hosts tell one another of the store: short messages in
 // datagrams, and answers to questions, which may be large, over HTTP. Both use
 // one port number, which is the same on all hosts.
 //
-// It decides nothing; pkg/follow does. Messages carry no signature: the network
+// It decides nothing; pkg/storesync does. Messages carry no signature: the network
 // among the hosts is trusted, and a message counts only from the address that it
 // names as its sender.
-package news
+package peertransport
 
 import (
 	"context"
@@ -21,7 +21,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/dapplespindle/dapplespindle/internal/quotas"
-	"github.com/dapplespindle/dapplespindle/internal/source"
+	"github.com/dapplespindle/dapplespindle/internal/storewatch"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 	"github.com/dapplespindle/dapplespindle/pkg/quota"
@@ -47,25 +47,25 @@
 type Config struct {
 	// Address is where peers reach this host, over UDP and TCP.
 	Address netip.AddrPort
-	// Heard takes in a message.
-	Heard func(*source.Told)
-	// Answer answers a question of a peer.
-	Answer func(ctx context.Context, after uint64) (*source.Told, error)
-	// HeardPoison takes in what a peer tells of ends of upstreams.
-	HeardPoison func(died []poison.Death, answered []poison.Fingerprint)
-	// HeardLimits takes in what a peer tells of the limits of upstreams.
-	HeardLimits func([]ratelimit.News)
-	// Lend uses a turn of this host at an upstream for another host. It reports whether
+	// OnMessage takes in a message.
+	OnMessage func(*storewatch.PeerMessage)
+	// ServeFetch answers a question of a peer.
+	ServeFetch func(ctx context.Context, after uint64) (*storewatch.PeerMessage, error)
+	// OnPoison takes in what a peer tells of ends of upstreams.
+	OnPoison func(died []poison.Death, answered []poison.Fingerprint)
+	// OnLimits takes in what a peer tells of the limits of upstreams.
+	OnLimits func([]ratelimit.News)
+	// LendTimeSlot uses a turn of this host at an upstream for another host. It reports whether
 	// there was one.
-	Lend func(ratelimit.Server) bool
-	// GrantRoom answers a host's question for room of a customer's quota. It may take as long
+	LendTimeSlot func(ratelimit.Server) bool
+	// GrantQuota answers a host's question for room of a customer's quota. It may take as long
 	// as asking hosts does, and runs on a goroutine of its own.
-	GrantRoom func(from netip.AddrPort, q *quotas.Question) quota.Answer
+	GrantQuota func(from netip.AddrPort, q *quotas.Question) quota.Answer
 	// Events receives what was refused.
 	Events event.Sink
 }
 
-// Transport implements source.Peers.
+// Transport implements storewatch.Peers.
 type Transport struct {
 	conf   Config
 	conn   *net.UDPConn
@@ -128,9 +128,9 @@
 	_ = t.server.Close()
 }
 
-// Tell implements source.Peers. A message that can't be sent is as one that is
+// Send implements storewatch.Peers. A message that can't be sent is as one that is
 // lost.
-func (t *Transport) Tell(to []netip.AddrPort, told *source.Told) {
+func (t *Transport) Send(to []netip.AddrPort, told *storewatch.PeerMessage) {
 	datagram, err := encodeDatagram(told)
 	if err != nil {
 		t.refused(err)
@@ -146,7 +146,7 @@
 }
 
 // encodeDatagram leaves the changes out if they don't fit.
-func encodeDatagram(told *source.Told) ([]byte, error) {
+func encodeDatagram(told *storewatch.PeerMessage) ([]byte, error) {
 	datagram, err := json.Marshal(told)
 	if err != nil || len(datagram) <= maxDatagramBytes {
 		return datagram, err
@@ -182,7 +182,7 @@
 			t.refused(errors.Newf("%s says that it is %s", sender, told.From.Address))
 			continue
 		}
-		t.conf.Heard(told)
+		t.conf.OnMessage(told)
 	}
 }
 
@@ -214,8 +214,8 @@
 	return func(text []byte, _ netip.AddrPort) error { return heard(text) }
 }
 
-func decodeDatagram(datagram []byte) (*source.Told, error) {
-	told := new(source.Told)
+func decodeDatagram(datagram []byte) (*storewatch.PeerMessage, error) {
+	told := new(storewatch.PeerMessage)
 	if err := json.Unmarshal(datagram, told); err != nil {
 		return nil, errors.Wrap(err, "message")
 	}
@@ -223,7 +223,7 @@
 }
 
 // validate checks what another version of the product may write otherwise.
-func validate(told *source.Told) error {
+func validate(told *storewatch.PeerMessage) error {
 	switch {
 	case told.Revision == 0:
 		return errors.New("revision: is 0")
@@ -244,13 +244,13 @@
 // maxUnanswered bounds the calls of one message; hosts of this version name three.
 const maxUnanswered = 16
 
-func validUnanswered(calls []source.Unanswered) bool {
-	return len(calls) <= maxUnanswered && !slices.ContainsFunc(calls, func(u source.Unanswered) bool {
+func validUnanswered(calls []storewatch.FailedCall) bool {
+	return len(calls) <= maxUnanswered && !slices.ContainsFunc(calls, func(u storewatch.FailedCall) bool {
 		return !u.Host.IsValid() || u.Age < 0
 	})
 }
 
-func validateChanges(c *source.Changes) error {
+func validateChanges(c *storewatch.Changes) error {
 	for _, next := range c.Configurations {
 		if next == nil {
 			return errors.New("configuration: is missing")
--- a/internal/news/news_test.go
+++ b/internal/peertransport/transport_test.go
@@ -1,4 +1,4 @@
-package news
+package peertransport
 
 import (
 	"context"
@@ -15,13 +15,13 @@
 	"github.com/matryer/is"
 
 	"github.com/dapplespindle/dapplespindle/internal/httpget"
-	"github.com/dapplespindle/dapplespindle/internal/source"
+	"github.com/dapplespindle/dapplespindle/internal/storewatch"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
+	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
-	"github.com/dapplespindle/dapplespindle/pkg/follow"
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/registered"
+	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 	"github.com/dapplespindle/dapplespindle/pkg/turns"
 )
 
@@ -29,10 +29,10 @@
 type host struct {
 	*Transport
 	address netip.AddrPort
-	heard   chan *source.Told
+	heard   chan *storewatch.PeerMessage
 	mu      sync.Mutex
 	events  []event.Event
-	told    *source.Told // its answer; nil knows nothing
+	told    *storewatch.PeerMessage // its answer; nil knows nothing
 	poison  chan poisonHeard
 	limits  chan []ratelimit.News
 	book    *ratelimit.Book
@@ -77,22 +77,22 @@
 
 func begin(t *testing.T) *host {
 	address := freeAddress(t)
-	h := &host{address: address, heard: make(chan *source.Told, 8), poison: make(chan poisonHeard, 8),
+	h := &host{address: address, heard: make(chan *storewatch.PeerMessage, 8), poison: make(chan poisonHeard, 8),
 		limits: make(chan []ratelimit.News, 8), book: ratelimit.NewBook(turns.Alone())}
 	h.Transport = New(Config{
-		Address: address,
-		Heard:   func(told *source.Told) { h.heard <- told },
-		Answer: func(context.Context, uint64) (*source.Told, error) {
+		Address:   address,
+		OnMessage: func(told *storewatch.PeerMessage) { h.heard <- told },
+		ServeFetch: func(context.Context, uint64) (*storewatch.PeerMessage, error) {
 			if h.told == nil {
-				return nil, source.ErrKnowsNothing
+				return nil, storewatch.ErrNoState
 			}
 			return h.told, nil
 		},
 		Events: h,
 
-		HeardLimits: func(told []ratelimit.News) { h.limits <- told },
-		Lend:        func(s ratelimit.Server) bool { return h.book.Lend(time.Now(), s) },
-		HeardPoison: func(died []poison.Death, answered []poison.Fingerprint) {
+		OnLimits:     func(told []ratelimit.News) { h.limits <- told },
+		LendTimeSlot: func(s ratelimit.Server) bool { return h.book.Lend(time.Now(), s) },
+		OnPoison: func(died []poison.Death, answered []poison.Fingerprint) {
 			h.poison <- poisonHeard{died, answered}
 		},
 	})
@@ -103,22 +103,22 @@
 	return h
 }
 
-func (h *host) message(upstreams int) *source.Told {
-	out := &source.Told{
-		From:     follow.Host{Address: h.address, FailureDomain: "a"},
+func (h *host) message(upstreams int) *storewatch.PeerMessage {
+	out := &storewatch.PeerMessage{
+		From:     storesync.Host{Address: h.address, FailureDomain: "a"},
 		Revision: 7,
 		Age:      40 * time.Millisecond,
 		After:    5,
-		Changes:  &source.Changes{Revision: 7},
+		Changes:  &storewatch.Changes{Revision: 7},
 	}
 	for i := range upstreams {
-		u := &registered.Upstream{ID: fmt.Sprint("i-", i), Service: "ledger", Address: "10.1.2.3:80", Slots: 3}
-		out.Changes.Events = append(out.Changes.Events, source.Event{Upstream: u, Revision: 6})
+		u := &discovery.Upstream{ID: fmt.Sprint("i-", i), Service: "ledger", Address: "10.1.2.3:80", Slots: 3}
+		out.Changes.Events = append(out.Changes.Events, storewatch.Event{Upstream: u, Revision: 6})
 	}
 	return out
 }
 
-func (h *host) hears(t *testing.T) *source.Told {
+func (h *host) hears(t *testing.T) *storewatch.PeerMessage {
 	t.Helper()
 	select {
 	case told := <-h.heard:
@@ -132,10 +132,10 @@
 func TestTellCarriesChangesThatFit(t *testing.T) {
 	is := is.New(t)
 	a, b := begin(t), begin(t)
-	a.Tell([]netip.AddrPort{b.address}, a.message(2))
+	a.Send([]netip.AddrPort{b.address}, a.message(2))
 	got := b.hears(t)
 	is.Equal(got, a.message(2))
-	a.Tell([]netip.AddrPort{b.address}, a.message(200))
+	a.Send([]netip.AddrPort{b.address}, a.message(200))
 	got = b.hears(t)
 	is.Equal(got.Changes, nil)
 	is.Equal(got.Revision, uint64(7))
@@ -145,8 +145,8 @@
 	is := is.New(t)
 	a, b := begin(t), begin(t)
 	told := a.message(0)
-	told.Unanswered = []source.Unanswered{{Host: b.address, Age: time.Second}, {Host: a.address}}
-	a.Tell([]netip.AddrPort{b.address}, told)
+	told.Unanswered = []storewatch.FailedCall{{Host: b.address, Age: time.Second}, {Host: a.address}}
+	a.Send([]netip.AddrPort{b.address}, told)
 	is.Equal(b.hears(t), told)
 }
 
@@ -158,15 +158,15 @@
 	empty := a.message(0)
 	empty.Revision = 0
 	early, nameless, many := a.message(0), a.message(0), a.message(0)
-	early.Unanswered = []source.Unanswered{{Host: a.address, Age: -1}}
-	nameless.Unanswered = []source.Unanswered{{}}
-	many.Unanswered = slices.Repeat([]source.Unanswered{{Host: a.address}}, maxUnanswered+1)
-	for _, told := range []*source.Told{forged, empty, early, nameless, many} {
-		a.Tell([]netip.AddrPort{b.address}, told)
+	early.Unanswered = []storewatch.FailedCall{{Host: a.address, Age: -1}}
+	nameless.Unanswered = []storewatch.FailedCall{{}}
+	many.Unanswered = slices.Repeat([]storewatch.FailedCall{{Host: a.address}}, maxUnanswered+1)
+	for _, told := range []*storewatch.PeerMessage{forged, empty, early, nameless, many} {
+		a.Send([]netip.AddrPort{b.address}, told)
 	}
 	_, err := a.conn.WriteToUDPAddrPort([]byte("{"), b.address)
 	is.NoErr(err)
-	a.Tell([]netip.AddrPort{b.address}, a.message(1))
+	a.Send([]netip.AddrPort{b.address}, a.message(1))
 	is.Equal(len(b.hears(t).Changes.Events), 1)
 	is.Equal(b.refusals(), 6)
 }
@@ -176,19 +176,19 @@
 func TestAsk(t *testing.T) {
 	is := is.New(t)
 	a, b := begin(t), begin(t)
-	_, err := a.Ask(t.Context(), b.address, 0)
+	_, err := a.Fetch(t.Context(), b.address, 0)
 	status := new(httpget.StatusError)
 	is.True(errors.As(err, &status))
 	is.Equal(status.Code, http.StatusServiceUnavailable)
 	told := b.message(0)
 	told.Changes, told.After = nil, 0
 	told.ReturnedAge = time.Second
-	told.State = &source.State{Revision: 7, Configuration: &config.Configuration{Version: 3,
+	told.State = &storewatch.State{Revision: 7, Configuration: &config.Configuration{Version: 3,
 		Callers: &config.CallerLimits{HeadBytes: 1, BodyBytes: 2, HeadTimeout: time.Second, IdleTimeout: time.Minute}}}
 	b.told = told
 	for _, age := range []time.Duration{40 * time.Millisecond, 900 * time.Millisecond} {
 		told.Age = age
-		got, err := a.Ask(t.Context(), b.address, 0)
+		got, err := a.Fetch(t.Context(), b.address, 0)
 		is.NoErr(err)
 		is.True(got.Age >= age)
 		is.True(got.ReturnedAge == time.Second)
@@ -201,7 +201,7 @@
 	is := is.New(t)
 	h := begin(t)
 	told := h.message(0)
-	told.Changes, told.State = nil, &source.State{Revision: 7}
+	told.Changes, told.State = nil, &storewatch.State{Revision: 7}
 	first, err := h.pack(3, told)
 	is.NoErr(err)
 	changes, err := h.pack(5, h.message(1))
@@ -222,7 +222,7 @@
 	a, b := begin(t), begin(t)
 	b.told = b.message(0)
 	b.told.Changes.Configurations = []*config.Configuration{{}} // version 0
-	_, err := a.Ask(t.Context(), b.address, 5)
+	_, err := a.Fetch(t.Context(), b.address, 5)
 	is.True(err != nil)
 }
 
@@ -257,7 +257,7 @@
 		})
 	}
 	to := []netip.AddrPort{b.address}
-	a.TellDeaths(to, deaths)
+	a.SendDeaths(to, deaths)
 	for range 2 {
 		for _, got := range (<-b.poison).died {
 			at := slices.IndexFunc(deaths, func(d poison.Death) bool { return d.Request == got.Request })
@@ -271,7 +271,7 @@
 	}
 	is.Equal(len(deaths), 0)
 	f := poison.Of("GET", "shop", "/", nil, "caller")
-	a.TellAnswered(to, f)
+	a.SendAnswered(to, f)
 	is.Equal((<-b.poison).answered, []poison.Fingerprint{f})
 	for _, text := range []string{`{`, `{"d":[{"b":1,"e":2}]}`, `{"d":[{"b":-2,"e":-3}]}`, `{"d":[{"b":9000000000000000,"e":2}]}`} {
 		is.True(b.heardPoison([]byte(text)) != nil)
--- a/internal/source/source.go
+++ b/internal/storewatch/storewatch.go
@@ -1,41 +1,41 @@
-// Package source follows what a store publishes: the operators' configuration
+// Package storewatch follows what a store publishes: the operators' configuration
 // and the upstreams that register themselves.
 //
 // Store is the seam to a deployment's own store; its implementations know
-// names and formats and decide nothing. Follower decides when to read, what
+// names and formats and decide nothing. Watcher decides when to read, what
 // to believe and when to try again.
-package source
+package storewatch
 
 import (
 	"context"
 	"time"
 
 	"github.com/dapplespindle/dapplespindle/pkg/config"
+	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 	"github.com/dapplespindle/dapplespindle/pkg/evacuation"
-	"github.com/dapplespindle/dapplespindle/pkg/follow"
-	"github.com/dapplespindle/dapplespindle/pkg/registered"
+	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
 // Store reads what is published. Calls end with their context.
 type Store interface {
-	// Begin returns the configuration, the evacuations, some of the upstreams, and the
+	// ReadInitial returns the configuration, the evacuations, some of the upstreams, and the
 	// revision of the first two. It takes far less than everything where there are many
 	// upstreams.
-	Begin(ctx context.Context) (*State, error)
-	// Rest returns everything. Begun is what Begin returned; the revision stays, and a
+	ReadInitial(ctx context.Context) (*State, error)
+	// ReadAll returns everything. Begun is what Begin returned; the revision stays, and a
 	// watch from there misses nothing.
-	Rest(ctx context.Context, begun *State) (*State, error)
+	ReadAll(ctx context.Context, begun *State) (*State, error)
 	// Watch returns the changes after a revision, waiting up to wait for one. The
 	// error is ErrHistoryLost when the store no longer has all of them.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (*Changes, error)
 	// Revision returns the store's revision.
 	Revision(ctx context.Context) (uint64, error)
-	// Alive makes the cheapest call that shows that the store answers.
-	Alive(ctx context.Context) error
+	// Ping makes the cheapest call that shows that the store answers.
+	Ping(ctx context.Context) error
 }
 
 // ErrHistoryLost says that changes were missed; everything must be read anew.
-var ErrHistoryLost = follow.ErrHistoryLost
+var ErrHistoryLost = storesync.ErrHistoryLost
 
 // State is everything that is published.
 type State struct {
@@ -46,11 +46,11 @@
 	// Evacuated are the failure domains that are to get nothing new.
 	Evacuated []evacuation.Domain `json:",omitempty"`
 	// Upstreams are the registered upstreams.
-	Upstreams []registered.Upstream
+	Upstreams []discovery.Upstream
 	// Rejected are the items that could not be decoded. Peers are not told of them.
 	Rejected []Rejected `json:"-"`
-	// Long states of a first part that the rest takes many calls.
-	Long bool `json:"-"`
+	// Large states of a first part that the rest takes many calls.
+	Large bool `json:"-"`
 }
 
 // Changes are what happened after a revision, oldest first.
@@ -73,7 +73,7 @@
 	// Evacuation is the beginning or end of one; nil for a change of an upstream.
 	Evacuation *evacuation.Change `json:",omitempty"`
 	// Upstream is the new entry; nil when it was removed.
-	Upstream *registered.Upstream
+	Upstream *discovery.Upstream
 	// Removed is the id of an upstream whose entry is gone.
 	Removed string
 	// Revision is the store's revision of the change.
