--- a/pkg/atmostonce/ask.go
+++ b/pkg/atmostonce/ask.go
@@ -9,9 +9,9 @@
 // Verdict is what to do with an ask.
 type Verdict uint8
 
-// The verdicts of Ledger.Ask.
+// The verdicts of Ledger.Submit.
 const (
-	// Execute means that the caller of Ask now runs the request, and alone may.
+	// Execute means that the caller of Submit now runs the request, and alone may.
 	Execute Verdict = iota
 	// Join means that the request is being executed; wait for its result.
 	Join
@@ -29,7 +29,7 @@
 	Replayed bool
 }
 
-// Submission is one arrival of a request under a ticket that Sealer.Owner found Own.
+// Submission is one arrival of a request under a ticket that Sealer.Owner found Local.
 type Submission struct {
 	// Sequence is the ticket's.
 	Sequence uint64
--- a/pkg/rest/header.go
+++ b/pkg/rest/header.go
@@ -16,7 +16,7 @@
 // ErrInvalidDuration means that a time of rest is no number of seconds.
 var ErrInvalidDuration = errors.New("time of rest is no number of seconds")
 
-// Seconds reads a time of rest in seconds, fractions included, of at most Most. An empty
+// Seconds reads a time of rest in seconds, fractions included, of at most MaxDuration. An empty
 // value asks for none; any other that is not a number from 0 on is ErrInvalidDuration.
 func Seconds(value string) (time.Duration, error) { return read(value, time.Second) }
 
