--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -58,7 +58,7 @@
 	s := operator.New(operator.Config{
 		Host: "10.1.0.1", Build: "test", Source: &f.published, Fleet: laggard{single}, Local: noRequests{},
 		Upstreams: operator.ConfiguredUpstreams{Source: &f.published}, Events: f.ring, Peers: operator.NoPeers{},
-		PollEvery: time.Millisecond,
+		PollInterval: time.Millisecond,
 	})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/operator/follow.go
+++ b/internal/operator/follow.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return err
 	}
-	ticker := time.NewTicker(s.conf.PollEvery)
+	ticker := time.NewTicker(s.conf.PollInterval)
 	defer ticker.Stop()
 	var last *operatorv1.FollowUpdate
 	for {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -66,7 +66,7 @@
 	s := New(Config{
 		Host: name, Build: "test", Source: &h.published, Fleet: &h.fleet, Local: noRequests{},
 		Upstreams: ConfiguredUpstreams{Source: &h.published}, Events: h.ring, Peers: peers,
-		PollEvery: time.Millisecond,
+		PollInterval: time.Millisecond,
 	})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -17,8 +17,8 @@
 
 // Defaults for Config.
 const (
-	DefaultPollEvery   = 100 * time.Millisecond
-	DefaultPeerTimeout = time.Second
+	DefaultPollInterval = 100 * time.Millisecond
+	DefaultPeerTimeout  = time.Second
 )
 
 // Config is what the service needs. Every interface is required.
@@ -39,8 +39,8 @@
 	Events EventStore
 	// Peers asks the other entry hosts.
 	Peers Peers
-	// PollEvery is how often Follow looks at the fleet. Default: 100ms.
-	PollEvery time.Duration
+	// PollInterval is how often Follow looks at the fleet. Default: 100ms.
+	PollInterval time.Duration
 	// PeerTimeout bounds asking one peer. Default: 1s.
 	PeerTimeout time.Duration
 }
@@ -55,8 +55,8 @@
 
 // New returns a server; Register and RegisterPeer add it to gRPC servers.
 func New(c Config) *Server {
-	if c.PollEvery <= 0 {
-		c.PollEvery = DefaultPollEvery
+	if c.PollInterval <= 0 {
+		c.PollInterval = DefaultPollInterval
 	}
 	if c.PeerTimeout <= 0 {
 		c.PeerTimeout = DefaultPeerTimeout
