--- a/cmd/spindle-load/compare.go
+++ b/cmd/spindle-load/compare.go
@@ -18,66 +18,66 @@
 // compareCommand measures what entry hosts add.
 func compareCommand() *cobra.Command {
 	var (
-		conf loadgen.CompareConfig
-		ways []string
-		idle int
-		each bool
+		conf       loadgen.CompareConfig
+		entryHosts []string
+		idle       int
+		eachRound  bool
 	)
 	cmd := &cobra.Command{
 		Use:   "compare",
 		Short: "Compare direct requests with requests through entry hosts",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			for _, raw := range ways {
-				way, err := parseWay(raw)
+			for _, raw := range entryHosts {
+				host, err := parseEntryHost(raw)
 				if err != nil {
 					return err
 				}
-				conf.Through = append(conf.Through, way)
+				conf.EntryHosts = append(conf.EntryHosts, host)
 			}
 			// Memory first: a load leaves free memory that would hide the growth.
-			for _, way := range conf.Through {
-				if err := printIdle(way, idle); err != nil {
+			for _, host := range conf.EntryHosts {
+				if err := printIdleMemory(host, idle); err != nil {
 					return err
 				}
 			}
-			sats, levels, err := loadgen.Compare(cmd.Context(), conf)
+			saturations, levels, err := loadgen.Compare(cmd.Context(), conf)
 			if err != nil {
 				return err
 			}
-			printSaturation(conf.Through, sats)
-			if each {
-				if err := printRounds(conf.Through, levels); err != nil {
+			printSaturation(conf.EntryHosts, saturations)
+			if eachRound {
+				if err := printRounds(conf.EntryHosts, levels); err != nil {
 					return err
 				}
 			}
-			return printLevels(conf.Through, levels)
+			return printLevels(conf.EntryHosts, levels)
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&conf.Direct, "direct", "", "URL at the upstream (required)")
-	f.StringArrayVar(&ways, "through", nil, "entry host, as NAME,URL,PID,ADMIN-IP:PORT; may be repeated to compare builds (required)")
-	f.Float64SliceVar(&conf.Shares, "shares", []float64{0.1, 0.5, 0.8}, "loads, as shares of the first entry host's saturation")
+	f.StringVar(&conf.DirectURL, "direct", "", "URL at the upstream (required)")
+	f.StringArrayVar(&entryHosts, "through", nil, "entry host, as NAME,URL,PID,ADMIN-IP:PORT; may be repeated to compare builds (required)")
+	f.Float64SliceVar(&conf.LoadShares, "shares", []float64{0.1, 0.5, 0.8}, "loads, as shares of the first entry host's saturation")
 	f.DurationVar(&conf.Duration, "duration", time.Second, "time of each round of each load")
 	f.IntVar(&conf.Rounds, "rounds", 7, "measurements of each load")
 	f.IntVar(&conf.Workers, "workers", 32, "connections to each way")
 	f.Uint64Var(&conf.Seed, "seed", 1, "seed of the arrivals")
 	f.IntVar(&idle, "idle", 2000, "idle connections to measure memory with; 0 is none")
-	f.BoolVar(&each, "each", false, "print each round")
+	f.BoolVar(&eachRound, "each", false, "print each round")
 	return cmd
 }
 
 // printRounds prints the tail of each round beside the time that the entry
 // host's threads waited for a processor, which tells a busy machine.
-func printRounds(ways []loadgen.Through, levels []loadgen.Level) error {
+func printRounds(hosts []loadgen.EntryHost, levels []loadgen.LoadLevel) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "load\tround\tway\tdirect p99 ms\tadded p50 ms\tadded p99 ms\twaited for a processor, us/request\t")
 	for i := range levels {
 		for n := range levels[i].Rounds {
 			r := &levels[i].Rounds[n]
-			for j, way := range ways {
-				fmt.Fprintf(w, "%.0f%%\t%d\t%s\t%.3f\t%.3f\t%.3f\t%.1f\t\n", levels[i].Share*100, n+1, way.Name,
-					inMillis(float64(r.Ways[0].FromSend.ValueAtQuantile(99))),
-					inMillis(r.Added(j+1, 50)), inMillis(r.Added(j+1, 99)), r.Delays[j])
+			for j, host := range hosts {
+				fmt.Fprintf(w, "%.0f%%\t%d\t%s\t%.3f\t%.3f\t%.3f\t%.1f\t\n", levels[i].Share*100, n+1, host.Name,
+					inMillis(float64(r.Paths[0].SendLatency.ValueAtQuantile(99))),
+					inMillis(r.AddedLatency(j+1, 50)), inMillis(r.AddedLatency(j+1, 99)), r.RunDelays[j])
 			}
 		}
 	}
@@ -85,42 +85,42 @@
 }
 
 // wayFields is the number of parts of --through.
-const wayFields = 4
+const entryHostFields = 4
 
-func parseWay(raw string) (loadgen.Through, error) {
+func parseEntryHost(raw string) (loadgen.EntryHost, error) {
 	parts := strings.Split(raw, ",")
-	if len(parts) != wayFields {
-		return loadgen.Through{}, errors.Newf("through: %q is not NAME,URL,PID,ADMIN-IP:PORT", raw)
+	if len(parts) != entryHostFields {
+		return loadgen.EntryHost{}, errors.Newf("through: %q is not NAME,URL,PID,ADMIN-IP:PORT", raw)
 	}
 	pid, err := strconv.Atoi(parts[2])
 	if err != nil {
-		return loadgen.Through{}, errors.Newf("through: %q is not a process id", parts[2])
+		return loadgen.EntryHost{}, errors.Newf("through: %q is not a process id", parts[2])
 	}
-	return loadgen.Through{Name: parts[0], URL: parts[1], PID: pid, Admin: parts[3]}, nil
+	return loadgen.EntryHost{Name: parts[0], URL: parts[1], PID: pid, AdminAddress: parts[3]}, nil
 }
 
-func printSaturation(ways []loadgen.Through, sats []loadgen.Saturation) {
-	for i, sat := range sats {
+func printSaturation(hosts []loadgen.EntryHost, saturations []loadgen.Saturation) {
+	for i, saturation := range saturations {
 		fmt.Printf("%s: saturation %.0f requests/s, %.0f requests/s per core (%.0f to %.0f), %.1f allocations and %.0f bytes per request, errors %d\n",
-			ways[i].Name, sat.Rate, sat.PerCore, sat.PerCoreLow, sat.PerCoreHigh, sat.Allocations, sat.AllocatedBytes, sat.Errors)
+			hosts[i].Name, saturation.Rate, saturation.PerCore, saturation.PerCoreLow, saturation.PerCoreHigh, saturation.Allocations, saturation.AllocatedBytes, saturation.Errors)
 	}
 }
 
 // printLevels prints quantiles over all rounds, and the median and the range
 // over the rounds of what a way adds to the quantile of the direct one.
-func printLevels(ways []loadgen.Through, levels []loadgen.Level) error {
+func printLevels(hosts []loadgen.EntryHost, levels []loadgen.LoadLevel) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "load\tasked/s\tgot/s\tway\tquantile\tdirect ms\tthrough ms\tadded ms, median\tfrom\tto\trequests\terrors\t")
 	for i := range levels {
 		l := &levels[i]
-		for n, way := range ways {
+		for n, host := range hosts {
 			for _, q := range []float64{50, 99, 99.9} {
-				added := l.Added(n+1, q)
+				added := l.AddedLatencies(n+1, q)
 				fmt.Fprintf(w, "%.0f%%\t%.0f\t%.0f\t%s\tp%g\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t\n",
-					l.Share*100, l.Asked, achieved(l), way.Name, q,
-					inMillis(l.Pooled(0, q)), inMillis(l.Pooled(n+1, q)),
+					l.Share*100, l.TargetRate, meanAchievedRate(l), host.Name, q,
+					inMillis(l.PooledQuantile(0, q)), inMillis(l.PooledQuantile(n+1, q)),
 					inMillis(added[len(added)/2]), inMillis(added[0]), inMillis(added[len(added)-1]),
-					count(l, n+1), failed(l, n+1))
+					requestCount(l, n+1), errorCount(l, n+1))
 			}
 		}
 	}
@@ -131,42 +131,42 @@
 
 func inMillis(micros float64) float64 { return micros / microsPerMilli }
 
-func achieved(l *loadgen.Level) float64 {
+func meanAchievedRate(l *loadgen.LoadLevel) float64 {
 	sum := 0.0
 	for _, r := range l.Rounds {
-		sum += r.Achieved
+		sum += r.AchievedRate
 	}
 	return sum / float64(len(l.Rounds))
 }
 
-func count(l *loadgen.Level, way int) int64 {
+func requestCount(l *loadgen.LoadLevel, path int) int64 {
 	n := int64(0)
 	for _, r := range l.Rounds {
-		n += r.Ways[way].FromSend.TotalCount()
+		n += r.Paths[path].SendLatency.TotalCount()
 	}
 	return n
 }
 
-func failed(l *loadgen.Level, way int) int {
+func errorCount(l *loadgen.LoadLevel, path int) int {
 	n := 0
 	for _, r := range l.Rounds {
-		n += r.Ways[way].Errors
+		n += r.Paths[path].Errors
 	}
 	return n
 }
 
-func printIdle(way loadgen.Through, connections int) error {
+func printIdleMemory(host loadgen.EntryHost, connections int) error {
 	if connections == 0 {
 		return nil
 	}
-	u, err := url.Parse(way.URL)
+	u, err := url.Parse(host.URL)
 	if err != nil {
 		return err
 	}
-	perConn, err := loadgen.IdleMemory(u.Host, way.PID, connections)
+	perConn, err := loadgen.IdleMemory(u.Host, host.PID, connections)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: memory per idle connection %.0f bytes (%d connections)\n", way.Name, perConn, connections)
+	fmt.Printf("%s: memory per idle connection %.0f bytes (%d connections)\n", host.Name, perConn, connections)
 	return nil
 }
--- a/cmd/spindle-load/ranking.go
+++ b/cmd/spindle-load/ranking.go
@@ -27,9 +27,9 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringSliceVar(&conf.Entries, "entry", nil, "base URLs of entry hosts")
-	f.StringSliceVar(&conf.Admins, "admin", nil, "base URLs of their metrics")
-	f.StringSliceVar(&conf.Upstreams, "upstream", nil, "base URLs of the stand-in upstreams")
+	f.StringSliceVar(&conf.EntryURLs, "entry", nil, "base URLs of entry hosts")
+	f.StringSliceVar(&conf.AdminURLs, "admin", nil, "base URLs of their metrics")
+	f.StringSliceVar(&conf.UpstreamURLs, "upstream", nil, "base URLs of the stand-in upstreams")
 	f.StringSliceVar(&conf.Services, "service", nil, "services to compare")
 	f.IntVar(&conf.Rounds, "rounds", 3, "turns of each service and condition")
 	f.DurationVar(&conf.WarmUp, "warm-up", 500*time.Millisecond, "time of a turn before requests count")
@@ -40,7 +40,7 @@
 	return cmd
 }
 
-func printRanking(rows []loadgen.Ranking) error {
+func printRanking(rows []loadgen.RankingResult) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "condition\tservice\tcounted\tp50 ms\tp99 ms\tby round\tp99.9 ms\tsends\tprobes\tbad %\tskipped\t")
 	for _, r := range rows {
@@ -49,8 +49,8 @@
 			condition = "slow-down"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%.1f\t%.1f\t%s\t%.1f\t%.3f\t%d\t%.2f\t%d\t\n", condition, r.Service,
-			r.Latency.TotalCount(), quantile(r.Latency, 50), quantile(r.Latency, 99), byRound(r), quantile(r.Latency, 99.9),
-			float64(r.Attempts)/float64(max(r.Sent, 1)), r.Probes, 100*float64(r.Bad)/float64(max(r.Sent, 1)), r.Skipped)
+			r.Latency.TotalCount(), quantile(r.Latency, 50), quantile(r.Latency, 99), p99ByRound(r), quantile(r.Latency, 99.9),
+			float64(r.Attempts)/float64(max(r.Sent, 1)), r.Probes, 100*float64(r.Failed)/float64(max(r.Sent, 1)), r.Skipped)
 	}
 	return w.Flush()
 }
@@ -60,7 +60,7 @@
 }
 
 // byRound lists the p99 of the rounds.
-func byRound(r loadgen.Ranking) string {
+func p99ByRound(r loadgen.RankingResult) string {
 	s := ""
 	for _, h := range r.Rounds {
 		s += fmt.Sprintf(" %.0f", quantile(h, 99))
--- a/internal/loadgen/compare.go
+++ b/internal/loadgen/compare.go
@@ -10,120 +10,127 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Through is one way through an entry host.
-type Through struct {
-	// Name labels the way.
+// EntryHost is an entry host under measurement.
+type EntryHost struct {
+	// Name labels the results.
 	Name string
-	// URL is the way's URL; it must be loopback.
+	// URL is requested through the entry host; it must be a loopback address.
 	URL string
-	// PID is the process id of the entry host, for its CPU time.
+	// PID is the process ID, used to read CPU time and scheduling delay.
 	PID int
-	// Admin is the IP:port of its metrics, for its allocations; empty is none.
-	Admin string
+	// AdminAddress is the IP:port that serves metrics, used to read allocation
+	// counters. If empty, allocations are not measured.
+	AdminAddress string
 }
 
-// CompareConfig configures a comparison of ways to the same upstream.
+// CompareConfig configures a comparison of direct requests to an upstream with
+// requests to it through entry hosts.
 type CompareConfig struct {
-	// Direct is the URL of the direct way; it must be loopback.
-	Direct string
-	// Through are the ways through entry hosts, such as an old and a new build.
-	Through []Through
-	// Shares are the loads to compare at, as shares of the first way's saturation.
-	Shares []float64
-	// Duration bounds each round of each load in time.
+	// DirectURL is requested at the upstream itself; it must be a loopback
+	// address.
+	DirectURL string
+	// EntryHosts are the entry hosts to compare, such as an old and a new build.
+	EntryHosts []EntryHost
+	// LoadShares are the loads to compare at, as fractions of the saturation
+	// rate of the first entry host.
+	LoadShares []float64
+	// Duration is the length of one round at one load.
 	Duration time.Duration
-	// Rounds is how often each load is measured; loads take turns.
+	// Rounds is how often each load is measured. Rounds of different loads are
+	// interleaved.
 	Rounds int
-	// Workers is the number of connections to each way.
+	// Workers is the number of connections per path.
 	Workers int
-	// Seed makes the arrivals reproducible.
+	// Seed makes the arrival times reproducible.
 	Seed uint64
 }
 
-// Saturation is what an entry host serves to callers that never wait; medians
-// over the rounds.
+// Saturation is the throughput of an entry host under back-to-back requests.
+// The values are medians over the rounds.
 type Saturation struct {
-	// Rate is requests per second.
+	// Rate is in requests per second.
 	Rate float64
-	// PerCore is requests per second of CPU time of the entry host, and
-	// PerCoreLow and PerCoreHigh its range over the rounds.
+	// PerCore is the number of requests per second of CPU time of the entry
+	// host. PerCoreLow and PerCoreHigh are its range over the rounds.
 	PerCore, PerCoreLow, PerCoreHigh float64
-	// Allocations and AllocatedBytes are per request, over the whole process;
-	// -1 where they were not asked for.
+	// Allocations and AllocatedBytes are per request and cover the whole
+	// process; -1 if not measured.
 	Allocations, AllocatedBytes float64
-	// Errors counts requests without a good answer.
+	// Errors counts failed requests over all rounds.
 	Errors int64
 }
 
-// Bounds of a comparison.
+// Limits on a comparison.
 const (
-	maxWorkers     = 1000
-	maxRounds      = 100
-	maxRoundLength = time.Minute
+	maxWorkers       = 1000
+	maxRounds        = 100
+	maxRoundDuration = time.Minute
 )
 
 func (c *CompareConfig) validate() error {
 	if c.Workers <= 0 || c.Workers > maxWorkers || c.Rounds <= 0 || c.Rounds > maxRounds {
 		return errors.Newf("workers and rounds must be positive, at most %d and %d", maxWorkers, maxRounds)
 	}
-	if c.Duration <= 0 || c.Duration > maxRoundLength {
-		return errors.Newf("duration must be positive, at most %s", maxRoundLength)
+	if c.Duration <= 0 || c.Duration > maxRoundDuration {
+		return errors.Newf("duration must be positive, at most %s", maxRoundDuration)
 	}
-	if len(c.Through) == 0 {
-		return errors.New("no way through an entry host")
+	if len(c.EntryHosts) == 0 {
+		return errors.New("no entry host to compare")
 	}
-	if err := checkLoopback(c.Direct); err != nil {
+	if err := checkLoopback(c.DirectURL); err != nil {
 		return err
 	}
-	for _, t := range c.Through {
-		if err := checkLoopback(t.URL); err != nil {
+	for _, host := range c.EntryHosts {
+		if err := checkLoopback(host.URL); err != nil {
 			return err
 		}
-		if t.Admin == "" {
+		if host.AdminAddress == "" {
 			continue
 		}
-		if err := checkLoopback("http://" + t.Admin); err != nil {
+		if err := checkLoopback("http://" + host.AdminAddress); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Compare measures the saturation of each entry host and then sends each load
-// directly and through each of them, interleaved in one run.
-func Compare(ctx context.Context, conf CompareConfig) ([]Saturation, []Level, error) {
+// Compare measures the saturation rate of each entry host. It then sends each
+// load to the upstream directly and through each entry host, interleaved within
+// the same run.
+func Compare(ctx context.Context, conf CompareConfig) ([]Saturation, []LoadLevel, error) {
 	if err := conf.validate(); err != nil {
 		return nil, nil, err
 	}
-	sats, err := saturateAll(ctx, conf)
+	saturations, err := measureSaturation(ctx, conf)
 	if err != nil {
 		return nil, nil, err
 	}
-	levels, err := measureLevels(ctx, conf, sats[0].Rate)
-	return sats, levels, err
+	levels, err := measureLevels(ctx, conf, saturations[0].Rate)
+	return saturations, levels, err
 }
 
-// saturateAll saturates the entry hosts by turns.
-func saturateAll(ctx context.Context, conf CompareConfig) ([]Saturation, error) {
-	rounds := make([][]Saturation, len(conf.Through))
+// measureSaturation measures the saturation of the entry hosts, alternating
+// between them in each round.
+func measureSaturation(ctx context.Context, conf CompareConfig) ([]Saturation, error) {
+	rounds := make([][]Saturation, len(conf.EntryHosts))
 	for range conf.Rounds {
-		for i, t := range conf.Through {
-			sat, err := saturate(ctx, conf, t)
+		for i, host := range conf.EntryHosts {
+			saturation, err := measureSaturationOnce(ctx, conf, host)
 			if err != nil {
 				return nil, err
 			}
-			rounds[i] = append(rounds[i], *sat)
+			rounds[i] = append(rounds[i], *saturation)
 		}
 	}
 	out := make([]Saturation, 0, len(rounds))
-	for _, r := range rounds {
-		out = append(out, summary(r))
+	for _, measured := range rounds {
+		out = append(out, medians(measured))
 	}
 	return out, nil
 }
 
-// summary returns the medians of rounds.
-func summary(rounds []Saturation) Saturation {
+// medians combines rounds into medians and adds up their errors.
+func medians(rounds []Saturation) Saturation {
 	sorted := func(of func(*Saturation) float64) []float64 {
 		values := make([]float64, 0, len(rounds))
 		for i := range rounds {
@@ -148,11 +155,12 @@
 	return out
 }
 
-// saturate sends requests back to back through an entry host.
-func saturate(ctx context.Context, conf CompareConfig, way Through) (*Saturation, error) {
+// measureSaturationOnce sends back-to-back requests through an entry host for
+// one round.
+func measureSaturationOnce(ctx context.Context, conf CompareConfig, host EntryHost) (*Saturation, error) {
 	ctx, cancel := context.WithTimeout(ctx, conf.Duration)
 	defer cancel()
-	before, err := usageOf(way)
+	before, err := readUsage(host)
 	if err != nil {
 		return nil, err
 	}
@@ -160,51 +168,52 @@
 	start := time.Now()
 	var wg sync.WaitGroup
 	for range conf.Workers {
-		wg.Go(func() { askUntil(ctx, way.URL, &served, &failed) })
+		wg.Go(func() { sendBackToBack(ctx, host.URL, &served, &failed) })
 	}
 	wg.Wait()
 	elapsed := time.Since(start)
-	after, err := usageOf(way)
+	after, err := readUsage(host)
 	if err != nil {
 		return nil, err
 	}
 	n := float64(served.Load())
-	sat := &Saturation{
+	saturation := &Saturation{
 		Rate:           n / elapsed.Seconds(),
 		PerCore:        n / (after.cpu - before.cpu).Seconds(),
 		Allocations:    -1,
 		AllocatedBytes: -1,
 		Errors:         failed.Load(),
 	}
-	if way.Admin != "" {
-		sat.Allocations = float64(after.Objects-before.Objects) / n
-		sat.AllocatedBytes = float64(after.Bytes-before.Bytes) / n
+	if host.AdminAddress != "" {
+		saturation.Allocations = float64(after.Objects-before.Objects) / n
+		saturation.AllocatedBytes = float64(after.Bytes-before.Bytes) / n
 	}
-	return sat, nil
+	return saturation, nil
 }
 
-// askUntil asks back to back until ctx ends. A failed connection is replaced.
-func askUntil(ctx context.Context, url string, served, failed *atomic.Int64) {
+// sendBackToBack sends requests on one connection until ctx ends, and replaces
+// the connection after an error.
+func sendBackToBack(ctx context.Context, url string, served, failed *atomic.Int64) {
 	for ctx.Err() == nil {
-		w, err := dialWire(ctx, url)
+		conn, err := dialRaw(ctx, url)
 		if err != nil {
 			if ctx.Err() == nil {
 				failed.Add(1)
-				time.Sleep(redialPause)
+				time.Sleep(redialDelay)
 			}
 			continue
 		}
 		for ctx.Err() == nil && err == nil {
-			if err = w.ask(); err == nil {
+			if err = conn.roundTrip(); err == nil {
 				served.Add(1)
 			}
 		}
 		if err != nil {
 			failed.Add(1)
 		}
-		w.close()
+		conn.close()
 	}
 }
 
-// redialPause is waited after a connection that could not be made.
-const redialPause = 10 * time.Millisecond
+// redialDelay is the wait after a failed connection attempt.
+const redialDelay = 10 * time.Millisecond
--- a/internal/loadgen/level.go
+++ b/internal/loadgen/level.go
@@ -10,66 +10,67 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Level is the comparison at one load.
-type Level struct {
-	// Share is the load as a share of saturation, and Asked the requests per
-	// second of each way that it means.
-	Share, Asked float64
-	// Rounds are the repeated measurements.
+// LoadLevel holds the comparison at one load.
+type LoadLevel struct {
+	// Share is the load as a fraction of the saturation rate. TargetRate is the
+	// same load in requests per second and path.
+	Share, TargetRate float64
+	// Rounds holds the repeated measurements.
 	Rounds []Round
 }
 
-// Round is one measurement of one load. Its ways, the direct one first, were
-// asked by turns.
+// Round is one measurement of one load. Requests alternated between the paths:
+// path 0 is direct, path i+1 leads through entry host i.
 type Round struct {
-	// Ways hold the latency of each way from the send, in microseconds.
-	Ways []*Stats
-	// Achieved is the requests per second of each way.
-	Achieved float64
-	// Delays is how long the threads of each entry host waited for a processor,
-	// in microseconds for each request, of the ways through one.
-	Delays []float64
+	// Paths holds SendLatency and Errors of each path.
+	Paths []*Stats
+	// AchievedRate is the number of requests per second and path.
+	AchievedRate float64
+	// RunDelays is the time that the threads of each entry host spent waiting
+	// for a processor, in microseconds per request.
+	RunDelays []float64
 }
 
-// Added returns how much longer a quantile of a way is than of the direct way,
-// in microseconds.
-func (r *Round) Added(way int, quantile float64) float64 {
-	return float64(r.Ways[way].FromSend.ValueAtQuantile(quantile) - r.Ways[0].FromSend.ValueAtQuantile(quantile))
+// AddedLatency returns the difference between a latency quantile of a path and
+// that of the direct path, in microseconds.
+func (r *Round) AddedLatency(path int, quantile float64) float64 {
+	return float64(r.Paths[path].SendLatency.ValueAtQuantile(quantile) - r.Paths[0].SendLatency.ValueAtQuantile(quantile))
 }
 
-// Added returns Round.Added of each round, sorted. Way 1 is the first through an entry host.
-func (l *Level) Added(way int, quantile float64) []float64 {
+// AddedLatencies returns Round.AddedLatency of each round in ascending order.
+func (l *LoadLevel) AddedLatencies(path int, quantile float64) []float64 {
 	out := make([]float64, 0, len(l.Rounds))
 	for _, r := range l.Rounds {
-		out = append(out, r.Added(way, quantile))
+		out = append(out, r.AddedLatency(path, quantile))
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Pooled returns a quantile of a way over all rounds, in microseconds.
-func (l *Level) Pooled(way int, quantile float64) float64 {
-	all := newLatencies()
+// PooledQuantile returns a latency quantile of a path over all rounds, in
+// microseconds.
+func (l *LoadLevel) PooledQuantile(path int, quantile float64) float64 {
+	all := newLatencyHistogram()
 	for _, r := range l.Rounds {
-		all.Merge(r.Ways[way].FromSend)
+		all.Merge(r.Paths[path].SendLatency)
 	}
 	return float64(all.ValueAtQuantile(quantile))
 }
 
-func newLatencies() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxLatencyMicros, significantDigit)
+func newLatencyHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxLatencyMicros, significantFigures)
 }
 
 // measureLevels measures each load once in each round.
-func measureLevels(ctx context.Context, conf CompareConfig, saturation float64) ([]Level, error) {
-	levels := make([]Level, len(conf.Shares))
-	for i, share := range conf.Shares {
-		levels[i] = Level{Share: share, Asked: share * saturation}
+func measureLevels(ctx context.Context, conf CompareConfig, saturation float64) ([]LoadLevel, error) {
+	levels := make([]LoadLevel, len(conf.LoadShares))
+	for i, share := range conf.LoadShares {
+		levels[i] = LoadLevel{Share: share, TargetRate: share * saturation}
 	}
 	for n := range conf.Rounds {
 		for i := range levels {
 			seed := conf.Seed + uint64(n*len(levels)+i)
-			round, err := measureRound(ctx, conf, levels[i].Asked, seed)
+			round, err := measureRound(ctx, conf, levels[i].TargetRate, seed)
 			if err != nil {
 				return nil, err
 			}
@@ -79,10 +80,10 @@
 	return levels, nil
 }
 
-// measureRound shares the rate among the workers. Each asks all ways in turn,
-// in a random order, and then waits for its next arrival. A worker that is late
-// does not catch up, so that a stall is not followed by a burst; the achieved
-// rate shows it.
+// measureRound divides the rate evenly among the workers. At each arrival, a
+// worker sends one request on every path, in random order. A worker that is late
+// does not catch up, so that no burst follows a stall; the lower achieved rate
+// shows the stall.
 func measureRound(ctx context.Context, conf CompareConfig, rate float64, seed uint64) (*Round, error) {
 	workers := make([]*worker, 0, conf.Workers)
 	defer func() {
@@ -97,7 +98,7 @@
 		}
 		workers = append(workers, w)
 	}
-	before, err := runDelays(conf)
+	before, err := readRunDelays(conf)
 	if err != nil {
 		return nil, err
 	}
@@ -109,22 +110,22 @@
 		wg.Go(func() { w.run(runCtx) })
 	}
 	wg.Wait()
-	round := merge(workers, time.Since(start))
-	after, err := runDelays(conf)
+	round := mergeWorkers(workers, time.Since(start))
+	after, err := readRunDelays(conf)
 	if err != nil {
 		return nil, err
 	}
 	for i := range after {
 		micros := float64((after[i] - before[i]).Microseconds())
-		round.Delays = append(round.Delays, micros/float64(max(round.Ways[i+1].FromSend.TotalCount(), 1)))
+		round.RunDelays = append(round.RunDelays, micros/float64(max(round.Paths[i+1].SendLatency.TotalCount(), 1)))
 	}
 	return round, nil
 }
 
-func runDelays(conf CompareConfig) ([]time.Duration, error) {
-	out := make([]time.Duration, 0, len(conf.Through))
-	for _, t := range conf.Through {
-		d, err := runDelay(t.PID)
+func readRunDelays(conf CompareConfig) ([]time.Duration, error) {
+	out := make([]time.Duration, 0, len(conf.EntryHosts))
+	for _, host := range conf.EntryHosts {
+		d, err := readRunDelay(host.PID)
 		if err != nil {
 			return nil, err
 		}
@@ -133,46 +134,46 @@
 	return out, nil
 }
 
-func merge(workers []*worker, elapsed time.Duration) *Round {
+func mergeWorkers(workers []*worker, elapsed time.Duration) *Round {
 	r := &Round{}
 	for range workers[0].stats {
-		r.Ways = append(r.Ways, &Stats{FromSend: newLatencies()})
+		r.Paths = append(r.Paths, &Stats{SendLatency: newLatencyHistogram()})
 	}
 	for _, w := range workers {
 		for i, s := range w.stats {
-			r.Ways[i].FromSend.Merge(s.FromSend)
-			r.Ways[i].Errors += s.Errors
+			r.Paths[i].SendLatency.Merge(s.SendLatency)
+			r.Paths[i].Errors += s.Errors
 		}
 	}
-	r.Achieved = float64(r.Ways[0].FromSend.TotalCount()) / elapsed.Seconds()
+	r.AchievedRate = float64(r.Paths[0].SendLatency.TotalCount()) / elapsed.Seconds()
 	return r
 }
 
-// worker owns one connection to each way.
+// worker owns one connection per path.
 type worker struct {
 	rate  float64
 	rng   *rand.Rand
 	urls  []string
-	wires []*wire
+	conns []*rawConn
 	stats []*Stats
 }
 
-// newWorker connects to each way and asks once, so that all that follows is on
-// a warm path.
+// newWorker opens a connection per path and sends one unmeasured request on it,
+// so that the measured requests use warm connections.
 func newWorker(ctx context.Context, conf CompareConfig, rate float64, seed, n uint64) (*worker, error) {
-	w := &worker{rate: rate, rng: rand.New(rand.NewPCG(seed, n)), urls: []string{conf.Direct}}
-	for _, t := range conf.Through {
-		w.urls = append(w.urls, t.URL)
+	w := &worker{rate: rate, rng: rand.New(rand.NewPCG(seed, n)), urls: []string{conf.DirectURL}}
+	for _, host := range conf.EntryHosts {
+		w.urls = append(w.urls, host.URL)
 	}
 	for _, url := range w.urls {
-		c, err := dialWire(ctx, url)
+		conn, err := dialRaw(ctx, url)
 		if err != nil {
 			w.close()
 			return nil, err
 		}
-		w.wires = append(w.wires, c)
-		w.stats = append(w.stats, &Stats{FromSend: newLatencies()})
-		if err := c.ask(); err != nil {
+		w.conns = append(w.conns, conn)
+		w.stats = append(w.stats, &Stats{SendLatency: newLatencyHistogram()})
+		if err := conn.roundTrip(); err != nil {
 			w.close()
 			return nil, err
 		}
@@ -181,7 +182,7 @@
 }
 
 func (w *worker) run(ctx context.Context) {
-	order := make([]int, len(w.wires))
+	order := make([]int, len(w.conns))
 	for i := range order {
 		order[i] = i
 	}
@@ -195,29 +196,30 @@
 			next = now
 		}
 		w.rng.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
-		for _, way := range order {
-			w.measure(ctx, way)
+		for _, path := range order {
+			w.measurePath(ctx, path)
 		}
 	}
 }
 
-// measure asks one way once.
-func (w *worker) measure(ctx context.Context, way int) {
-	s := w.stats[way]
+// measurePath sends one request on a path and records its latency. After an
+// error it replaces the connection.
+func (w *worker) measurePath(ctx context.Context, path int) {
+	s := w.stats[path]
 	sent := time.Now()
-	if err := w.wires[way].ask(); err != nil {
+	if err := w.conns[path].roundTrip(); err != nil {
 		s.Errors++
-		w.wires[way].close()
-		if c, err := dialWire(ctx, w.urls[way]); err == nil {
-			w.wires[way] = c
+		w.conns[path].close()
+		if conn, err := dialRaw(ctx, w.urls[path]); err == nil {
+			w.conns[path] = conn
 		}
 		return
 	}
-	_ = s.FromSend.RecordValue(time.Since(sent).Microseconds())
+	_ = s.SendLatency.RecordValue(time.Since(sent).Microseconds())
 }
 
 func (w *worker) close() {
-	for _, c := range w.wires {
-		c.close()
+	for _, conn := range w.conns {
+		conn.close()
 	}
 }
--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -1,5 +1,5 @@
-// Package loadgen sends bounded, open-loop load to loopback addresses and
-// records latency and outcomes.
+// Package loadgen generates bounded load for loopback addresses, most of it
+// open-loop, and records latencies and outcomes.
 package loadgen
 
 import (
@@ -17,69 +17,75 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Target is one kind of request in the mix.
+// Target is one kind of request in the request mix.
 type Target struct {
-	// Name labels the result.
+	// Name labels the results.
 	Name string
 	// Method is the HTTP method.
 	Method string
 	// URL is the absolute URL; its host must be a loopback address.
 	URL string
-	// Weight is the share of the mix.
+	// Weight is the share of requests for this target, relative to the sum of
+	// all weights.
 	Weight int
-	// Action is true when each request carries its own action id.
+	// Action gives each request a unique action ID in the X-Action header.
 	Action bool
 }
 
-// Config bounds a run.
+// Config configures a run and bounds its load.
 type Config struct {
-	// Rate is requests per second over all targets.
+	// Rate is the arrival rate over all targets, in requests per second.
 	Rate float64
-	// Duration bounds the run in time.
+	// Duration is the time after which no more requests are sent.
 	Duration time.Duration
-	// MaxRequests bounds the run in number.
+	// MaxRequests is the number of requests after which no more are sent.
 	MaxRequests int
-	// MaxInFlight bounds concurrency; arrivals beyond it are counted as skipped.
+	// MaxInFlight bounds the concurrent requests. Arrivals above it are not sent
+	// and count as skipped.
 	MaxInFlight int
-	// Seed makes the arrivals reproducible.
+	// Seed makes the arrival times and the choice of targets reproducible.
 	Seed uint64
-	// Targets is the mix.
+	// Targets is the request mix.
 	Targets []Target
-	// Counts says which latencies are kept, by the time since the start at
-	// which the request was due; nil keeps all.
-	Counts func(due time.Duration) bool
+	// RecordLatency decides whether the latency of a request is recorded, by the
+	// scheduled send time relative to the start of the run. If nil, all are
+	// recorded.
+	RecordLatency func(due time.Duration) bool
 }
 
-// Highest latency recorded and its precision.
 const (
-	maxLatencyMicros = 60_000_000
-	significantDigit = 3
-	clientTimeout    = 10 * time.Second
+	// maxLatencyMicros and significantFigures are the range and the precision of
+	// the latency histograms.
+	maxLatencyMicros   = 60_000_000
+	significantFigures = 3
+	// clientTimeout bounds one request, its response included.
+	clientTimeout = 10 * time.Second
 )
 
-// Headers of answers.
+// Response headers.
 const (
 	headerOutcome = "Dapplespindle-Outcome"
 	headerTicket  = "Dapplespindle-Ticket"
 )
 
-// Stats holds what was seen for one target.
+// Stats holds the results of one target or path.
 type Stats struct {
-	// Latency is measured from the time a request was due, in microseconds. It
-	// includes the generator's own delay.
+	// Latency is measured from the scheduled send time, in microseconds. It
+	// includes delays within the load generator.
 	Latency *hdrhistogram.Histogram
-	// FromSend is measured from the time a request was sent, in microseconds.
-	FromSend *hdrhistogram.Histogram
-	// Outcomes counts answers by Dapplespindle-Outcome; "none" without it.
+	// SendLatency is measured from the actual send time, in microseconds.
+	SendLatency *hdrhistogram.Histogram
+	// Outcomes counts responses by their Dapplespindle-Outcome header, or "none"
+	// if it is absent.
 	Outcomes map[string]int
-	// Errors counts requests without an answer.
+	// Errors counts requests without a complete response.
 	Errors int
 }
 
-// Merge adds what o saw to s.
+// Merge adds the results of o to s.
 func (s *Stats) Merge(o *Stats) {
 	s.Latency.Merge(o.Latency)
-	s.FromSend.Merge(o.FromSend)
+	s.SendLatency.Merge(o.SendLatency)
 	for outcome, n := range o.Outcomes {
 		s.Outcomes[outcome] += n
 	}
@@ -88,17 +94,20 @@
 
 // Report is the result of a run.
 type Report struct {
-	// ByTarget holds the statistics of each target, in the order of the mix.
+	// ByTarget holds the statistics of each target, in the order of
+	// Config.Targets.
 	ByTarget []*Stats
-	// Skipped counts arrivals beyond MaxInFlight.
+	// Skipped counts arrivals that were not sent because MaxInFlight requests
+	// were in flight.
 	Skipped int
-	// Sent counts requests sent.
+	// Sent counts the requests that were sent.
 	Sent int
-	// Elapsed is the time of the run.
+	// Elapsed is the time until the last response.
 	Elapsed time.Duration
 }
 
-// Validate reports a configuration that is unbounded or leaves loopback.
+// Validate returns an error if the load is unbounded or a target is not a
+// loopback address.
 func (c *Config) Validate() error {
 	if c.Rate <= 0 || c.Duration <= 0 || c.MaxRequests <= 0 || c.MaxInFlight <= 0 {
 		return errors.New("rate, duration, max-requests and max-in-flight must be positive")
@@ -126,18 +135,18 @@
 	return nil
 }
 
-// generator is one run.
+// generator holds the state of one run.
 type generator struct {
-	conf   Config
-	client *http.Client
-	rng    *rand.Rand
-	total  int
-	start  time.Time
-	mu     sync.Mutex
-	report *Report
+	conf        Config
+	client      *http.Client
+	rng         *rand.Rand
+	totalWeight int
+	start       time.Time
+	mu          sync.Mutex
+	report      *Report
 }
 
-// Run sends the load and returns what was seen.
+// Run generates the configured load and returns its results.
 func Run(ctx context.Context, conf Config) (*Report, error) {
 	if err := conf.Validate(); err != nil {
 		return nil, err
@@ -152,11 +161,11 @@
 		report: &Report{},
 	}
 	for _, t := range conf.Targets {
-		g.total += t.Weight
+		g.totalWeight += t.Weight
 		g.report.ByTarget = append(g.report.ByTarget, &Stats{
-			Latency:  newLatencies(),
-			FromSend: newLatencies(),
-			Outcomes: make(map[string]int),
+			Latency:     newLatencyHistogram(),
+			SendLatency: newLatencyHistogram(),
+			Outcomes:    make(map[string]int),
 		})
 	}
 	g.run(ctx)
@@ -168,26 +177,26 @@
 	defer cancel()
 	g.start = time.Now()
 	next := g.start
-	slots := make(chan struct{}, g.conf.MaxInFlight)
+	inFlight := make(chan struct{}, g.conf.MaxInFlight)
 	var wg sync.WaitGroup
 	for g.report.Sent < g.conf.MaxRequests {
 		next = next.Add(time.Duration(g.rng.ExpFloat64() / g.conf.Rate * float64(time.Second)))
 		if !sleepUntil(ctx, next) {
 			break
 		}
-		target := g.choose()
+		target := g.pickTarget()
 		select {
-		case slots <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
 			g.report.Skipped++
 			continue
 		}
 		g.report.Sent++
 		n := g.report.Sent
-		due := next
+		scheduled := next
 		wg.Go(func() {
-			defer func() { <-slots }()
-			g.send(target, n, due)
+			defer func() { <-inFlight }()
+			g.send(target, n, scheduled)
 		})
 	}
 	wg.Wait()
@@ -209,8 +218,8 @@
 	}
 }
 
-func (g *generator) choose() int {
-	n := g.rng.IntN(g.total)
+func (g *generator) pickTarget() int {
+	n := g.rng.IntN(g.totalWeight)
 	for i, t := range g.conf.Targets {
 		if n -= t.Weight; n < 0 {
 			return i
@@ -219,29 +228,30 @@
 	return len(g.conf.Targets) - 1
 }
 
-// send measures from the time the request was due, so that a stalled system
-// does not hide its own delay.
-func (g *generator) send(target, n int, due time.Time) {
+// send performs one request of a target. Latency is measured from the scheduled
+// time, so that a stall of the system under test is not hidden by requests that
+// are sent late (coordinated omission).
+func (g *generator) send(target, n int, scheduled time.Time) {
 	t := g.conf.Targets[target]
 	action := ""
 	if t.Action {
 		action = fmt.Sprintf("action-%d-%d", g.conf.Seed, n)
 	}
 	sent := time.Now()
-	resp, err := g.ask(t, action, "")
+	resp, err := g.roundTrip(t, action, "")
 	if err == nil && resp.StatusCode == http.StatusPreconditionRequired {
-		resp, err = g.ask(t, action, resp.Header.Get(headerTicket))
+		resp, err = g.roundTrip(t, action, resp.Header.Get(headerTicket))
 	}
 	if err != nil {
-		g.record(target, due, sent, "", err)
+		g.record(target, scheduled, sent, "", err)
 		return
 	}
-	g.record(target, due, sent, resp.Header.Get(headerOutcome), nil)
+	g.record(target, scheduled, sent, resp.Header.Get(headerOutcome), nil)
 }
 
-// ask sends one request and reads its answer. An action carries the ticket that
-// it was offered, if any.
-func (g *generator) ask(t Target, action, ticket string) (*http.Response, error) {
+// roundTrip sends one request and reads the whole response. A non-empty ticket,
+// which the entry host issues for an action, is sent as the Idempotency-Key.
+func (g *generator) roundTrip(t Target, action, ticket string) (*http.Response, error) {
 	req, err := http.NewRequest(t.Method, t.URL, nil)
 	if err != nil {
 		return nil, err
@@ -261,7 +271,7 @@
 	return resp, err
 }
 
-func (g *generator) record(target int, due, sent time.Time, outcome string, err error) {
+func (g *generator) record(target int, scheduled, sent time.Time, outcome string, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.report.ByTarget[target]
@@ -273,10 +283,10 @@
 		outcome = "none"
 	}
 	s.Outcomes[outcome]++
-	if g.conf.Counts != nil && !g.conf.Counts(due.Sub(g.start)) {
+	if g.conf.RecordLatency != nil && !g.conf.RecordLatency(scheduled.Sub(g.start)) {
 		return
 	}
 	now := time.Now()
-	_ = s.Latency.RecordValue(now.Sub(due).Microseconds())
-	_ = s.FromSend.RecordValue(now.Sub(sent).Microseconds())
+	_ = s.Latency.RecordValue(now.Sub(scheduled).Microseconds())
+	_ = s.SendLatency.RecordValue(now.Sub(sent).Microseconds())
 }
--- a/internal/loadgen/process.go
+++ b/internal/loadgen/process.go
@@ -14,24 +14,26 @@
 )
 
 const (
-	// ticksPerSecond is the unit of CPU time in /proc on Linux.
+	// ticksPerSecond is USER_HZ, the unit of CPU time in /proc on Linux.
 	ticksPerSecond = 100
-	// The fields of user and system time in /proc/PID/stat, behind the name.
+	// The indexes of utime and stime in /proc/PID/stat, counted after the
+	// command name.
 	userTimeField   = 11
 	systemTimeField = 12
-	// runDelayField is the time on a run queue in /proc/PID/task/TID/schedstat.
+	// runDelayField is the index of the time spent waiting on a run queue in
+	// /proc/PID/task/TID/schedstat.
 	runDelayField = 1
 )
 
-// cpuTime returns the CPU time that a process has used.
-func cpuTime(pid int) (time.Duration, error) {
+// readCPUTime returns the user and system CPU time of a process.
+func readCPUTime(pid int) (time.Duration, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, errors.Wrap(err, "CPU time of the entry host")
 	}
 	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
 	if len(fields) <= systemTimeField {
-		return 0, errors.New("CPU time of the entry host: short line")
+		return 0, errors.Newf("CPU time of the entry host: %d fields after the command name in /proc/%d/stat", len(fields), pid)
 	}
 	ticks := 0
 	for _, field := range []int{userTimeField, systemTimeField} {
@@ -44,72 +46,74 @@
 	return time.Duration(ticks) * time.Second / ticksPerSecond, nil
 }
 
-// runDelay returns how long the threads of a process have waited for a
-// processor while they could run. Threads that ended are not counted.
-func runDelay(pid int) (time.Duration, error) {
+// readRunDelay returns the total time that the threads of a process were
+// runnable but waited for a processor. Threads that have exited are not counted.
+func readRunDelay(pid int) (time.Duration, error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
-		return 0, errors.Wrap(err, "waits of the entry host")
+		return 0, errors.Wrap(err, "run delay of the entry host")
 	}
 	total := time.Duration(0)
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
 		if err != nil {
-			continue // the thread has ended
+			continue // the thread has exited
 		}
 		fields := strings.Fields(string(raw))
 		if len(fields) <= runDelayField {
-			return 0, errors.New("waits of the entry host: short line")
+			return 0, errors.Newf("run delay of the entry host: %d fields in %s", len(fields), file)
 		}
 		nanos, err := strconv.ParseInt(fields[runDelayField], 10, 64)
 		if err != nil {
-			return 0, errors.Wrap(err, "waits of the entry host")
+			return 0, errors.Wrap(err, "run delay of the entry host")
 		}
 		total += time.Duration(nanos)
 	}
 	return total, nil
 }
 
-// residentBytes returns the resident memory of a process, in bytes.
-func residentBytes(pid int) (int, error) {
+// readResidentBytes returns the resident set size of a process.
+func readResidentBytes(pid int) (int, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
-		return 0, errors.Wrap(err, "memory of the entry host")
+		return 0, errors.Wrap(err, "resident memory of the entry host")
 	}
 	fields := strings.Fields(string(raw))
 	if len(fields) < 2 {
-		return 0, errors.New("memory of the entry host: short line")
+		return 0, errors.Newf("resident memory of the entry host: %d fields in /proc/%d/statm", len(fields), pid)
 	}
 	pages, err := strconv.Atoi(fields[1])
-	return pages * os.Getpagesize(), errors.Wrap(err, "memory of the entry host")
+	return pages * os.Getpagesize(), errors.Wrap(err, "resident memory of the entry host")
 }
 
 const (
 	maxIdleConnections = 20_000
-	idleSettle         = time.Second
+	// idleSettleTime lets the process accept the connections before its memory
+	// is read.
+	idleSettleTime = time.Second
 )
 
-// IdleMemory opens connections to address and sends nothing. It returns the
-// growth of the process's resident memory in bytes for each connection.
+// IdleMemory opens idle connections to address. It returns the growth of the
+// resident memory of process pid in bytes per connection.
 func IdleMemory(address string, pid, connections int) (float64, error) {
 	if connections < 1 || connections > maxIdleConnections {
-		return 0, errors.Newf("connections: outside 1 to %d", maxIdleConnections)
+		return 0, errors.Newf("connections: %d is not between 1 and %d", connections, maxIdleConnections)
 	}
 	if err := checkLoopback("http://" + address); err != nil {
 		return 0, err
 	}
-	before, err := residentBytes(pid)
+	before, err := readResidentBytes(pid)
 	if err != nil {
 		return 0, err
 	}
 	for range connections {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
-			return 0, errors.Wrap(err, "idle connection")
+			return 0, errors.Wrap(err, "open idle connection")
 		}
 		defer func() { _ = conn.Close() }()
 	}
-	time.Sleep(idleSettle)
-	after, err := residentBytes(pid)
+	time.Sleep(idleSettleTime)
+	after, err := readResidentBytes(pid)
 	return float64(after-before) / float64(connections), err
 }
--- a/internal/loadgen/ranking.go
+++ b/internal/loadgen/ranking.go
@@ -14,67 +14,73 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The slow-downs of a ranking are those of the lab: every period one upstream
-// becomes slow, and only requests that are due in the window after it count.
+// Slowdowns during a ranking match the "slowdown" fault of internal/lab: in
+// every period one upstream becomes slow, and only requests scheduled within the
+// window after that are measured.
 const (
-	slowPeriod = time.Second
-	slowTime   = 300 * time.Millisecond
-	slowWindow = 100 * time.Millisecond
-	slowFactor = 10
+	slowdownPeriod   = time.Second
+	slowdownDuration = 300 * time.Millisecond
+	countedWindow    = 100 * time.Millisecond
+	slowdownFactor   = 10
 )
 
-// RankingConfig describes a comparison of services that differ only in their
-// policy, through the same entry hosts and over the same upstreams.
+// RankingConfig configures a comparison of services that differ only in their
+// balancer policy and share the same entry hosts and upstreams.
 type RankingConfig struct {
-	// Entries and Admins are base URLs of the entry hosts, for callers and for
-	// metrics.
-	Entries, Admins []string
-	// Upstreams are base URLs of the stand-in upstreams.
-	Upstreams []string
-	// Services are the names and path prefixes to compare.
+	// EntryURLs and AdminURLs are the base URLs of the entry hosts for requests
+	// and for metrics.
+	EntryURLs, AdminURLs []string
+	// UpstreamURLs are the base URLs of the stand-in upstreams.
+	UpstreamURLs []string
+	// Services are the services to compare. The path prefix of a service is its
+	// name.
 	Services []string
-	// Rounds is how often each service has its turn.
+	// Rounds is how often each service is measured in each condition.
 	Rounds int
-	// WarmUp is the time of a turn before requests count, Duration the rest.
+	// WarmUp is the initial part of a turn, which is not measured. Duration is
+	// the rest.
 	WarmUp, Duration time.Duration
-	// Rate is requests per second.
+	// Rate is the arrival rate in requests per second.
 	Rate float64
-	// MaxInFlight bounds concurrency.
+	// MaxInFlight bounds the concurrent requests.
 	MaxInFlight int
-	// Seed makes arrivals and the choice of slow upstreams reproducible.
+	// Seed makes the arrival times and the choice of slow upstreams reproducible.
 	Seed uint64
 }
 
-// Ranking is what one service did under one condition, over all rounds.
-type Ranking struct {
-	// Service is its name.
+// RankingResult holds the results of one service in one condition, over all
+// rounds.
+type RankingResult struct {
+	// Service is the name of the service.
 	Service string
-	// Slowdowns says whether upstreams slowed down.
+	// Slowdowns reports whether upstreams were slowed down.
 	Slowdowns bool
-	// Latency of the requests that count, from the time they were due, in
+	// Latency of the measured requests, from their scheduled send time, in
 	// microseconds.
 	Latency *hdrhistogram.Histogram
-	// Rounds are the same by round.
+	// Rounds holds Latency separately for each round.
 	Rounds []*hdrhistogram.Histogram
-	// Sent, Bad and Skipped count requests of the whole turns: all sent, those
-	// without a good answer, and arrivals beyond MaxInFlight.
-	Sent, Bad, Skipped int
-	// Attempts and Probes are what the entry hosts sent in the turns.
+	// Sent, Failed and Skipped count requests including the warm-up: those sent,
+	// those that failed or did not run, and those not sent because of
+	// MaxInFlight.
+	Sent, Failed, Skipped int
+	// Attempts and Probes count what the entry hosts sent to upstreams, including
+	// the warm-up.
 	Attempts, Probes int64
 }
 
-// Rank gives each service its turn, round by round, steady and then with
-// slow-downs.
-func Rank(ctx context.Context, conf RankingConfig) ([]Ranking, error) {
-	var out []Ranking
+// Rank measures all services in each round, first with steady upstreams and
+// then with slowdowns.
+func Rank(ctx context.Context, conf RankingConfig) ([]RankingResult, error) {
+	var out []RankingResult
 	for _, slow := range []bool{false, true} {
 		for _, s := range conf.Services {
-			out = append(out, Ranking{Service: s, Slowdowns: slow, Latency: newHistogram()})
+			out = append(out, RankingResult{Service: s, Slowdowns: slow, Latency: newLatencyHistogram()})
 		}
 	}
 	for round := range conf.Rounds {
 		for i := range out {
-			if err := conf.turn(ctx, &out[i], conf.Seed+uint64(round)); err != nil {
+			if err := conf.runTurn(ctx, &out[i], conf.Seed+uint64(round)); err != nil {
 				return nil, err
 			}
 		}
@@ -82,51 +88,47 @@
 	return out, nil
 }
 
-func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxLatencyMicros, significantDigit)
-}
-
-// turn runs one service for one round. All services of a round get the same
-// arrivals and slow-downs.
-func (c RankingConfig) turn(ctx context.Context, r *Ranking, seed uint64) error {
+// runTurn measures one service for one round. All services of a round get the
+// same arrivals and slowdowns.
+func (c RankingConfig) runTurn(ctx context.Context, r *RankingResult, seed uint64) error {
 	run := Config{
 		Rate: c.Rate, Duration: c.WarmUp + c.Duration, MaxRequests: int(2*c.Rate*(c.WarmUp+c.Duration).Seconds()) + 1,
 		MaxInFlight: c.MaxInFlight, Seed: seed,
-		Counts: func(due time.Duration) bool {
-			since := due - c.WarmUp
-			return since >= 0 && (!r.Slowdowns || since%slowPeriod < slowWindow)
+		RecordLatency: func(scheduled time.Duration) bool {
+			since := scheduled - c.WarmUp
+			return since >= 0 && (!r.Slowdowns || since%slowdownPeriod < countedWindow)
 		},
 	}
-	for _, e := range c.Entries {
+	for _, e := range c.EntryURLs {
 		run.Targets = append(run.Targets, Target{Name: r.Service, Method: http.MethodGet, URL: e + "/" + r.Service + "/x", Weight: 1})
 	}
-	attempts, probes, err := c.sends(ctx)
+	attempts, probes, err := c.readSendCounters(ctx)
 	if err != nil {
 		return err
 	}
 	stop := func() error { return nil }
 	if r.Slowdowns {
-		stop = c.slowDown(ctx, seed)
+		stop = c.startSlowdowns(ctx, seed)
 	}
 	report, err := Run(ctx, run)
 	if err = errors.CombineErrors(err, stop()); err != nil {
 		return err
 	}
-	attemptsAfter, probesAfter, err := c.sends(ctx)
+	attemptsAfter, probesAfter, err := c.readSendCounters(ctx)
 	r.Attempts += attemptsAfter - attempts
 	r.Probes += probesAfter - probes
-	r.add(report)
+	r.addReport(report)
 	return err
 }
 
-func (r *Ranking) add(report *Report) {
-	h := newHistogram()
+func (r *RankingResult) addReport(report *Report) {
+	h := newLatencyHistogram()
 	for _, s := range report.ByTarget {
 		h.Merge(s.Latency)
-		r.Bad += s.Errors
+		r.Failed += s.Errors
 		for outcome, n := range s.Outcomes {
 			if outcome != "ran" {
-				r.Bad += n
+				r.Failed += n
 			}
 		}
 	}
@@ -136,33 +138,34 @@
 	r.Skipped += report.Skipped
 }
 
-// slowDown slows one upstream at the start of each period that counts. The
-// returned function ends that and leaves every upstream fast.
-func (c RankingConfig) slowDown(ctx context.Context, seed uint64) (stop func() error) {
+// startSlowdowns slows down one upstream at the start of each period after the
+// warm-up. The returned function stops this and restores the speed of all
+// upstreams.
+func (c RankingConfig) startSlowdowns(ctx context.Context, seed uint64) (stop func() error) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan error, 1)
-	go func() { done <- c.slowDowns(ctx, rand.New(rand.NewPCG(seed, seed))) }()
+	go func() { done <- c.runSlowdowns(ctx, rand.New(rand.NewPCG(seed, seed))) }()
 	return func() error {
 		cancel()
 		return <-done
 	}
 }
 
-func (c RankingConfig) slowDowns(ctx context.Context, random *rand.Rand) error {
+func (c RankingConfig) runSlowdowns(ctx context.Context, random *rand.Rand) error {
 	next := time.Now().Add(c.WarmUp)
 	for sleepUntil(ctx, next) {
-		u := c.Upstreams[random.IntN(len(c.Upstreams))]
-		err := setSlow(u, slowFactor)
-		sleepUntil(ctx, next.Add(slowTime))
-		if err = errors.CombineErrors(err, setSlow(u, 1)); err != nil {
+		u := c.UpstreamURLs[random.IntN(len(c.UpstreamURLs))]
+		err := setSlowdown(u, slowdownFactor)
+		sleepUntil(ctx, next.Add(slowdownDuration))
+		if err = errors.CombineErrors(err, setSlowdown(u, 1)); err != nil {
 			return err
 		}
-		next = next.Add(slowPeriod)
+		next = next.Add(slowdownPeriod)
 	}
 	return nil
 }
 
-func setSlow(upstream string, factor int) error {
+func setSlowdown(upstream string, factor int) error {
 	if err := checkLoopback(upstream); err != nil {
 		return err
 	}
@@ -173,9 +176,10 @@
 	return resp.Body.Close()
 }
 
-// sends reads how many requests and probes the entry hosts have sent.
-func (c RankingConfig) sends(ctx context.Context) (attempts, probes int64, err error) {
-	for _, admin := range c.Admins {
+// readSendCounters returns the number of attempts and probes that all entry
+// hosts have sent since their start.
+func (c RankingConfig) readSendCounters(ctx context.Context) (attempts, probes int64, err error) {
+	for _, admin := range c.AdminURLs {
 		u, err := url.JoinPath(admin, "metrics")
 		if err != nil {
 			return 0, 0, err
@@ -184,8 +188,8 @@
 		if err != nil {
 			return 0, 0, err
 		}
-		attempts += counter(values, "attempts.sent")
-		probes += counter(values, "events.count.probe-sent")
+		attempts += counterValue(values, "attempts.sent")
+		probes += counterValue(values, "events.count.probe-sent")
 	}
 	return attempts, probes, nil
 }
@@ -211,8 +215,8 @@
 	return values, errors.Wrap(json.Unmarshal(body, &values), u)
 }
 
-// counter returns a counter, or 0 if it is absent.
-func counter(values map[string]json.RawMessage, name string) int64 {
+// counterValue returns the value of a counter, or 0 if it is absent.
+func counterValue(values map[string]json.RawMessage, name string) int64 {
 	var n int64
 	if json.Unmarshal(values[name], &n) != nil {
 		return 0
--- a/internal/loadgen/ranking_test.go
+++ b/internal/loadgen/ranking_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// TestRankCountsTheWindowsOnly ranks two services on a fake that plays entry
-// host, metrics and upstream.
-func TestRankCountsTheWindowsOnly(t *testing.T) {
+// One fake server acts as entry host, metrics endpoint and upstream for two
+// services.
+func TestRankCountsOnlySlowdownWindows(t *testing.T) {
 	is := is.New(t)
 	var slowed, fast, sends atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -30,33 +30,33 @@
 	}))
 	defer server.Close()
 	rows, err := Rank(t.Context(), RankingConfig{
-		Entries: []string{server.URL}, Admins: []string{server.URL}, Upstreams: []string{server.URL},
+		EntryURLs: []string{server.URL}, AdminURLs: []string{server.URL}, UpstreamURLs: []string{server.URL},
 		Services: []string{"a", "b"}, Rounds: 1,
 		WarmUp: 20 * time.Millisecond, Duration: 300 * time.Millisecond, Rate: 200, MaxInFlight: 50, Seed: 1,
 	})
 	is.NoErr(err)
-	is.Equal(len(rows), 4) // two services, steady and slow
+	is.Equal(len(rows), 4) // two services in two conditions
 	total := 0
 	for _, r := range rows {
 		total += r.Sent
-		is.Equal(r.Bad, 0)
+		is.Equal(r.Failed, 0)
 		is.True(int(r.Latency.TotalCount()) <= r.Sent-r.Skipped)
-		is.Equal(r.Attempts, int64(0)) // the fake's counter stands still
+		is.Equal(r.Attempts, int64(0)) // the fake reports a constant counter
 	}
 	is.Equal(int64(total), sends.Load())
-	is.Equal(slowed.Load(), fast.Load()) // every slow upstream was made fast again
+	is.Equal(slowed.Load(), fast.Load()) // every slowdown was reverted
 	is.True(slowed.Load() >= 2)
 	is.True(rows[2].Latency.TotalCount() < rows[0].Latency.TotalCount())
 }
 
-func TestCountsLeavesLatenciesOut(t *testing.T) {
+func TestRecordLatencyFiltersLatencies(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
 	report, err := Run(t.Context(), Config{
 		Rate: 1000, Duration: 5 * time.Second, MaxRequests: 50, MaxInFlight: 50, Seed: 1,
-		Targets: []Target{{Name: "a", Method: http.MethodGet, URL: server.URL, Weight: 1}},
-		Counts:  func(time.Duration) bool { return false },
+		Targets:       []Target{{Name: "a", Method: http.MethodGet, URL: server.URL, Weight: 1}},
+		RecordLatency: func(time.Duration) bool { return false },
 	})
 	is.NoErr(err)
 	is.Equal(report.ByTarget[0].Latency.TotalCount(), int64(0))
--- a/internal/loadgen/usage.go
+++ b/internal/loadgen/usage.go
@@ -8,21 +8,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// usage is what a process has used since its start.
-type usage struct {
+// processUsage is the resource usage of a process since its start.
+type processUsage struct {
 	cpu     time.Duration
 	Objects int64 `json:"process.allocated.objects"`
 	Bytes   int64 `json:"process.allocated.bytes"`
 }
 
-// usageTimeout bounds reading the metrics.
-const usageTimeout = 2 * time.Second
+// metricsTimeout bounds the request for metrics.
+const metricsTimeout = 2 * time.Second
 
-func usageOf(way Through) (usage, error) {
-	var u usage
-	if way.Admin != "" {
-		client := &http.Client{Timeout: usageTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-		resp, err := client.Get("http://" + way.Admin + "/metrics?format=json")
+func readUsage(host EntryHost) (processUsage, error) {
+	var u processUsage
+	if host.AdminAddress != "" {
+		client := &http.Client{Timeout: metricsTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+		resp, err := client.Get("http://" + host.AdminAddress + "/metrics?format=json")
 		if err != nil {
 			return u, errors.Wrap(err, "metrics of the entry host")
 		}
@@ -31,7 +31,7 @@
 			return u, errors.Wrap(err, "metrics of the entry host")
 		}
 	}
-	cpu, err := cpuTime(way.PID)
+	cpu, err := readCPUTime(host.PID)
 	u.cpu = cpu
 	return u, err
 }
