--- a/cmd/spindle-load/main.go
+++ b/cmd/spindle-load/main.go
@@ -39,7 +39,7 @@
 			if err != nil {
 				return err
 			}
-			return print(conf, report)
+			return printReport(conf, report)
 		},
 	}
 	f := cmd.Flags()
@@ -58,7 +58,7 @@
 		targets = append(targets, loadgen.Target{
 			Name: d.Name + " lookup", Method: "GET", URL: base + "/" + d.Name + "/lookup", Weight: d.Endpoints,
 		})
-		if d.Actions {
+		if d.HasActions {
 			targets = append(targets, loadgen.Target{
 				Name: d.Name + " action", Method: "POST", URL: base + "/" + d.Name + "/action", Weight: 2, Action: true,
 			})
@@ -68,8 +68,8 @@
 }
 
 // print shows one line per kind of request, over all entry hosts.
-func print(conf loadgen.Config, r *loadgen.Report) error {
-	names, byName := merge(conf, r)
+func printReport(conf loadgen.Config, r *loadgen.Report) error {
+	names, byName := mergeByName(conf, r)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "request\tran\tnot-run\tunknown\terrors\tp50 ms\tp99 ms\tp99.9 ms\t")
 	for _, name := range names {
@@ -86,7 +86,7 @@
 }
 
 // merge joins the statistics of targets with one name, in the order of the mix.
-func merge(conf loadgen.Config, r *loadgen.Report) ([]string, map[string]*loadgen.Stats) {
+func mergeByName(conf loadgen.Config, r *loadgen.Report) ([]string, map[string]*loadgen.Stats) {
 	var names []string
 	byName := make(map[string]*loadgen.Stats)
 	for i, s := range r.ByTarget {
--- a/cmd/spindle-standin/main.go
+++ b/cmd/spindle-standin/main.go
@@ -38,14 +38,14 @@
 
 func upstreamCommand() *cobra.Command {
 	var (
-		host            string
-		port            int
-		count           int
-		slots           int
-		mean            time.Duration
-		name            string
-		endsUnder       string
-		server, request float64
+		host                      string
+		port                      int
+		count                     int
+		slots                     int
+		mean                      time.Duration
+		name                      string
+		crashPath                 string
+		serverSigma, requestSigma float64
 	)
 	cmd := &cobra.Command{
 		Use:   "upstream",
@@ -54,8 +54,8 @@
 			errs := make(chan error, count)
 			for i := range count {
 				u := standin.NewUpstream(fmt.Sprintf("%s-%d", name, i+1), slots, mean)
-				u.ServerSigma, u.RequestSigma = server, request
-				u.EndsUnder, u.End = endsUnder, func() { os.Exit(1) }
+				u.ServerSigma, u.RequestSigma = serverSigma, requestSigma
+				u.CrashPath, u.Crash = crashPath, func() { os.Exit(1) }
 				addr := net.JoinHostPort(host, strconv.Itoa(port+i))
 				go func() { errs <- http.ListenAndServe(addr, u.Handler()) }()
 			}
@@ -68,9 +68,9 @@
 	f.IntVar(&count, "count", 1, "number of upstreams")
 	f.IntVar(&slots, "slots", 3, "requests served at the same time")
 	f.DurationVar(&mean, "mean", 5*time.Millisecond, "mean service time")
-	f.Float64Var(&server, "server-sigma", 0.6, "shape of the part of service times that is drawn for each send")
-	f.Float64Var(&request, "request-sigma", 0, "shape of the part of service times that belongs to the request")
+	f.Float64Var(&serverSigma, "server-sigma", 0.6, "shape of the part of service times that is drawn for each send")
+	f.Float64Var(&requestSigma, "request-sigma", 0, "shape of the part of service times that belongs to the request")
 	f.StringVar(&name, "name", "upstream", "prefix of the ids")
-	f.StringVar(&endsUnder, "ends-under", "", "path of requests under which the process ends")
+	f.StringVar(&crashPath, "ends-under", "", "path of requests under which the process ends")
 	return cmd
 }
--- a/cmd/spindle-standin/publish.go
+++ b/cmd/spindle-standin/publish.go
@@ -62,7 +62,7 @@
 			errs := make(chan error, 1)
 			for _, d := range standin.Deployments {
 				for _, cu := range d.Document().Groups[0].Upstreams {
-					u := standin.NewUpstream(cu.ID, cu.Slots, d.Mean)
+					u := standin.NewUpstream(cu.ID, cu.Slots, d.MeanServiceTime)
 					go func() { errs <- http.ListenAndServe(cu.Address, u.Handler()) }()
 				}
 			}
--- a/internal/standin/content.go
+++ b/internal/standin/content.go
@@ -8,35 +8,37 @@
 	"strconv"
 )
 
-// Headers of a large answer.
+// Headers for responses with generated content.
 const (
-	// HeaderAnswerBytes asks for an answer of that many bytes.
+	// HeaderAnswerBytes is a request header that sets the size of the response
+	// body.
 	HeaderAnswerBytes = "X-Answer-Bytes"
-	// HeaderBodySum carries the SHA-256 of the request's body back.
+	// HeaderBodySum is a response header with the SHA-256 of the request body.
 	HeaderBodySum = "X-Body-Sum"
 )
 
-// maxAnswerBytes bounds an answer that a request may ask for.
-const maxAnswerBytes = 16 << 20
+// maxContentBytes bounds HeaderAnswerBytes.
+const maxContentBytes = 16 << 20
 
-// Content returns n bytes that depend on a request id, so that whoever knows
-// the id can tell a foreign, short or mixed answer.
+// Content returns n pseudo-random bytes determined by a request ID. A client can
+// thus detect a response that is truncated, mixed up or meant for another
+// request.
 func Content(id string, n int) []byte {
 	out := make([]byte, n)
 	_, _ = rand.NewChaCha8(sha256.Sum256([]byte(id))).Read(out)
 	return out
 }
 
-// BodySum returns the value of HeaderBodySum for a request's body.
+// BodySum returns the value of HeaderBodySum for a request body.
 func BodySum(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
 }
 
-// answerBytes answers with the content that the request's id stands for.
-func answerBytes(w http.ResponseWriter, r *http.Request, body []byte) {
+// writeContent responds with the content determined by the X-Request-Id header.
+func writeContent(w http.ResponseWriter, r *http.Request, body []byte) {
 	n, err := strconv.Atoi(r.Header.Get(HeaderAnswerBytes))
-	if err != nil || n < 0 || n > maxAnswerBytes {
+	if err != nil || n < 0 || n > maxContentBytes {
 		http.Error(w, HeaderAnswerBytes+": not a size", http.StatusBadRequest)
 		return
 	}
--- a/internal/standin/deployments.go
+++ b/internal/standin/deployments.go
@@ -7,24 +7,24 @@
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 )
 
-// Deployment is the shape of one service of the first two users.
+// Deployment describes one service of the two reference deployments.
 type Deployment struct {
-	// Name is the service.
+	// Name is the service name, which is also its path prefix.
 	Name string
 	// Endpoints is the number of upstreams.
 	Endpoints int
-	// MaxConnections bounds connections to one upstream over all entry hosts.
+	// MaxConnections bounds the connections of all entry hosts to one upstream.
 	MaxConnections int
-	// Domains are the failure domains it is spread over.
+	// Domains are the failure domains over which the upstreams are spread.
 	Domains []string
-	// Mean is the mean service time of the stand-in.
-	Mean time.Duration
+	// MeanServiceTime is the mean service time of the stand-in upstreams.
+	MeanServiceTime time.Duration
 	// FirstPort is the port of the first stand-in upstream.
 	FirstPort int
-	// Actions is true when POST is a non-repeatable action.
-	Actions bool
-	// Priority is that of the lookups.
-	Priority config.Priority
+	// HasActions adds a rule under which POST requests are non-repeatable actions.
+	HasActions bool
+	// LookupPriority is the priority of GET and HEAD requests.
+	LookupPriority config.Priority
 }
 
 var (
@@ -32,7 +32,8 @@
 	scooterDomains = []string{"hanoi", "hai-phong", "bac-ninh"}
 )
 
-// Deployments are the services of the brief at today's sizes.
+// Deployments are the services of the two reference deployments at their current
+// sizes.
 var Deployments = []Deployment{
 	{"catalogue", 10, 250, auctionDomains, 4 * time.Millisecond, 9101, false, config.PriorityHigh},
 	{"ledger", 8, 250, auctionDomains, 5 * time.Millisecond, 9201, true, config.PriorityHigh},
@@ -43,20 +44,21 @@
 }
 
 const (
-	standinSlots = 3
-	// probePercent is the measuring budget, as a share of slot time.
-	probePercent = 1
+	slotsPerUpstream = 3
+	// probeBudgetPercent is the probe budget in percent of slot time.
+	probeBudgetPercent = 1
 )
 
-// Document returns the service document of d with upstreams on loopback.
+// Document returns the service document of d, with upstreams on loopback
+// addresses.
 func (d Deployment) Document() *config.Service {
-	group := config.Group{Name: "main", Probe: config.ProbeBudget{SlotTimePercent: probePercent}}
+	group := config.Group{Name: "main", Probe: config.ProbeBudget{SlotTimePercent: probeBudgetPercent}}
 	for i := range d.Endpoints {
 		group.Upstreams = append(group.Upstreams, config.Upstream{
 			ID:             fmt.Sprintf("%s-%d", d.Name, i+1),
 			Address:        fmt.Sprintf("127.0.0.1:%d", d.FirstPort+i),
 			FailureDomain:  d.Domains[i%len(d.Domains)],
-			Slots:          standinSlots,
+			Slots:          slotsPerUpstream,
 			MaxConnections: d.MaxConnections,
 		})
 	}
@@ -65,7 +67,7 @@
 		Match:  config.Match{PathPrefix: "/" + d.Name + "/"},
 		Groups: []config.Group{group},
 	}
-	if d.Actions {
+	if d.HasActions {
 		s.Rules = append(s.Rules, config.Rule{
 			Name: "actions", Methods: []string{"POST"}, Group: "main",
 			Repeat: config.NonRepeatable, Deadline: config.Duration(2 * time.Second), Priority: config.PriorityHigh,
@@ -73,7 +75,7 @@
 	}
 	s.Rules = append(s.Rules, config.Rule{
 		Name: "lookups", Methods: []string{"GET", "HEAD"}, Group: "main",
-		Repeat: config.Repeatable, Deadline: config.Duration(500 * time.Millisecond), Priority: d.Priority,
+		Repeat: config.Repeatable, Deadline: config.Duration(500 * time.Millisecond), Priority: d.LookupPriority,
 	})
 	s.SetDefaults()
 	return s
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what surrounds the system: the
-// platform's configuration service and host list, and upstreams. They serve
-// demos and tests only.
+// Package standin implements minimal substitutes for the external systems: the
+// platform's configuration service and host list, and upstreams. They are meant
+// for demos and tests only.
 package standin
 
 import (
@@ -18,16 +18,17 @@
 
 const (
 	maxWatchWait = 60 * time.Second
-	// lagPoll is how often a waiting watch looks again while the platform lags.
-	lagPoll = 10 * time.Millisecond
+	// lagPollInterval is how often a pending watch checks for changes that become
+	// visible while Faults.Lag is set. Nothing else wakes it for them.
+	lagPollInterval = 10 * time.Millisecond
 )
 
-// Platform is an in-memory configuration service and host list. Documents are
-// published with PUT and DELETE below /v1/config/; the system never does so.
-// Faults make it misbehave.
+// Platform is an in-memory configuration service and host list with fault
+// injection. Operators and tests publish documents with PUT and DELETE below
+// /v1/config/; entry hosts only read.
 type Platform struct {
-	store  store
-	faults faults
+	store  configStore
+	faults faultState
 	reads  atomic.Int64
 }
 
@@ -38,11 +39,11 @@
 	return p
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the HTTP handler.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/config", p.counted(p.watch))
-	mux.HandleFunc("GET /v1/hosts", p.counted(p.getHosts))
+	mux.HandleFunc("GET /v1/config", p.countReads(p.watch))
+	mux.HandleFunc("GET /v1/hosts", p.countReads(p.getHosts))
 	mux.HandleFunc("PUT /v1/config/{key...}", p.put)
 	mux.HandleFunc("DELETE /v1/config/{key...}", p.delete)
 	mux.HandleFunc("PUT /v1/hosts", p.putHosts)
@@ -51,10 +52,11 @@
 	return mux
 }
 
-// Reads returns the number of reads and watches, those refused included.
+// Reads returns the number of reads and watches, including rejected ones.
 func (p *Platform) Reads() int64 { return p.reads.Load() }
 
-// Publish stores value under key and returns its revision. A nil value deletes.
+// Publish stores value under key and returns the new revision. A nil value
+// deletes the key.
 func (p *Platform) Publish(key string, value []byte) uint64 {
 	return p.store.publish(key, value, time.Now())
 }
@@ -62,18 +64,18 @@
 // SetHosts replaces the host list.
 func (p *Platform) SetHosts(hosts []platform.Host) { p.store.setHosts(hosts) }
 
-// SetFaults replaces the faults. Watches that wait see them at once.
+// SetFaults replaces the faults. They apply to pending watches immediately.
 func (p *Platform) SetFaults(f Faults) {
 	p.faults.set(f)
-	p.store.wake()
+	p.store.wakeWatches()
 }
 
-// counted counts a read and refuses it while the platform is down or over its
-// rate.
-func (p *Platform) counted(next http.HandlerFunc) http.HandlerFunc {
+// countReads wraps a read handler. It counts each read and rejects it while the
+// platform is down or over its rate limit.
+func (p *Platform) countReads(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.reads.Add(1)
-		if code := p.faults.refuse(time.Now()); code != 0 {
+		if code := p.faults.rejectStatus(time.Now()); code != 0 {
 			http.Error(w, "refused", code)
 			return
 		}
@@ -99,14 +101,14 @@
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		}
-		answer, changed := p.store.since(after, f, time.Now())
+		answer, changed := p.store.changesSince(after, f, time.Now())
 		left := time.Until(deadline)
 		if len(answer.Changes) > 0 || left <= 0 {
 			writeJSON(w, answer)
 			return
 		}
 		if f.Lag > 0 {
-			left = min(left, lagPoll)
+			left = min(left, lagPollInterval)
 		}
 		select {
 		case <-changed:
--- a/internal/standin/platform_faults.go
+++ b/internal/standin/platform_faults.go
@@ -8,52 +8,55 @@
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 )
 
-// Faults are the ways in which the stand-in platform misbehaves.
+// Faults are the injected faults of a Platform.
 type Faults struct {
-	// Down refuses every read with 503.
+	// Down rejects every read with status 503.
 	Down bool `json:"down,omitempty"`
-	// Stale shows nothing published after revision StaleAt.
+	// Stale hides everything published after revision StaleAt.
 	Stale bool `json:"stale,omitempty"`
-	// StaleAt is the revision that a stale platform shows; 0 shows it empty.
+	// StaleAt is the last visible revision while Stale is set; 0 hides all
+	// documents.
 	StaleAt uint64 `json:"stale_at,omitempty"`
-	// Lag is how long a document stays hidden after it was published.
+	// Lag is the delay until a published document becomes visible.
 	Lag config.Duration `json:"lag,omitempty"`
-	// MaxReadsPerSecond refuses reads beyond it with 429; 0 sets no bound.
+	// MaxReadsPerSecond is the number of reads per second above which reads are
+	// rejected with status 429; 0 means no limit.
 	MaxReadsPerSecond int `json:"max_reads_per_second,omitempty"`
 }
 
-// faults holds the present faults and counts reads within a second.
-type faults struct {
-	mu     sync.Mutex
-	now    Faults
-	second time.Time
-	reads  int
+// faultState holds the current faults and counts the reads of the current second.
+type faultState struct {
+	mu              sync.Mutex
+	current         Faults
+	currentSecond   time.Time
+	readsThisSecond int
 }
 
-func (f *faults) set(to Faults) {
+func (f *faultState) set(to Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.now = to
+	f.current = to
 }
 
-func (f *faults) get() Faults {
+func (f *faultState) get() Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now
+	return f.current
 }
 
-// refuse returns the status with which a read is refused, or 0.
-func (f *faults) refuse(now time.Time) int {
+// rejectStatus counts a read and returns the HTTP status to reject it with, or 0
+// to accept it.
+func (f *faultState) rejectStatus(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.now.Down {
+	if f.current.Down {
 		return http.StatusServiceUnavailable
 	}
-	if s := now.Truncate(time.Second); s != f.second {
-		f.second, f.reads = s, 0
+	if s := now.Truncate(time.Second); s != f.currentSecond {
+		f.currentSecond, f.readsThisSecond = s, 0
 	}
-	f.reads++
-	if f.now.MaxReadsPerSecond > 0 && f.reads > f.now.MaxReadsPerSecond {
+	f.readsThisSecond++
+	if f.current.MaxReadsPerSecond > 0 && f.readsThisSecond > f.current.MaxReadsPerSecond {
 		return http.StatusTooManyRequests
 	}
 	return 0
--- a/internal/standin/platform_store.go
+++ b/internal/standin/platform_store.go
@@ -9,8 +9,9 @@
 	"github.com/dapplespindle/dapplespindle/internal/platform"
 )
 
-// store keeps the whole history, so that an old part of it can be served.
-type store struct {
+// configStore keeps the whole publication history, so that an older revision can
+// be served.
+type configStore struct {
 	mu      sync.Mutex
 	history []published
 	hosts   platform.HostList
@@ -22,36 +23,36 @@
 	at time.Time
 }
 
-func (s *store) publish(key string, value []byte, at time.Time) uint64 {
+func (s *configStore) publish(key string, value []byte, at time.Time) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	revision := uint64(len(s.history) + 1)
 	c := platform.Change{Key: key, Revision: revision, Deleted: value == nil, Value: value}
 	s.history = append(s.history, published{c, at})
-	s.wakeLocked()
+	s.wakeWatchesLocked()
 	return revision
 }
 
-func (s *store) wake() {
+func (s *configStore) wakeWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wakeLocked()
+	s.wakeWatchesLocked()
 }
 
-func (s *store) wakeLocked() {
+func (s *configStore) wakeWatchesLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// since returns the newest shown versions of the keys changed after a
-// revision, and a channel that is closed at the next change.
-func (s *store) since(after uint64, f Faults, now time.Time) (platform.Changes, chan struct{}) {
+// changesSince returns the newest visible version of each key that changed after
+// a revision, and a channel that is closed at the next change.
+func (s *configStore) changesSince(after uint64, f Faults, now time.Time) (platform.Changes, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	shown := s.shown(f, now)
-	out := platform.Changes{Revision: uint64(len(shown))}
+	visible := s.visibleHistory(f, now)
+	out := platform.Changes{Revision: uint64(len(visible))}
 	newest := make(map[string]platform.Change)
-	for _, p := range shown[min(after, uint64(len(shown))):] {
+	for _, p := range visible[min(after, uint64(len(visible))):] {
 		newest[p.Key] = p.Change
 	}
 	for _, c := range newest {
@@ -61,8 +62,9 @@
 	return out, s.changed
 }
 
-// shown is the part of the history that a lagging or stale platform admits to.
-func (s *store) shown(f Faults, now time.Time) []published {
+// visibleHistory returns the part of the history that is visible under the faults
+// f.
+func (s *configStore) visibleHistory(f Faults, now time.Time) []published {
 	end := len(s.history)
 	if f.Stale {
 		end = min(end, int(min(f.StaleAt, uint64(end))))
@@ -73,13 +75,13 @@
 	return s.history[:end]
 }
 
-func (s *store) setHosts(hosts []platform.Host) {
+func (s *configStore) setHosts(hosts []platform.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts = platform.HostList{Revision: s.hosts.Revision + 1, Hosts: hosts}
 }
 
-func (s *store) hostList() platform.HostList {
+func (s *configStore) hostList() platform.HostList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hosts
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -29,7 +29,7 @@
 	got, err := client.Watch(ctx, 0, time.Second)
 	is.NoErr(err)
 	is.Equal(got.Revision, uint64(3))
-	is.Equal(len(got.Changes), 2) // the newest of each key, deletions included
+	is.Equal(len(got.Changes), 2) // the newest change of each key, including deletions
 	is.True(got.Changes[1].Deleted)
 
 	put(t, server.URL, `{"stale":true,"stale_at":1}`)
@@ -50,11 +50,11 @@
 	put(t, server.URL, `{"max_reads_per_second":1}`)
 	for range 20 {
 		if status(client) == http.StatusTooManyRequests {
-			is.True(p.Reads() > reads) // a refused read counts
+			is.True(p.Reads() > reads) // rejected reads are counted
 			return
 		}
 	}
-	t.Fatal("no read was refused")
+	t.Fatal("no read was rejected above max_reads_per_second")
 }
 
 func put(t *testing.T, base, faults string) {
@@ -69,7 +69,7 @@
 	_ = resp.Body.Close()
 }
 
-// status returns the status of a refused read, or 0.
+// status returns the HTTP status of a rejected read, or 0.
 func status(c *platform.Client) int {
 	_, err := c.Watch(context.Background(), 0, 0)
 	var refused *httpget.StatusError
--- a/internal/standin/upstream_test.go
+++ b/internal/standin/upstream_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func TestServiceTimeBelongsToTheRequest(t *testing.T) {
+func TestServiceTimeDependsOnRequestID(t *testing.T) {
 	is := is.New(t)
 	a := NewUpstream("a", 1, time.Second)
 	b := NewUpstream("b", 1, time.Second)
@@ -22,8 +22,9 @@
 	is.True(a.serviceTime("r-1") != a.serviceTime("r-2"))
 }
 
-// TestOnlyWorkWithoutRecordStops cancels a lookup and an action.
-func TestOnlyWorkWithoutRecordStops(t *testing.T) {
+// A request without an action stops when its client goes away; an action still
+// runs to completion and is recorded.
+func TestOnlyLookupsAreCancelled(t *testing.T) {
 	for _, action := range []string{"", "sale-1"} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
