--- a/cmd/spindle-lab/ablate.go
+++ b/cmd/spindle-lab/ablate.go
@@ -11,7 +11,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/spindle"
 )
 
-// ablations turn off one mechanism of the spindle policy each.
+// ablations each disable one mechanism of the spindle policy.
 var ablations = []struct {
 	name string
 	off  func(*spindle.Constants)
@@ -28,22 +28,22 @@
 }
 
 func ablateCommand() *cobra.Command {
-	var s selection
+	var opts runOptions
 	cmd := &cobra.Command{
 		Use:   "ablate",
-		Short: "Run the spindle policy with one mechanism off at a time",
+		Short: "Run the spindle policy with one mechanism disabled at a time",
 		RunE: func(*cobra.Command, []string) error {
-			s.plan.Contenders = []lab.Contender{{Name: leastoutstanding.Name, Builder: leastoutstanding.Builder{}}}
+			opts.plan.Candidates = []lab.Candidate{{Name: leastoutstanding.Name, Builder: leastoutstanding.Builder{}}}
 			for _, a := range ablations {
 				c := spindle.Defaults
 				a.off(&c)
-				s.plan.Contenders = append(s.plan.Contenders, lab.Contender{Name: a.name, Builder: spindle.Builder{Constants: &c}})
+				opts.plan.Candidates = append(opts.plan.Candidates, lab.Candidate{Name: a.name, Builder: spindle.Builder{Constants: &c}})
 			}
-			return s.each(func(w lab.Workload, f lab.Fault) error {
-				return lab.Print(os.Stdout, w, f, s.plan.Compare(w, f), 0)
+			return opts.forEach(func(w lab.Workload, f lab.Fault) error {
+				return lab.PrintTable(os.Stdout, w, f, opts.plan.Compare(w, f), 0)
 			})
 		},
 	}
-	s.flags(cmd.Flags())
+	opts.addFlags(cmd.Flags())
 	return cmd
 }
--- a/cmd/spindle-lab/goals.go
+++ b/cmd/spindle-lab/goals.go
@@ -10,22 +10,22 @@
 	"github.com/dapplespindle/dapplespindle/internal/lab"
 )
 
-// goalQuantiles are the quantiles of the goals, in percent.
+// goalQuantiles are the compared quantiles, in percent.
 var goalQuantiles = []float64{99, 99.9}
 
 func goalsCommand() *cobra.Command {
-	var s selection
+	var opts runOptions
 	cmd := &cobra.Command{
 		Use:   "goals",
 		Short: "Compare the spindle policy with the baselines, one row per workload, fault and quantile",
 		RunE: func(*cobra.Command, []string) error {
-			s.plan.Contenders = lab.Contenders(s.probePercent)
+			opts.plan.Candidates = lab.Candidates(opts.probePercent)
 			out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprint(out, lab.GoalHeader)
-			err := s.each(func(w lab.Workload, f lab.Fault) error {
-				rows := s.plan.Compare(w, f)
+			err := opts.forEach(func(w lab.Workload, f lab.Fault) error {
+				rows := opts.plan.Compare(w, f)
 				for _, q := range goalQuantiles {
-					lab.Judge(rows, q).Print(out, w, f)
+					lab.EvaluateGoal(rows, q).Print(out, w, f)
 				}
 				return nil
 			})
@@ -35,6 +35,6 @@
 			return out.Flush()
 		},
 	}
-	s.flags(cmd.Flags())
+	opts.addFlags(cmd.Flags())
 	return cmd
 }
--- a/cmd/spindle-lab/main.go
+++ b/cmd/spindle-lab/main.go
@@ -1,4 +1,4 @@
-// Command spindle-lab compares balancer policies in virtual time.
+// Command spindle-lab compares balancer policies by simulation in virtual time.
 package main
 
 import (
--- a/cmd/spindle-lab/plot.go
+++ b/cmd/spindle-lab/plot.go
@@ -14,35 +14,36 @@
 
 func plotCommand() *cobra.Command {
 	var (
-		s        selection
+		opts     runOptions
 		dir, ext string
 	)
 	cmd := &cobra.Command{
 		Use:   "plot",
-		Short: "Write the tails of all policies as SVG or PNG files",
+		Short: "Plot the tail latencies of all policies to SVG or PNG files",
 		RunE: func(*cobra.Command, []string) error {
 			if err := os.MkdirAll(dir, directoryMode); err != nil {
 				return errors.Wrap(err, "output directory")
 			}
-			s.plan.Contenders = lab.Contenders(s.probePercent)
-			return s.plotAll(dir, ext)
+			opts.plan.Candidates = lab.Candidates(opts.probePercent)
+			return opts.plotAll(dir, ext)
 		},
 	}
-	s.flags(cmd.Flags())
+	opts.addFlags(cmd.Flags())
 	cmd.Flags().StringVar(&dir, "dir", "plots", "output directory")
-	cmd.Flags().StringVar(&ext, "format", "svg", "svg or png")
+	cmd.Flags().StringVar(&ext, "format", "svg", "file format: svg or png")
 	return cmd
 }
 
-// plotAll writes one tail plot per workload and fault, and bars per fault.
-func (s *selection) plotAll(dir, ext string) error {
+// plotAll writes a tail latency plot per workload and fault and a bar chart of the
+// p99 per fault.
+func (o *runOptions) plotAll(dir, ext string) error {
 	rows := make(map[string][][]lab.Row)
 	names := make(map[string][]string)
-	err := s.each(func(w lab.Workload, f lab.Fault) error {
-		r := s.plan.Compare(w, f)
+	err := o.forEach(func(w lab.Workload, f lab.Fault) error {
+		r := o.plan.Compare(w, f)
 		rows[f.Name] = append(rows[f.Name], r)
 		names[f.Name] = append(names[f.Name], w.Name)
-		return printName(lab.PlotTail(dir, ext, w, f, r))
+		return printFileName(lab.PlotTail(dir, ext, w, f, r))
 	})
 	if err != nil {
 		return err
@@ -51,7 +52,7 @@
 		if rows[f.Name] == nil {
 			continue
 		}
-		err := printName(lab.PlotQuantile(dir, ext, "p99", 99, f, names[f.Name], rows[f.Name]))
+		err := printFileName(lab.PlotQuantile(dir, ext, "p99", 99, f, names[f.Name], rows[f.Name]))
 		if err != nil {
 			return err
 		}
@@ -59,7 +60,7 @@
 	return nil
 }
 
-func printName(name string, err error) error {
+func printFileName(name string, err error) error {
 	if err != nil {
 		return err
 	}
--- a/cmd/spindle-lab/sweep.go
+++ b/cmd/spindle-lab/sweep.go
@@ -13,47 +13,48 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/spindle"
 )
 
-// neighbours are the factors on the value in force.
-var neighbours = []float64{0.5, 0.75, 1, 1.5, 2}
+// sweepFactors multiply the current value of a constant.
+var sweepFactors = []float64{0.5, 0.75, 1, 1.5, 2}
 
 func sweepCommand() *cobra.Command {
 	var (
-		s     selection
-		names []string
-		set   []string
-		hedge bool
+		opts      runOptions
+		constants []string
+		overrides []string
+		hedge     bool
 	)
 	cmd := &cobra.Command{
 		Use:   "sweep",
-		Short: "Run the neighbouring values of each tuning constant of the spindle policy",
+		Short: "Vary each tuning constant of the spindle policy around its current value",
 		RunE: func(*cobra.Command, []string) error {
-			base, err := constants(set)
+			base, err := constantsWithOverrides(overrides)
 			if err != nil {
 				return err
 			}
 			for _, t := range spindle.Tunables {
-				if !selected(names, t.Name) {
+				if !selected(constants, t.Name) {
 					continue
 				}
-				if err := sweepOne(s, base, t, hedge); err != nil {
+				if err := sweepConstant(opts, base, t, hedge); err != nil {
 					return err
 				}
 			}
 			return nil
 		},
 	}
-	s.flags(cmd.Flags())
-	cmd.Flags().StringSliceVar(&names, "constant", nil, "constants; empty is all")
+	opts.addFlags(cmd.Flags())
+	cmd.Flags().StringSliceVar(&constants, "constant", nil, "constants to vary (default all)")
 	cmd.Flags().BoolVar(&hedge, "hedge", false, "hedge overdue requests")
-	cmd.Flags().StringArrayVar(&set, "set", nil, "replace a default, as name=value")
+	cmd.Flags().StringArrayVar(&overrides, "set", nil, "override the default of a constant, as name=value; may be repeated")
 	return cmd
 }
 
-// constants returns the defaults with replacements.
-func constants(set []string) (spindle.Constants, error) {
+// constantsWithOverrides returns the default constants with overrides of the form
+// name=value.
+func constantsWithOverrides(overrides []string) (spindle.Constants, error) {
 	c := spindle.Defaults
-	for _, s := range set {
-		name, text, _ := strings.Cut(s, "=")
+	for _, override := range overrides {
+		name, text, _ := strings.Cut(override, "=")
 		v, err := strconv.ParseFloat(text, 64)
 		if err != nil {
 			return c, errors.Wrapf(err, "constant %s", name)
@@ -66,26 +67,26 @@
 			}
 		}
 		if !found {
-			return c, errors.Newf("no constant %s", name)
+			return c, errors.Newf("unknown constant %q", name)
 		}
 	}
 	return c, nil
 }
 
-func sweepOne(s selection, base spindle.Constants, t spindle.Tunable, hedge bool) error {
-	s.plan.Contenders = nil
-	for _, factor := range neighbours {
+func sweepConstant(opts runOptions, base spindle.Constants, t spindle.Tunable, hedge bool) error {
+	opts.plan.Candidates = nil
+	for _, factor := range sweepFactors {
 		c := base
 		v := t.Get(&base) * factor
 		t.Set(&c, v)
 		name := fmt.Sprintf("%s=%g %s", t.Name, v, t.Unit)
-		contender := lab.Contender{Name: name, Builder: spindle.Builder{Constants: &c}}
+		candidate := lab.Candidate{Name: name, Builder: spindle.Builder{Constants: &c}}
 		if hedge {
-			contender.NewHost = lab.NewHedgingHost
+			candidate.NewHost = lab.NewHedgingHost
 		}
-		s.plan.Contenders = append(s.plan.Contenders, contender)
+		opts.plan.Candidates = append(opts.plan.Candidates, candidate)
 	}
-	return s.each(func(w lab.Workload, f lab.Fault) error {
-		return lab.Print(os.Stdout, w, f, s.plan.Compare(w, f), 0)
+	return opts.forEach(func(w lab.Workload, f lab.Fault) error {
+		return lab.PrintTable(os.Stdout, w, f, opts.plan.Compare(w, f), 0)
 	})
 }
--- a/cmd/spindle-lab/table.go
+++ b/cmd/spindle-lab/table.go
@@ -11,12 +11,12 @@
 	"github.com/dapplespindle/dapplespindle/internal/lab"
 )
 
-// selection is what the commands have in common.
-type selection struct {
+// runOptions holds the flags shared by all subcommands.
+type runOptions struct {
 	workloads, faults []string
 	probePercent      float64
 	load              float64
-	reportEvery       time.Duration
+	reportInterval    time.Duration
 	plan              lab.Plan
 }
 
@@ -27,29 +27,29 @@
 	defaultDuration     = 8 * time.Second
 )
 
-func (s *selection) flags(f *pflag.FlagSet) {
-	f.StringSliceVar(&s.workloads, "workload", nil, "workloads; empty is the six services, loopback is that of make measure-ranking")
-	f.StringSliceVar(&s.faults, "fault", nil, "faults; empty is all")
-	f.Float64Var(&s.load, "load", 0, "load as a share of capacity, instead of each fault's own")
-	f.DurationVar(&s.reportEvery, "report-every", 0, "reporting interval, instead of each fault's own")
-	f.Float64Var(&s.probePercent, "probe-percent", defaultProbePercent, "measuring budget in percent of slot time")
-	f.IntVar(&s.plan.Seeds, "seeds", defaultSeeds, "number of seeds")
-	f.Uint64Var(&s.plan.FirstSeed, "first-seed", 1, "first seed")
-	f.DurationVar(&s.plan.Duration, "duration", defaultDuration, "virtual time of one run")
-	f.IntVar(&s.plan.Workers, "workers", defaultWorkers, "runs at the same time")
+func (o *runOptions) addFlags(f *pflag.FlagSet) {
+	f.StringSliceVar(&o.workloads, "workload", nil, "workloads to run (default the six services; loopback is the workload of make measure-ranking)")
+	f.StringSliceVar(&o.faults, "fault", nil, "faults to run (default all)")
+	f.Float64Var(&o.load, "load", 0, "load as a fraction of capacity, overriding that of the faults")
+	f.DurationVar(&o.reportInterval, "report-every", 0, "interval between load reports, overriding that of the faults")
+	f.Float64Var(&o.probePercent, "probe-percent", defaultProbePercent, "probe budget in percent of slot time")
+	f.IntVar(&o.plan.Seeds, "seeds", defaultSeeds, "number of seeds")
+	f.Uint64Var(&o.plan.FirstSeed, "first-seed", 1, "first seed")
+	f.DurationVar(&o.plan.Duration, "duration", defaultDuration, "virtual time measured in each run")
+	f.IntVar(&o.plan.Workers, "workers", defaultWorkers, "maximum number of concurrent runs")
 }
 
-// each calls do for every selected workload and fault.
-func (s *selection) each(do func(lab.Workload, lab.Fault) error) error {
+// forEach calls do for every selected workload and fault.
+func (o *runOptions) forEach(do func(lab.Workload, lab.Fault) error) error {
 	for _, w := range append(slices.Clone(lab.Workloads), lab.Loopback) {
-		if !s.wants(w) {
+		if !o.includesWorkload(w) {
 			continue
 		}
 		for _, f := range lab.Faults {
-			if !selected(s.faults, f.Name) {
+			if !selected(o.faults, f.Name) {
 				continue
 			}
-			if err := do(w, s.override(f)); err != nil {
+			if err := do(w, o.applyOverrides(f)); err != nil {
 				return err
 			}
 		}
@@ -57,21 +57,22 @@
 	return nil
 }
 
-// wants reports whether w was asked for; the loopback only by its name.
-func (s *selection) wants(w lab.Workload) bool {
+// includesWorkload reports whether w is selected. The loopback workload must be
+// selected by name.
+func (o *runOptions) includesWorkload(w lab.Workload) bool {
 	if w.Name == lab.Loopback.Name {
-		return slices.Contains(s.workloads, w.Name)
+		return slices.Contains(o.workloads, w.Name)
 	}
-	return selected(s.workloads, w.Name)
+	return selected(o.workloads, w.Name)
 }
 
-// override applies the flags that replace a part of a fault.
-func (s *selection) override(f lab.Fault) lab.Fault {
-	if s.load > 0 {
-		f.Load = s.load
+// applyOverrides applies the flags that override fields of a fault.
+func (o *runOptions) applyOverrides(f lab.Fault) lab.Fault {
+	if o.load > 0 {
+		f.Load = o.load
 	}
-	if s.reportEvery > 0 {
-		f.ReportEvery = s.reportEvery
+	if o.reportInterval > 0 {
+		f.ReportInterval = o.reportInterval
 	}
 	return f
 }
@@ -81,17 +82,17 @@
 }
 
 func tableCommand() *cobra.Command {
-	var s selection
+	var opts runOptions
 	cmd := &cobra.Command{
 		Use:   "table",
 		Short: "Print one table per workload and fault",
 		RunE: func(*cobra.Command, []string) error {
-			s.plan.Contenders = lab.Contenders(s.probePercent)
-			return s.each(func(w lab.Workload, f lab.Fault) error {
-				return lab.Print(os.Stdout, w, f, s.plan.Compare(w, f), s.probePercent)
+			opts.plan.Candidates = lab.Candidates(opts.probePercent)
+			return opts.forEach(func(w lab.Workload, f lab.Fault) error {
+				return lab.PrintTable(os.Stdout, w, f, opts.plan.Compare(w, f), opts.probePercent)
 			})
 		},
 	}
-	s.flags(cmd.Flags())
+	opts.addFlags(cmd.Flags())
 	return cmd
 }
--- a/internal/lab/candidates.go
+++ b/internal/lab/candidates.go
@@ -7,39 +7,40 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/spindle"
 )
 
-// ReferenceName is the row of the central queue.
+// ReferenceName is the name of the central queue's row.
 const ReferenceName = "central-queue"
 
-// HedgeSuffix marks the rows of a host that hedges.
+// HedgeSuffix marks the rows of candidates that hedge requests.
 const HedgeSuffix = "+hedge"
 
-// Contenders returns every policy of the tree and the reference. The policies
-// that ask for probes get the budget in percent of slot time; the product's
-// own also runs without probes.
-func Contenders(probePercent float64) []Contender {
-	var all []Contender
+// Candidates returns all registered policies and the reference. Policies that use
+// probes get a probe budget of probePercent of slot time. The spindle policy is
+// also included without probes, and the spindle and least-outstanding policies
+// also with hedging.
+func Candidates(probePercent float64) []Candidate {
+	var all []Candidate
 	for _, name := range registry.Names() {
-		b, err := registry.Lookup(name)
+		builder, err := registry.Lookup(name)
 		if err != nil {
 			continue
 		}
-		c := Contender{Name: name, Builder: b}
-		if isProber(b) {
-			c.ProbePercent = probePercent
+		candidate := Candidate{Name: name, Builder: builder}
+		if usesProbes(builder) {
+			candidate.ProbePercent = probePercent
 			if name == spindle.Name {
-				all = append(all, Contender{Name: name + "-no-probes", Builder: b})
+				all = append(all, Candidate{Name: name + "-no-probes", Builder: builder})
 			}
 		}
-		all = append(all, c)
+		all = append(all, candidate)
 	}
 	return append(all,
-		Contender{Name: leastoutstanding.Name + HedgeSuffix, Builder: leastoutstanding.Builder{}, NewHost: NewFixedHedgingHost},
-		Contender{Name: spindle.Name + HedgeSuffix, Builder: spindle.Builder{}, NewHost: NewHedgingHost},
-		Contender{Name: ReferenceName},
+		Candidate{Name: leastoutstanding.Name + HedgeSuffix, Builder: leastoutstanding.Builder{}, NewHost: NewFixedHedgingHost},
+		Candidate{Name: spindle.Name + HedgeSuffix, Builder: spindle.Builder{}, NewHost: NewHedgingHost},
+		Candidate{Name: ReferenceName},
 	)
 }
 
-func isProber(b balancer.Builder) bool {
+func usesProbes(b balancer.Builder) bool {
 	_, ok := b.Build(balancer.Options{}).Update(nil).(balancer.Prober)
 	return ok
 }
--- a/internal/lab/centralqueue.go
+++ b/internal/lab/centralqueue.go
@@ -2,36 +2,37 @@
 
 import "github.com/dapplespindle/dapplespindle/pkg/balancer"
 
-// centralHost is the reference: one queue for all requests, which sees every
-// slot and every slow-down at once and pays no delay between domains. It is
-// not clairvoyant about service times.
-type centralHost struct {
-	env     *hostEnv
-	waiting []*Request
+// centralQueueHost is the reference: a single queue for all requests that knows
+// the state of every slot and every slowdown immediately and has no delay between
+// failure domains. It does not know service times in advance.
+type centralQueueHost struct {
+	env   *hostEnv
+	queue []*Request
 }
 
-func newCentralHost(env Env) Host { return &centralHost{env: env.(*hostEnv)} }
+func newCentralQueueHost(env Env) Host { return &centralQueueHost{env: env.(*hostEnv)} }
 
 // Arrive implements Host.
-func (h *centralHost) Arrive(r *Request) {
-	if len(h.waiting) >= h.maxWaiting() {
+func (h *centralQueueHost) Arrive(r *Request) {
+	if len(h.queue) >= h.maxQueueLength() {
 		h.env.Finish(r, false)
 		return
 	}
-	h.waiting = append(h.waiting, r)
-	h.drain()
+	h.queue = append(h.queue, r)
+	h.dispatch()
 }
 
-// maxWaiting is the number of requests that are served in half a deadline.
-func (h *centralHost) maxWaiting() int {
-	return int(h.env.world.run.Workload.capacity() * requestDeadline.Seconds() / 2)
+// maxQueueLength is the number of requests that all slots together serve within
+// half a request deadline.
+func (h *centralQueueHost) maxQueueLength() int {
+	return int(h.env.sim.run.Workload.capacity() * requestDeadline.Seconds() / 2)
 }
 
-func (h *centralHost) drain() {
-	for len(h.waiting) > 0 {
-		r := h.waiting[0]
-		if h.env.world.clock.Now().After(r.Deadline) {
-			h.waiting = h.waiting[1:]
+func (h *centralQueueHost) dispatch() {
+	for len(h.queue) > 0 {
+		r := h.queue[0]
+		if h.env.sim.clock.Now().After(r.Deadline) {
+			h.queue = h.queue[1:]
 			h.env.Finish(r, false)
 			continue
 		}
@@ -39,42 +40,42 @@
 		if u == nil {
 			return
 		}
-		h.waiting = h.waiting[1:]
+		h.queue = h.queue[1:]
 		h.send(r, u)
 	}
 }
 
-func (h *centralHost) send(r *Request, u *upstream) {
+func (h *centralQueueHost) send(r *Request, u *upstream) {
 	r.Attempts++
-	u.submit(&job{service: u.serviceTime(r.size), done: func(o balancer.Outcome) {
-		h.env.world.clock.After(2*sameDomainDelay, func() {
-			now := h.env.world.clock.Now()
+	u.submit(&job{serviceTime: u.serviceTime(r.sizeFactor), done: func(o balancer.Outcome) {
+		h.env.sim.clock.After(2*sameDomainDelay, func() {
+			now := h.env.sim.clock.Now()
 			h.env.Finish(r, o == balancer.Answered && !now.After(r.Deadline))
 		})
-		h.drain()
+		h.dispatch()
 	}})
 }
 
-// fastestFree returns the fastest upstream with a free slot. A slow one is
-// used only when the queue for the others would take longer.
-func (h *centralHost) fastestFree() *upstream {
+// fastestFree returns the fastest upstream with a free slot, or nil. An upstream
+// that is slowed down is chosen only if waiting for the others would take longer.
+func (h *centralQueueHost) fastestFree() *upstream {
 	var best *upstream
-	others := 0
-	for _, u := range h.env.world.upstreams {
+	fastSlots := 0
+	for _, u := range h.env.sim.upstreams {
 		if u.failFast {
 			continue
 		}
-		if u.speed() <= 1 {
-			others += u.slots
+		if u.serviceTimeFactor() <= 1 {
+			fastSlots += u.slots
 		}
-		if u.busy < u.slots && (best == nil || u.speed() < best.speed()) {
+		if u.busy < u.slots && (best == nil || u.serviceTimeFactor() < best.serviceTimeFactor()) {
 			best = u
 		}
 	}
-	if best == nil || best.speed() <= 1 || others == 0 {
+	if best == nil || best.serviceTimeFactor() <= 1 || fastSlots == 0 {
 		return best
 	}
-	if wait := float64(len(h.waiting)) / float64(others); wait+1 < best.speed() {
+	if wait := float64(len(h.queue)) / float64(fastSlots); wait+1 < best.serviceTimeFactor() {
 		return nil
 	}
 	return best
--- a/internal/lab/fault.go
+++ b/internal/lab/fault.go
@@ -2,115 +2,126 @@
 
 import "time"
 
-// Fault is a condition under which a workload runs.
+// Fault is a scenario in which a workload runs.
 type Fault struct {
 	// Name identifies the fault.
 	Name string
-	// Load is the offered load as a share of capacity.
+	// Load is the offered load as a fraction of capacity.
 	Load float64
-	// Surge multiplies the load during each period's first SurgeTime; 0 is off.
-	Surge float64
-	// ReportEvery is the reporting interval; 0 draws one per upstream between
-	// 5 and 500 ms.
-	ReportEvery time.Duration
-	// ShedLimit replaces the default limit of requests at an upstream.
-	ShedLimit int
-	// Silent is the number of upstreams that always report 0 requests.
-	Silent int
-	// Uneven gives the first entry host this share beside its part; 0 spreads
-	// them evenly.
-	Uneven float64
-	// Windowed counts only requests that arrive within Window after an onset.
-	Windowed bool
+	// SurgeFactor multiplies the load during the first 100 ms of each period of
+	// one second; 0 disables surges.
+	SurgeFactor float64
+	// ReportInterval is the interval between load reports of an upstream. If 0,
+	// each upstream gets a random interval between 5 and 500 ms.
+	ReportInterval time.Duration
+	// MaxInFlight overrides the number of requests in flight at which an upstream
+	// refuses new ones; 0 keeps the default.
+	MaxInFlight int
+	// ZeroReporters is the number of upstreams that always report 0 requests in
+	// flight.
+	ZeroReporters int
+	// FirstHostShare is the fraction of requests that go to the first entry host.
+	// The rest is spread evenly over all entry hosts, including the first.
+	FirstHostShare float64
+	// OnsetWindowOnly restricts measurements to requests that arrive within
+	// OnsetWindow after a fault starts.
+	OnsetWindowOnly bool
 
-	onset func(*world)
+	// inject starts the fault once per period.
+	inject func(*simulation)
 }
 
 const (
-	// Window is the time after an onset in which requests count.
-	Window = 100 * time.Millisecond
-	// period is the time between two onsets.
-	period = time.Second
-	// slowTime, slowFactor describe a sudden slow-down of one upstream.
-	slowTime   = 300 * time.Millisecond
-	slowFactor = 10
-	// failTime is how long an upstream fails fast.
-	failTime = 500 * time.Millisecond
-	// coldFactor is the slowness of a cold upstream at its start.
-	coldFactor = 5
-	// surgeTime is the length of a surge.
-	surgeTime = 100 * time.Millisecond
-	// noisyEvery, noisyTime and noisyFactor describe noisy neighbours.
-	noisyEvery  = time.Second
-	noisyTime   = 50 * time.Millisecond
-	noisyFactor = 4
-	// unevenShare is the share that the first entry host gets beside its even
-	// part of the rest; together 2.8 to 3.6 times an even part.
-	unevenShare = 0.15
+	// OnsetWindow is the time after the start of a fault in which requests are
+	// measured if Fault.OnsetWindowOnly is set.
+	OnsetWindow = 100 * time.Millisecond
+	// onsetPeriod is the time between two starts of a fault.
+	onsetPeriod = time.Second
+	// slowDuration and slowFactor describe a sudden slowdown of one upstream.
+	slowDuration = 300 * time.Millisecond
+	slowFactor   = 10
+	// failFastDuration is how long an upstream fails all requests at once.
+	failFastDuration = 500 * time.Millisecond
+	// initialColdFactor multiplies the service time of a cold upstream at its
+	// start.
+	initialColdFactor = 5
+	// surgeDuration is the length of a load surge.
+	surgeDuration = 100 * time.Millisecond
+	// noisyPeriod, noisyDuration and noisyFactor describe the effect of noisy
+	// neighbours.
+	noisyPeriod   = time.Second
+	noisyDuration = 50 * time.Millisecond
+	noisyFactor   = 4
+	// unevenFirstHostShare is the fraction of requests that the first entry host
+	// receives in addition to its even part of the rest. In total it receives 2.8
+	// to 3.6 times an even part.
+	unevenFirstHostShare = 0.15
 )
 
-// Faults are the conditions of the table.
+// Faults are the scenarios of the comparison.
 var Faults = []Fault{
 	{Name: "steady", Load: 0.8},
-	{Name: "slowdown", Load: 0.8, Windowed: true, onset: slowOne},
-	{Name: "noisy", Load: 0.8, onset: noisyAll},
-	{Name: "surge", Load: 0.5, Surge: 2, Windowed: true},
-	{Name: "cold", Load: 0.8, onset: replaceOne},
-	{Name: "failfast", Load: 0.7, Windowed: true, onset: failOne},
-	{Name: "shed", Load: 0.9, ShedLimit: 4},
-	{Name: "fresh", Load: 0.8, ReportEvery: minReportEvery},
-	{Name: "stale", Load: 0.8, ReportEvery: maxReportEvery},
+	{Name: "slowdown", Load: 0.8, OnsetWindowOnly: true, inject: slowOneUpstream},
+	{Name: "noisy", Load: 0.8, inject: injectNoise},
+	{Name: "surge", Load: 0.5, SurgeFactor: 2, OnsetWindowOnly: true},
+	{Name: "cold", Load: 0.8, inject: replaceOneUpstream},
+	{Name: "failfast", Load: 0.7, OnsetWindowOnly: true, inject: failOneUpstream},
+	{Name: "shed", Load: 0.9, MaxInFlight: 4},
+	{Name: "fresh", Load: 0.8, ReportInterval: minReportInterval},
+	{Name: "stale", Load: 0.8, ReportInterval: maxReportInterval},
 	{Name: "overload", Load: 2},
-	{Name: "twofaults", Load: 0.8, Windowed: true, onset: slowTwo},
-	{Name: "slowandfail", Load: 0.7, Windowed: true, onset: slowAndFail},
-	{Name: "misleading", Load: 0.8, Silent: 1},
-	{Name: "uneven", Load: 0.8, Uneven: unevenShare},
-	{Name: "doubling", Load: 0.8, Surge: 2, Windowed: true},
+	{Name: "twofaults", Load: 0.8, OnsetWindowOnly: true, inject: slowTwoUpstreams},
+	{Name: "slowandfail", Load: 0.7, OnsetWindowOnly: true, inject: slowOneFailOne},
+	{Name: "misleading", Load: 0.8, ZeroReporters: 1},
+	{Name: "uneven", Load: 0.8, FirstHostShare: unevenFirstHostShare},
+	{Name: "doubling", Load: 0.8, SurgeFactor: 2, OnsetWindowOnly: true},
 }
 
-// slowOne makes one upstream slow without warning.
-func slowOne(w *world) {
-	u := w.drawUpstream()
-	u.slowness = slowFactor
-	w.clock.After(slowTime, func() { u.slowness = 1 })
+// slowOneUpstream slows down a random upstream.
+func slowOneUpstream(s *simulation) {
+	u := s.randomUpstream()
+	u.slowdown = slowFactor
+	s.clock.After(slowDuration, func() { u.slowdown = 1 })
 }
 
-// slowTwo makes two upstreams slow at the same time; they may be the same.
-func slowTwo(w *world) {
-	slowOne(w)
-	slowOne(w)
+// slowTwoUpstreams slows down two random upstreams at the same time. Both draws
+// may select the same upstream.
+func slowTwoUpstreams(s *simulation) {
+	slowOneUpstream(s)
+	slowOneUpstream(s)
 }
 
-// slowAndFail makes one upstream slow and one fail fast.
-func slowAndFail(w *world) {
-	slowOne(w)
-	failOne(w)
+// slowOneFailOne slows down one random upstream and makes another draw fail fast.
+func slowOneFailOne(s *simulation) {
+	slowOneUpstream(s)
+	failOneUpstream(s)
 }
 
-// failOne makes one upstream fail fast.
-func failOne(w *world) {
-	u := w.drawUpstream()
+// failOneUpstream makes a random upstream fail fast.
+func failOneUpstream(s *simulation) {
+	u := s.randomUpstream()
 	u.failFast = true
-	w.clock.After(failTime, func() { u.failFast = false })
+	s.clock.After(failFastDuration, func() { u.failFast = false })
 }
 
-// noisyAll gives every upstream a short slow phase at its own time.
-func noisyAll(w *world) {
-	for _, u := range w.upstreams {
-		start := time.Duration(w.faults.Int64N(int64(noisyEvery)))
-		w.clock.After(start, func() {
-			u.slowness = noisyFactor
-			w.clock.After(noisyTime, func() { u.slowness = 1 })
+// injectNoise slows down every upstream briefly, each at a random time within the
+// period.
+func injectNoise(s *simulation) {
+	for _, u := range s.upstreams {
+		start := time.Duration(s.faultRand.Int64N(int64(noisyPeriod)))
+		s.clock.After(start, func() {
+			u.slowdown = noisyFactor
+			s.clock.After(noisyDuration, func() { u.slowdown = 1 })
 		})
 	}
 }
 
-// replaceOne starts a cold server in the place of another.
-func replaceOne(w *world) {
-	u := w.drawUpstream()
-	u.cold = coldFactor
-	u.coldAt = w.clock.now
-	for _, h := range w.hosts {
-		h.replace(u)
+// replaceOneUpstream replaces a random upstream by a newly started, cold one.
+func replaceOneUpstream(s *simulation) {
+	u := s.randomUpstream()
+	u.coldFactor = initialColdFactor
+	u.coldSince = s.clock.now
+	for _, h := range s.hosts {
+		h.replaceRecord(u)
 	}
 }
--- a/internal/lab/goals.go
+++ b/internal/lab/goals.go
@@ -9,28 +9,30 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/spindle"
 )
 
-// Goal compares the product's own policy with the baselines at one quantile,
-// in milliseconds.
-type Goal struct {
-	// Quantile is in percent.
+// GoalResult compares the spindle policy with the baselines at one latency
+// quantile. Latencies are in milliseconds.
+type GoalResult struct {
+	// Quantile is the quantile in percent.
 	Quantile float64
-	// Spindle and Hedged are the policy without and with hedging.
+	// Spindle and Hedged are the spindle policy without and with hedging.
 	Spindle, Hedged float64
-	// LeastOutstanding and its hedged form are the baseline of the goal.
+	// LeastOutstanding and LeastOutstandingHedged are the baseline policy without
+	// and with hedging.
 	LeastOutstanding, LeastOutstandingHedged float64
-	// Best is the best baseline without hedging, and BestName its name.
-	Best     float64
-	BestName string
-	// Reference is the central queue.
-	Reference float64
+	// BestBaseline is the lowest latency of the baselines without hedging, and
+	// BestBaselineName the name of that policy.
+	BestBaseline     float64
+	BestBaselineName string
+	// CentralQueue is the reference.
+	CentralQueue float64
 }
 
-// Judge takes the figures of one quantile from the rows of one comparison.
-func Judge(rows []Row, quantile float64) Goal {
-	g := Goal{Quantile: quantile}
+// EvaluateGoal extracts one quantile from the rows of one comparison.
+func EvaluateGoal(rows []Row, quantile float64) GoalResult {
+	g := GoalResult{Quantile: quantile}
 	for _, r := range rows {
 		v := r.Total.Millis(quantile)
-		switch r.Contender {
+		switch r.Candidate {
 		case spindle.Name:
 			g.Spindle = v
 		case spindle.Name + HedgeSuffix:
@@ -38,32 +40,32 @@
 		case leastoutstanding.Name + HedgeSuffix:
 			g.LeastOutstandingHedged = v
 		case ReferenceName:
-			g.Reference = v
+			g.CentralQueue = v
 		default:
-			g.baseline(r.Contender, v)
+			g.addBaseline(r.Candidate, v)
 		}
 	}
 	return g
 }
 
-func (g *Goal) baseline(name string, v float64) {
+func (g *GoalResult) addBaseline(name string, v float64) {
 	if name == leastoutstanding.Name {
 		g.LeastOutstanding = v
 	}
-	if !strings.HasPrefix(name, spindle.Name) && (g.BestName == "" || v < g.Best) {
-		g.Best = v
-		g.BestName = name
+	if !strings.HasPrefix(name, spindle.Name) && (g.BestBaselineName == "" || v < g.BestBaseline) {
+		g.BestBaseline = v
+		g.BestBaselineName = name
 	}
 }
 
-// GoalHeader is the head of the table that Goal.Print continues.
+// GoalHeader is the header of the table to which GoalResult.Print adds rows.
 const GoalHeader = "workload\tfault\tquantile\tleast-outst.\tbest baseline\t\tspindle\tratio\tspindle+hedge\tratio\tleast-outst.+hedge\tcentral-queue\t\n"
 
-// Print writes one row. The ratios are least outstanding without hedging over
-// the policy.
-func (g Goal) Print(out io.Writer, w Workload, f Fault) {
+// Print writes one table row. The ratios divide the latency of least-outstanding
+// without hedging by that of the spindle policy.
+func (g GoalResult) Print(out io.Writer, w Workload, f Fault) {
 	fmt.Fprintf(out, "%s\t%s\tp%g\t%.1f\t%.1f\t%s\t%.1f\t%.2f\t%.1f\t%.2f\t%.1f\t%.1f\t\n",
-		w.Name, f.Name, g.Quantile, g.LeastOutstanding, g.Best, g.BestName,
+		w.Name, f.Name, g.Quantile, g.LeastOutstanding, g.BestBaseline, g.BestBaselineName,
 		g.Spindle, g.LeastOutstanding/g.Spindle, g.Hedged, g.LeastOutstanding/g.Hedged,
-		g.LeastOutstandingHedged, g.Reference)
+		g.LeastOutstandingHedged, g.CentralQueue)
 }
--- a/internal/lab/hedge.go
+++ b/internal/lab/hedge.go
@@ -11,56 +11,59 @@
 	"github.com/dapplespindle/dapplespindle/pkg/retry"
 )
 
-// errLimit means that the limit is reached, or that others wait.
-var errLimit = errors.New("limit reached")
+// errLimitReached means that the concurrency limit is reached or that other
+// requests are queued already.
+var errLimitReached = errors.New("concurrency limit reached")
 
-// hedging is when a host sends a second attempt.
-type hedging struct {
-	// overdue goes by the policy's opinion.
-	overdue bool
-	// fixed is a delay of its own.
-	fixed time.Duration
+// hedgePolicy determines when a host sends a hedge.
+type hedgePolicy struct {
+	// useOverdueAfter takes the delay from balancer.Result.OverdueAfter.
+	useOverdueAfter bool
+	// fixedDelay is the delay if useOverdueAfter is not set.
+	fixedDelay time.Duration
 }
 
-// delay is the time to wait for an answer, or 0 for no second attempt.
-func (g hedging) delay(res balancer.Result) time.Duration {
-	if g.overdue {
+// delay returns the time to wait for a response before hedging, or 0 for no hedge.
+func (p hedgePolicy) delay(res balancer.Result) time.Duration {
+	if p.useOverdueAfter {
 		return res.OverdueAfter
 	}
-	return g.fixed
+	return p.fixedDelay
 }
 
-// NewHedgingHost returns a Host that hedges when the policy calls an answer
-// overdue, as the product does for repeatable requests.
-func NewHedgingHost(env Env) Host { return newPartsHost(env, hedging{overdue: true}) }
+// NewHedgingHost returns a Host that hedges when the balancer policy considers a
+// response overdue, as the proxy does for repeatable requests.
+func NewHedgingHost(env Env) Host { return newProxyHost(env, hedgePolicy{useOverdueAfter: true}) }
 
-// fixedHedge is the delay, in mean service times, of a host that hedges
-// without a policy's opinion. No real host knows the mean this well.
-const fixedHedge = 3
+// fixedHedgeFactor is the delay of a host that hedges after a fixed time, in mean
+// service times. A real host does not know the mean service time this precisely.
+const fixedHedgeFactor = 3
 
-// NewFixedHedgingHost returns a Host that hedges after a fixed delay.
+// NewFixedHedgingHost returns a Host that hedges after a fixed multiple of the
+// mean service time.
 func NewFixedHedgingHost(env Env) Host {
-	return newPartsHost(env, hedging{fixed: fixedHedge * env.(*hostEnv).world.run.Workload.Mean})
+	return newProxyHost(env, hedgePolicy{fixedDelay: fixedHedgeFactor * env.(*hostEnv).sim.run.Workload.MeanServiceTime})
 }
 
-// watch starts the timer of a first send.
-func (h *partsHost) watch(r *Request, res balancer.Result) {
-	delay := h.hedge.delay(res)
+// scheduleHedge starts the hedge timer for a first attempt.
+func (h *proxyHost) scheduleHedge(r *Request, res balancer.Result) {
+	delay := h.hedging.delay(res)
 	if delay <= 0 {
 		return
 	}
-	h.env.Clock().After(delay, func() { h.second(r) })
+	h.env.Clock().After(delay, func() { h.sendHedge(r) })
 }
 
-// second sends a second attempt within every bound of the product.
-func (h *partsHost) second(r *Request) {
-	if r.finished || r.sending == 0 {
+// sendHedge sends a hedge if the retry rules, the retry budget and the concurrency
+// limit allow it, as in the proxy.
+func (h *proxyHost) sendHedge(r *Request) {
+	if r.finished || r.inFlight == 0 {
 		return
 	}
-	if retry.Decide(h.attempt(r, errkind.None), h.budget) != retry.Allowed {
+	if retry.Decide(h.retryAttempt(r, errkind.None), h.budget) != retry.Allowed {
 		return
 	}
-	res, err := h.tryHedge(r)
+	res, err := h.pickForHedge(r)
 	if err != nil {
 		h.budget.Refund()
 		return
@@ -68,10 +71,11 @@
 	h.send(r, res)
 }
 
-// tryHedge picks if a place is free within the headroom of the limit.
-func (h *partsHost) tryHedge(r *Request) (balancer.Result, error) {
+// pickForHedge picks an upstream if the concurrency limit plus its headroom is not
+// reached.
+func (h *proxyHost) pickForHedge(r *Request) (balancer.Result, error) {
 	if !h.limiter.Acquire(limit.Headroom) {
-		return balancer.Result{}, errLimit
+		return balancer.Result{}, errLimitReached
 	}
 	return h.pick(r, 0)
 }
--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -8,51 +8,52 @@
 	"github.com/dapplespindle/dapplespindle/pkg/queue"
 )
 
-// Request is one request of a caller.
+// Request is a simulated client request.
 type Request struct {
-	// Arrived is when it reached the entry host.
+	// Arrived is the time of arrival at the entry host.
 	Arrived time.Time
-	// Deadline is when the caller gives up.
+	// Deadline is the time at which the client gives up.
 	Deadline time.Time
-	// Attempts counts the sends.
+	// Attempts counts the attempts, including hedges.
 	Attempts int
-	// Tried lists the upstreams of earlier sends.
+	// Tried lists the upstreams of earlier attempts.
 	Tried []*balancer.Upstream
 
-	waiting  time.Time              // when it began to wait
-	entry    *queue.Entry[*Request] // while it waits
-	size     float64                // factor on the service time
-	sending  int                    // sends without an end
-	cancels  []func()
-	finished bool
+	queuedAt   time.Time              // when it was last queued
+	queueEntry *queue.Entry[*Request] // set while it is queued
+	sizeFactor float64                // multiplies the service time
+	inFlight   int                    // attempts in flight
+	cancels    []func()
+	finished   bool
 }
 
-// Host is the decision maker of one simulated entry host.
+// Host makes the decisions of one simulated entry host.
 type Host interface {
-	// Arrive takes a request. Every request ends in one call to Env.Finish.
+	// Arrive accepts a request. The host must finish every request with
+	// Env.Finish.
 	Arrive(*Request)
 }
 
-// Env is what a Host may use.
+// Env is the environment of a Host.
 type Env interface {
-	// Clock is the virtual time.
+	// Clock returns the virtual clock.
 	Clock() *Clock
-	// Random is the host's own source.
+	// Random returns the random source of the host.
 	Random() *rand.Rand
-	// Picker is the picker in force.
+	// Picker returns the current picker.
 	Picker() balancer.Picker
-	// Send sends the request to u. Done is called with the end of the send,
-	// after the picker learned of it. The returned function cancels the send at
-	// the upstream, which still ends in done.
+	// Send sends an attempt to u. It calls done with the outcome after reporting
+	// it to the picker. The returned function cancels the attempt at the upstream;
+	// done is called nevertheless.
 	Send(r *Request, u *balancer.Upstream, done func(balancer.Feedback)) (cancel func())
-	// Finish ends a request. Only the first call counts; ok is false if it was
-	// given up.
+	// Finish ends a request. Calls after the first have no effect. ok is false if
+	// the request was not answered in time.
 	Finish(r *Request, ok bool)
 }
 
-// cancelOthers cancels the sends that are still in flight.
+// cancelOthers cancels the attempts that are still in flight.
 func (r *Request) cancelOthers() {
-	if r.sending == 0 {
+	if r.inFlight == 0 {
 		return
 	}
 	for _, cancel := range r.cancels {
--- a/internal/lab/hostenv.go
+++ b/internal/lab/hostenv.go
@@ -8,39 +8,39 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 )
 
-// hostEnv implements Env and keeps the entry host's records of the upstreams.
+// hostEnv implements Env and holds the entry host's view of the upstreams.
 type hostEnv struct {
-	world   *world
-	random  *rand.Rand
-	domain  int
-	host    Host
-	policy  balancer.Policy
-	picker  balancer.Picker
-	records []*balancer.Upstream
-	fakes   map[*balancer.Upstream]*upstream
-	prober  prober
+	sim         *simulation
+	random      *rand.Rand
+	domain      int
+	host        Host
+	policy      balancer.Policy
+	picker      balancer.Picker
+	records     []*balancer.Upstream
+	servers     map[*balancer.Upstream]*upstream
+	probeBudget probeBudget
 }
 
-func newHostEnv(w *world, i int) *hostEnv {
+func newHostEnv(s *simulation, i int) *hostEnv {
 	h := &hostEnv{
-		world:  w,
-		random: rand.New(rand.NewPCG(w.run.Seed, streamHosts+uint64(i))),
-		domain: i % w.run.Workload.FailureDomains,
-		fakes:  make(map[*balancer.Upstream]*upstream),
+		sim:     s,
+		random:  rand.New(rand.NewPCG(s.run.Seed, firstHostStream+uint64(i))),
+		domain:  i % s.run.Workload.FailureDomains,
+		servers: make(map[*balancer.Upstream]*upstream),
 	}
-	for _, u := range w.upstreams {
-		h.add(u, time.Time{})
+	for _, u := range s.upstreams {
+		h.addRecord(u, time.Time{})
 	}
-	h.prober = newProber(w.run)
-	h.host = w.run.NewHost(h)
-	if w.run.Builder == nil {
+	h.probeBudget = newProbeBudget(s.run)
+	h.host = s.run.NewHost(h)
+	if s.run.Builder == nil {
 		return h
 	}
-	h.policy = w.run.Builder.Build(balancer.Options{
+	h.policy = s.run.Builder.Build(balancer.Options{
 		Self:          i,
-		EntryHosts:    w.run.Workload.EntryHosts,
+		EntryHosts:    s.run.Workload.EntryHosts,
 		FailureDomain: domainName(h.domain),
-		SlowStart:     coldTime,
+		SlowStart:     warmUpTime,
 	})
 	h.picker = h.policy.Update(h.records)
 	return h
@@ -48,34 +48,34 @@
 
 func domainName(i int) string { return fmt.Sprintf("domain-%d", i) }
 
-func (h *hostEnv) add(u *upstream, added time.Time) {
+func (h *hostEnv) addRecord(u *upstream, joined time.Time) {
 	r := &balancer.Upstream{
 		ID:            u.id,
 		FailureDomain: domainName(u.domain),
 		Slots:         u.slots,
-		Added:         added,
+		Added:         joined,
 	}
 	h.records = append(h.records, r)
-	h.fakes[r] = u
+	h.servers[r] = u
 }
 
-// replace gives u a fresh record, as for a server that has just joined.
-func (h *hostEnv) replace(u *upstream) {
+// replaceRecord gives u a new record, as for an upstream that has just joined.
+func (h *hostEnv) replaceRecord(u *upstream) {
 	kept := make([]*balancer.Upstream, 0, len(h.records))
 	for _, r := range h.records {
-		if h.fakes[r] != u {
+		if h.servers[r] != u {
 			kept = append(kept, r)
 		}
 	}
 	h.records = kept
-	h.add(u, h.world.clock.Now())
+	h.addRecord(u, h.sim.clock.Now())
 	if h.policy != nil {
 		h.picker = h.policy.Update(h.records)
 	}
 }
 
 // Clock implements Env.
-func (h *hostEnv) Clock() *Clock { return h.world.clock }
+func (h *hostEnv) Clock() *Clock { return h.sim.clock }
 
 // Random implements Env.
 func (h *hostEnv) Random() *rand.Rand { return h.random }
@@ -86,13 +86,13 @@
 // Send implements Env.
 func (h *hostEnv) Send(r *Request, u *balancer.Upstream, done func(balancer.Feedback)) (cancel func()) {
 	r.Attempts++
-	fake := h.fakes[u]
-	call := u.Begin(h.world.clock.Now())
-	cancel = h.world.sendJob(h, fake, fake.serviceTime(r.size), func(f balancer.Feedback) {
+	server := h.servers[u]
+	call := u.Begin(h.sim.clock.Now())
+	cancel = h.sim.sendJob(h, server, server.serviceTime(r.sizeFactor), func(f balancer.Feedback) {
 		balancer.Finish(h.picker, call, f)
 		done(f)
 	})
-	h.probe()
+	h.maybeProbe()
 	return cancel
 }
 
@@ -102,50 +102,50 @@
 		return
 	}
 	r.finished = true
-	if h.world.countsAt(r.Arrived.Sub(epoch)) {
-		h.world.result.add(r, h.world.clock.Now(), ok)
+	if h.sim.isMeasuredAt(r.Arrived.Sub(epoch)) {
+		h.sim.result.recordRequest(r, h.sim.clock.Now(), ok)
 	}
 }
 
-// probe sends a probe if the policy asks for one and the budget allows it.
-func (h *hostEnv) probe() {
+// maybeProbe sends a probe if the policy requests one and the budget allows it.
+func (h *hostEnv) maybeProbe() {
 	p, ok := h.picker.(balancer.Prober)
-	if !ok || !h.prober.take(h.world.clock.now) {
+	if !ok || !h.probeBudget.allow(h.sim.clock.now) {
 		return
 	}
-	u := p.Probe(h.world.clock.Now(), h.random.Uint64())
+	u := p.Probe(h.sim.clock.Now(), h.random.Uint64())
 	if u == nil {
 		return
 	}
-	h.world.result.Probes++
-	h.world.sendJob(h, h.fakes[u], probeTime, func(f balancer.Feedback) {
+	h.sim.result.Probes++
+	h.sim.sendJob(h, h.servers[u], probeServiceTime, func(f balancer.Feedback) {
 		balancer.FinishProbe(h.picker, u, f)
 	})
 }
 
-// prober is the entry host's equal share of the measuring budget.
-type prober struct {
-	every time.Duration // 0 is off
-	next  time.Duration
+// probeBudget is the entry host's equal share of the probe budget.
+type probeBudget struct {
+	interval time.Duration // minimum between two probes; 0 disables probes
+	next     time.Duration
 }
 
-// newProber divides the budget over the entry hosts.
-func newProber(r Run) prober {
+// newProbeBudget divides the probe budget evenly among the entry hosts.
+func newProbeBudget(r Run) probeBudget {
 	if r.ProbePercent <= 0 {
-		return prober{}
+		return probeBudget{}
 	}
 	slots := float64(r.Workload.Upstreams * slotsPerUpstream)
-	perSecond := r.ProbePercent / 100 * slots / probeTime.Seconds()
+	perSecond := r.ProbePercent / 100 * slots / probeServiceTime.Seconds()
 	perHost := perSecond / float64(r.Workload.EntryHosts)
-	every := time.Duration(float64(time.Second) / perHost)
-	return prober{every: every, next: every}
+	interval := time.Duration(float64(time.Second) / perHost)
+	return probeBudget{interval: interval, next: interval}
 }
 
-// take reports whether a probe may be sent now. Unused probes do not add up.
-func (p *prober) take(now time.Duration) bool {
-	if p.every == 0 || now < p.next {
+// allow reports whether a probe may be sent now. Unused probes do not accumulate.
+func (p *probeBudget) allow(now time.Duration) bool {
+	if p.interval == 0 || now < p.next {
 		return false
 	}
-	p.next = now + p.every
+	p.next = now + p.interval
 	return true
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -10,7 +10,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/registry"
 )
 
-func runOnce(t *testing.T, policy string, seed uint64, f Fault) *Result {
+func runWithSeed(t *testing.T, policy string, seed uint64, f Fault) *Result {
 	t.Helper()
 	b, err := registry.Lookup(policy)
 	if err != nil {
@@ -23,36 +23,36 @@
 	for _, name := range registry.Names() {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			a := runOnce(t, name, 7, Faults[1])
-			b := runOnce(t, name, 7, Faults[1])
-			c := runOnce(t, name, 8, Faults[1])
-			is.True(a.Latency.Equals(b.Latency))  // same seed, same latencies
-			is.True(!a.Latency.Equals(c.Latency)) // another seed differs
+			a := runWithSeed(t, name, 7, Faults[1])
+			b := runWithSeed(t, name, 7, Faults[1])
+			c := runWithSeed(t, name, 8, Faults[1])
+			is.True(a.Latency.Equals(b.Latency))  // the same seed gives the same latencies
+			is.True(!a.Latency.Equals(c.Latency)) // another seed gives other latencies
 		})
 	}
 }
 
-func TestEveryRequestEnds(t *testing.T) {
+func TestEveryRequestEndsOnce(t *testing.T) {
 	for _, f := range Faults {
 		for _, name := range registry.Names() {
 			t.Run(f.Name+"/"+name, func(t *testing.T) {
 				is := is.New(t)
-				r := runOnce(t, name, 3, f)
+				r := runWithSeed(t, name, 3, f)
 				ended := r.Good + r.GivenUp
-				is.True(ended <= r.Offered)                       // none ends twice
-				is.True(float64(ended) > 0.75*float64(r.Offered)) // the rest is in flight at the end
-				is.True(r.ProbeShare <= 2.1)                      // within the budget
+				is.True(ended <= r.Offered)                       // no request ends twice
+				is.True(float64(ended) > 0.75*float64(r.Offered)) // the rest was in flight at the end
+				is.True(r.ProbeShare <= 2.1)                      // within the probe budget of 2%
 			})
 		}
 	}
 }
 
-func TestCentralQueueIsBelowEveryPolicy(t *testing.T) {
+func TestCentralQueueMedianIsBelowEveryPolicy(t *testing.T) {
 	is := is.New(t)
 	ref := Run{Workload: Workloads[0], Fault: Faults[0], Duration: 2 * time.Second, Seed: 1}.Do()
 	for _, name := range registry.Names() {
-		r := runOnce(t, name, 1, Faults[0])
-		is.True(ref.Millis(50) < r.Millis(50)) // name
+		r := runWithSeed(t, name, 1, Faults[0])
+		is.True(ref.Millis(50) < r.Millis(50))
 	}
 }
 
@@ -68,9 +68,9 @@
 	is.Equal(c.Elapsed(), time.Duration(5))
 }
 
-func TestPlotsAreTheSameForTheSameRows(t *testing.T) {
+func TestPlotsAreDeterministic(t *testing.T) {
 	is := is.New(t)
-	rows := []Row{{Contender: "random", Total: runOnce(t, "random", 1, Faults[0])}}
+	rows := []Row{{Candidate: "random", Total: runWithSeed(t, "random", 1, Faults[0])}}
 	var files [2][]byte
 	for i := range files {
 		name, err := PlotTail(t.TempDir(), "svg", Workloads[0], Faults[0], rows)
@@ -82,11 +82,12 @@
 	is.Equal(string(files[0]), string(files[1]))
 }
 
-// TestCompareDoesNotDependOnWorkers runs the same plan alone and in parallel.
+// The results of a plan must not depend on how many of its runs execute
+// concurrently.
 func TestCompareDoesNotDependOnWorkers(t *testing.T) {
 	is := is.New(t)
 	plan := Plan{
-		Contenders: Contenders(2),
+		Candidates: Candidates(2),
 		Seeds:      2,
 		FirstSeed:  1,
 		Duration:   100 * time.Millisecond,
@@ -96,7 +97,7 @@
 	plan.Workers = 4
 	parallel := plan.Compare(Workloads[4], Faults[1])
 	for i := range alone {
-		is.Equal(alone[i].Contender, parallel[i].Contender)
+		is.Equal(alone[i].Candidate, parallel[i].Candidate)
 		is.True(alone[i].Total.Latency.Equals(parallel[i].Total.Latency))
 	}
 }
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -16,10 +16,10 @@
 	barWidth   = vg.Length(8)
 )
 
-// tailQuantiles are the points of a tail curve, in percent.
+// tailQuantiles are the quantiles of a tail latency curve, in percent.
 var tailQuantiles = []float64{50, 75, 90, 95, 98, 99, 99.5, 99.8, 99.9}
 
-// palette holds one colour per contender.
+// palette holds the colours of the candidates.
 var palette = []color.RGBA{
 	{0x1f, 0x77, 0xb4, 0xff},
 	{0x8c, 0x56, 0x4b, 0xff},
@@ -33,12 +33,12 @@
 	{0x2c, 0xa0, 0x2c, 0xff},
 }
 
-func colour(i int) color.Color { return palette[i%len(palette)] }
+func colorOf(i int) color.Color { return palette[i%len(palette)] }
 
-// headroom leaves space above the bars for the legend.
-const headroom = 1.5
+// legendHeadroom scales the Y axis to leave space for the legend above the bars.
+const legendHeadroom = 1.5
 
-// tailTicks are the marks of the tail axis.
+// tailTicks are the tick marks of the X axis of a tail latency curve.
 var tailTicks = plot.ConstantTicks{
 	{Value: 2, Label: "50%"},
 	{Value: 10, Label: "90%"},
@@ -46,8 +46,8 @@
 	{Value: 1000, Label: "99.9%"},
 }
 
-// PlotTail writes the latency quantiles of all rows as dir/workload-fault.ext;
-// the extension selects the format, "svg" or "png". It returns the file's name.
+// PlotTail plots the latency quantiles of all rows to dir/workload-fault.ext and
+// returns the file name. The extension selects the format, "svg" or "png".
 func PlotTail(dir, ext string, w Workload, f Fault, rows []Row) (string, error) {
 	p := plot.New()
 	p.Title.Text = w.Name + ", " + f.Name
@@ -62,19 +62,21 @@
 	for i, r := range rows {
 		line, err := plotter.NewLine(tailPoints(r.Total))
 		if err != nil {
-			return "", errors.Wrap(err, r.Contender)
+			return "", errors.Wrap(err, r.Candidate)
 		}
-		line.Color = colour(i)
+		line.Color = colorOf(i)
 		line.Width = vg.Points(1.5)
 		p.Add(line)
-		p.Legend.Add(r.Contender, line)
+		p.Legend.Add(r.Candidate, line)
 	}
 	p.Add(plotter.NewGrid())
 	name := filepath.Join(dir, w.Name+"-"+f.Name+"."+ext)
 	return name, errors.Wrap(p.Save(plotWidth, plotHeight, name), name)
 }
 
-// tailPoints spaces the quantiles by the number of requests that exceed them.
+// tailPoints returns the curve of a result. A quantile q is placed at 100/(100-q),
+// so that on the logarithmic X axis equal distances mean equal ratios of exceeding
+// requests.
 func tailPoints(r *Result) plotter.XYs {
 	points := make(plotter.XYs, len(tailQuantiles))
 	for i, q := range tailQuantiles {
@@ -84,33 +86,34 @@
 	return points
 }
 
-// PlotQuantile writes one quantile over all workloads as bars, one colour per
-// contender, as dir/fault-label.ext. Rows of each workload stand in the same order.
+// PlotQuantile plots one latency quantile of all workloads as bars, one colour per
+// candidate, to dir/fault-label.ext and returns the file name. The rows of all
+// workloads must be in the same order.
 func PlotQuantile(dir, ext, label string, quantile float64, f Fault, names []string, rows [][]Row) (string, error) {
 	p := plot.New()
 	p.Title.Text = f.Name + ", " + label
 	p.Y.Label.Text = "latency, ms"
 	p.Legend.Top = true
-	contenders := len(rows[0])
-	for c := range contenders {
+	candidates := len(rows[0])
+	for candidate := range candidates {
 		values := make(plotter.Values, len(rows))
 		for i := range rows {
-			values[i] = rows[i][c].Total.Millis(quantile)
+			values[i] = rows[i][candidate].Total.Millis(quantile)
 		}
 		bars, err := plotter.NewBarChart(values, barWidth)
 		if err != nil {
 			return "", errors.Wrap(err, label)
 		}
-		bars.Color = colour(c)
+		bars.Color = colorOf(candidate)
 		bars.LineStyle.Width = 0
-		bars.Offset = (vg.Length(c) - vg.Length(contenders-1)/2) * barWidth
+		bars.Offset = (vg.Length(candidate) - vg.Length(candidates-1)/2) * barWidth
 		p.Add(bars)
-		p.Legend.Add(rows[0][c].Contender, bars)
+		p.Legend.Add(rows[0][candidate].Candidate, bars)
 	}
 	p.NominalX(names...)
 	p.X.Min -= 0.5
 	p.X.Max += 0.5
-	p.Y.Max *= headroom
+	p.Y.Max *= legendHeadroom
 	name := filepath.Join(dir, f.Name+"-"+label+"."+ext)
 	return name, errors.Wrap(p.Save(plotWidth, plotHeight, name), name)
 }
--- a/internal/lab/proxyhost.go
+++ b/internal/lab/proxyhost.go
@@ -12,111 +12,116 @@
 )
 
 const (
-	// maxWaiting is the default bound of a group's queue.
-	maxWaiting = 64
-	// hintInterval is how long the queue stands still before it tries again.
-	hintInterval = 5 * time.Millisecond
-	// medianQuantile estimates how long a send usually takes.
+	// maxQueueLength is the default length limit of a group's queue.
+	maxQueueLength = 64
+	// queueRetryInterval is the time without activity after which the queue is
+	// retried.
+	queueRetryInterval = 5 * time.Millisecond
+	// medianQuantile is the quantile used as the expected latency of an attempt.
 	medianQuantile = 0.5
 )
 
-// partsHost is the product's course of a repeatable request with its own
-// parts: limit, queue, retry budget, latency. It mirrors internal/proxy, which
-// gives the parts goroutines instead of events.
-type partsHost struct {
-	env     *hostEnv
-	limiter *limit.Limiter
-	service queue.ServiceTime
-	queue   *queue.Queue[*Request]
-	budget  *retry.Budget
-	latency retry.Latency
-	hedge   hedging
-	// lastWake is when the queue was last woken, ticking whether it will be again.
+// proxyHost handles repeatable requests as the proxy does, with the same
+// components: concurrency limiter, queue, retry budget and latency estimate. It
+// mirrors internal/proxy, which drives the components with goroutines instead of
+// events.
+type proxyHost struct {
+	env         *hostEnv
+	limiter     *limit.Limiter
+	serviceTime queue.ServiceTime
+	queue       *queue.Queue[*Request]
+	budget      *retry.Budget
+	latency     retry.Latency
+	hedging     hedgePolicy
+	// lastWake is when the queue was last woken.
 	lastWake time.Time
-	ticking  bool
+	// retryScheduled is set while a timer to wake the queue is pending.
+	retryScheduled bool
 }
 
-// NewBasicHost returns the default Host, which does not hedge.
-func NewBasicHost(env Env) Host { return newPartsHost(env, hedging{}) }
+// NewBasicHost returns the default Host. It does not hedge.
+func NewBasicHost(env Env) Host { return newProxyHost(env, hedgePolicy{}) }
 
-func newPartsHost(env Env, h hedging) *partsHost {
+func newProxyHost(env Env, h hedgePolicy) *proxyHost {
 	e := env.(*hostEnv)
-	slots := e.world.run.Workload.Upstreams * slotsPerUpstream
-	return &partsHost{
+	slots := e.sim.run.Workload.Upstreams * slotsPerUpstream
+	return &proxyHost{
 		env:     e,
-		limiter: limit.ForGroup(slots, e.world.run.Workload.EntryHosts),
-		queue:   queue.New[*Request](maxWaiting),
+		limiter: limit.ForGroup(slots, e.sim.run.Workload.EntryHosts),
+		queue:   queue.New[*Request](maxQueueLength),
 		budget:  retry.NewBudget(config.DefaultBudgetPercent),
-		hedge:   h,
+		hedging: h,
 	}
 }
 
-func (h *partsHost) now() time.Time { return h.env.Clock().Now() }
+func (h *proxyHost) now() time.Time { return h.env.Clock().Now() }
 
 // Arrive implements Host.
-func (h *partsHost) Arrive(r *Request) {
+func (h *proxyHost) Arrive(r *Request) {
 	h.env.Clock().After(r.Deadline.Sub(h.now()), func() { h.expire(r) })
-	h.bind(r)
+	h.dispatch(r)
 }
 
 // expire ends a request at its deadline.
-func (h *partsHost) expire(r *Request) {
+func (h *proxyHost) expire(r *Request) {
 	if r.finished {
 		return
 	}
 	h.env.Finish(r, false)
-	if r.entry != nil {
-		h.queue.Remove(r.entry)
+	if r.queueEntry != nil {
+		h.queue.Remove(r.queueEntry)
 	}
 	r.cancelOthers()
 }
 
-// bind sends a request, or lets it wait.
-func (h *partsHost) bind(r *Request) {
-	res, full := h.tryBind(r)
-	if full == nil {
+// dispatch sends a request if possible, and queues or rejects it otherwise.
+func (h *proxyHost) dispatch(r *Request) {
+	res, unavailable := h.tryDispatch(r)
+	if unavailable == nil {
 		h.send(r, res)
 		return
 	}
-	if full == balancer.ErrNoUpstream {
-		h.notSent(r)
+	if unavailable == balancer.ErrNoUpstream {
+		h.reject(r)
 		return
 	}
-	r.waiting = h.now()
-	r.entry = &queue.Entry[*Request]{Value: r, Priority: queue.Normal, Deadline: r.Deadline}
-	reason, out := h.queue.Push(h.now(), r.entry, h.pace())
-	if out != nil {
-		h.notSent(out.Value)
+	r.queuedAt = h.now()
+	r.queueEntry = &queue.Entry[*Request]{Value: r, Priority: queue.Normal, Deadline: r.Deadline}
+	reason, evicted := h.queue.Push(h.now(), r.queueEntry, h.pace())
+	if evicted != nil {
+		h.reject(evicted.Value)
 	}
 	if reason != queue.Kept {
-		h.notSent(r)
+		h.reject(r)
 		return
 	}
-	if full == errLimit {
-		h.wake(1)
+	if unavailable == errLimitReached {
+		h.wakeQueue(1)
 	}
-	h.tick()
+	h.scheduleQueueRetry()
 }
 
-// notSent gives a request up that found no place.
-func (h *partsHost) notSent(r *Request) {
+// reject ends a request that could not be sent. If it was a retry, its token goes
+// back to the retry budget.
+func (h *proxyHost) reject(r *Request) {
 	if r.Attempts > 0 {
 		h.budget.Refund()
 	}
-	r.entry = nil
+	r.queueEntry = nil
 	h.env.Finish(r, false)
 }
 
-// tryBind picks an upstream if a place in the limit and a slot are free now.
-func (h *partsHost) tryBind(r *Request) (balancer.Result, error) {
+// tryDispatch picks an upstream if no request is queued and the concurrency limit
+// is not reached.
+func (h *proxyHost) tryDispatch(r *Request) (balancer.Result, error) {
 	if h.queue.Len() > 0 || !h.limiter.Acquire(0) {
-		return balancer.Result{}, errLimit
+		return balancer.Result{}, errLimitReached
 	}
 	return h.pick(r, 0)
 }
 
-// pick chooses an upstream, or gives the place in the limit back.
-func (h *partsHost) pick(r *Request, waited time.Duration) (balancer.Result, error) {
+// pick chooses an upstream. On failure it releases the limiter.
+func (h *proxyHost) pick(r *Request, waited time.Duration) (balancer.Result, error) {
 	res, err := h.env.Picker().Pick(balancer.PickInfo{
 		Now:     h.now(),
 		Random:  h.env.Random().Uint64(),
@@ -129,11 +134,12 @@
 	return res, err
 }
 
-// wake hands a place in the limit to the next n that wait.
-func (h *partsHost) wake(n int) {
+// wakeQueue dispatches up to n queued requests as far as the concurrency limit
+// allows. It first rejects those that can no longer be served in time.
+func (h *proxyHost) wakeQueue(n int) {
 	h.lastWake = h.now()
-	for _, given := range h.queue.GiveUp(h.now(), h.pace()) {
-		h.notSent(given.Entry.Value)
+	for _, expired := range h.queue.GiveUp(h.now(), h.pace()) {
+		h.reject(expired.Entry.Value)
 	}
 	var taken []*queue.Entry[*Request]
 	for range n {
@@ -148,70 +154,73 @@
 		taken = append(taken, e)
 	}
 	for _, e := range taken {
-		h.resume(e)
+		h.dispatchQueued(e)
 	}
 }
 
-// resume picks for a request that was woken.
-func (h *partsHost) resume(e *queue.Entry[*Request]) {
+// dispatchQueued picks an upstream for a request taken from the queue. If no slot
+// is free, the request goes back to the queue.
+func (h *proxyHost) dispatchQueued(e *queue.Entry[*Request]) {
 	r := e.Value
-	res, err := h.pick(r, h.now().Sub(r.waiting))
+	res, err := h.pick(r, h.now().Sub(r.queuedAt))
 	switch err {
 	case nil:
-		r.entry = nil
+		r.queueEntry = nil
 		h.send(r, res)
 	case balancer.ErrNoSlot:
 		h.queue.Return(e)
-		h.tick()
+		h.scheduleQueueRetry()
 	default:
-		h.notSent(r)
+		h.reject(r)
 	}
 }
 
-// tick wakes the queue after the hint interval if nothing else does.
-func (h *partsHost) tick() {
-	if h.ticking || h.queue.Len() == 0 {
+// scheduleQueueRetry wakes the queue after queueRetryInterval unless something
+// else wakes it before.
+func (h *proxyHost) scheduleQueueRetry() {
+	if h.retryScheduled || h.queue.Len() == 0 {
 		return
 	}
-	h.ticking = true
-	h.env.Clock().After(hintInterval, func() {
-		h.ticking = false
-		if h.now().Sub(h.lastWake) >= hintInterval {
-			h.wake(1)
+	h.retryScheduled = true
+	h.env.Clock().After(queueRetryInterval, func() {
+		h.retryScheduled = false
+		if h.now().Sub(h.lastWake) >= queueRetryInterval {
+			h.wakeQueue(1)
 		}
-		h.tick()
+		h.scheduleQueueRetry()
 	})
 }
 
-func (h *partsHost) pace() queue.Pace {
+func (h *proxyHost) pace() queue.Pace {
 	_, inFlight := h.limiter.Limit()
-	return queue.Pace{Service: h.service.Mean(), Parallel: inFlight}
+	return queue.Pace{Service: h.serviceTime.Mean(), Parallel: inFlight}
 }
 
-// send sends a request that was bound.
-func (h *partsHost) send(r *Request, res balancer.Result) {
+// send sends an attempt to the picked upstream.
+func (h *proxyHost) send(r *Request, res balancer.Result) {
 	r.Tried = append(r.Tried, res.Upstream)
-	r.sending++
+	r.inFlight++
 	r.cancels = append(r.cancels, h.env.Send(r, res.Upstream, func(f balancer.Feedback) {
-		r.sending--
-		h.release(r, f)
-		h.ended(r, f)
+		r.inFlight--
+		h.recordOutcome(r, f)
+		h.finishOrRetry(r, f)
 	}))
 	if r.Attempts == 1 {
 		h.budget.First()
-		h.watch(r, res)
+		h.scheduleHedge(r, res)
 	}
 }
 
-// release tells the limit and the queue of the end of a send.
-func (h *partsHost) release(r *Request, f balancer.Feedback) {
+// recordOutcome reports the end of an attempt to the limiter and the estimates and
+// wakes the queue.
+func (h *proxyHost) recordOutcome(r *Request, f balancer.Feedback) {
 	s := limit.Sample{Outcome: limit.Ignored, Latency: f.Latency}
 	switch {
 	case f.Outcome == balancer.Answered:
 		s.Outcome = limit.Answered
 		s.Pressure = float64(f.Report.InFlight) / slotsPerUpstream
 		h.latency.Observe(f.Latency)
-		h.service.Observe(f.Latency)
+		h.serviceTime.Observe(f.Latency)
 	case f.Outcome == balancer.Refused, f.Outcome == balancer.Cancelled && !h.now().Before(r.Deadline):
 		s.Outcome = limit.Refused
 	}
@@ -220,34 +229,35 @@
 		return
 	}
 	if reason == limit.Grew || reason == limit.Relearned {
-		h.wake(2)
+		h.wakeQueue(2)
 		return
 	}
-	h.wake(1)
+	h.wakeQueue(1)
 }
 
-// ended finishes a request, or sends it once more.
-func (h *partsHost) ended(r *Request, f balancer.Feedback) {
+// finishOrRetry handles the end of an attempt: it finishes the request, retries
+// it, or leaves it to attempts still in flight.
+func (h *proxyHost) finishOrRetry(r *Request, f balancer.Feedback) {
 	switch {
 	case f.Outcome == balancer.Answered:
 		h.env.Finish(r, !f.Now.After(r.Deadline))
 		r.cancelOthers()
-	case r.finished || r.sending > 0:
-	case retry.Decide(h.attempt(r, kindOf(f.Outcome)), h.budget) == retry.Allowed:
-		h.bind(r)
+	case r.finished || r.inFlight > 0:
+	case retry.Decide(h.retryAttempt(r, errorKind(f.Outcome)), h.budget) == retry.Allowed:
+		h.dispatch(r)
 	default:
 		h.env.Finish(r, false)
 	}
 }
 
-func kindOf(o balancer.Outcome) errkind.Kind {
+func errorKind(o balancer.Outcome) errkind.Kind {
 	if o == balancer.Refused {
 		return errkind.UpstreamRefused
 	}
 	return errkind.UpstreamBroken
 }
 
-func (h *partsHost) attempt(r *Request, kind errkind.Kind) retry.Attempt {
+func (h *proxyHost) retryAttempt(r *Request, kind errkind.Kind) retry.Attempt {
 	return retry.Attempt{
 		Kind:        kind,
 		Repeatable:  true,
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -1,7 +1,8 @@
-// Package lab drives balancer policies in virtual time: fake upstreams with
-// slots, service times, faults and reports that lag, and entry hosts that
-// decide on their own. It has no network or process model and only serves to
-// compare decisions. A run is determined by its seed.
+// Package lab is a discrete-event simulator for comparing balancer policies. It
+// simulates upstreams with slots, random service times, faults and delayed load
+// reports, and entry hosts that decide independently of each other. Apart from
+// fixed message delays there is no network or process model, so results are only
+// meaningful relative to each other. A run is determined by its seed.
 package lab
 
 import (
@@ -12,24 +13,25 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 )
 
-// warmUp is the time before requests count.
-const warmUp = 500 * time.Millisecond
+// warmUpDuration is the initial part of a run, which is not measured.
+const warmUpDuration = 500 * time.Millisecond
 
-// Run describes one run.
+// Run configures one simulation run.
 type Run struct {
-	// Workload is the service.
+	// Workload is the simulated service.
 	Workload Workload
-	// Fault is the condition.
+	// Fault is the scenario.
 	Fault Fault
-	// Builder makes the policy; nil runs the reference with one central queue.
+	// Builder builds the balancer policy. If nil, the reference with one central
+	// queue runs instead.
 	Builder balancer.Builder
-	// NewHost makes the decision maker of an entry host. Default: NewBasicHost.
+	// NewHost creates the Host of each entry host. The default is NewBasicHost.
 	NewHost func(Env) Host
-	// ProbePercent is the measuring budget in percent of slot time; 0 sends no probe.
+	// ProbePercent is the probe budget in percent of slot time; 0 disables probes.
 	ProbePercent float64
 	// Duration is the virtual time of the run after the warm-up.
 	Duration time.Duration
-	// Seed determines the run.
+	// Seed seeds all random sources of the run.
 	Seed uint64
 }
 
@@ -38,21 +40,22 @@
 	significantFigures = 3
 )
 
-// Result is what one run measured.
+// Result holds the measurements of one or more runs.
 type Result struct {
-	// Latency is in microseconds. A request that was given up counts with its deadline.
+	// Latency is in microseconds. Requests that were not answered in time are
+	// recorded with at least requestDeadline.
 	Latency *hdr.Histogram
 	// Offered counts the requests that arrived, Good those answered in time.
 	Offered, Good int64
 	// GivenUp counts the requests that were not answered in time.
 	GivenUp int64
-	// Attempts counts the sends.
+	// Attempts counts the attempts sent to upstreams.
 	Attempts int64
-	// Probes counts the probes of the whole run, the warm-up included.
+	// Probes counts the probes of the whole run, including the warm-up.
 	Probes int64
-	// ProbeShare is the slot time of the probes in percent of all slot time.
+	// ProbeShare is the slot time used by probes in percent of all slot time.
 	ProbeShare float64
-	// Goodput is Good as a share of capacity in the time that counts.
+	// Goodput is Good as a fraction of the capacity during the measured time.
 	Goodput float64
 }
 
@@ -60,9 +63,9 @@
 	return &Result{Latency: hdr.New(1, maxLatencyMicros, significantFigures)}
 }
 
-func (r *Result) add(q *Request, now time.Time, ok bool) {
-	latency := now.Sub(q.Arrived)
-	r.Attempts += int64(q.Attempts)
+func (r *Result) recordRequest(req *Request, now time.Time, ok bool) {
+	latency := now.Sub(req.Arrived)
+	r.Attempts += int64(req.Attempts)
 	if ok {
 		r.Good++
 	} else {
@@ -76,27 +79,28 @@
 func (r Run) Do() *Result {
 	switch {
 	case r.Builder == nil:
-		r.NewHost = newCentralHost
+		r.NewHost = newCentralQueueHost
 		r.Workload.EntryHosts = 1
 	case r.NewHost == nil:
 		r.NewHost = NewBasicHost
 	}
-	w := newWorld(r)
-	w.arrive()
-	w.clock.After(warmUp, w.onsets)
-	w.clock.run(warmUp + r.Duration)
-	w.finishRun()
-	return w.result
+	s := newSimulation(r)
+	s.scheduleArrival()
+	s.clock.After(warmUpDuration, s.injectFaults)
+	s.clock.run(warmUpDuration + r.Duration)
+	s.computeShares()
+	return s.result
 }
 
-// finishRun works out the shares. Requests still in flight at the end are not counted.
-func (w *world) finishRun() {
-	r := w.result
-	measured := w.run.Duration.Seconds()
-	if w.run.Fault.Windowed {
-		measured *= Window.Seconds() / period.Seconds()
+// computeShares computes the relative values of the result. Requests still in
+// flight at the end of the run are not included.
+func (s *simulation) computeShares() {
+	r := s.result
+	measured := s.run.Duration.Seconds()
+	if s.run.Fault.OnsetWindowOnly {
+		measured *= OnsetWindow.Seconds() / onsetPeriod.Seconds()
 	}
-	r.Goodput = float64(r.Good) / (w.run.Workload.capacity() * measured)
-	slotTime := float64(w.run.Workload.Upstreams*slotsPerUpstream) * w.clock.now.Seconds()
-	r.ProbeShare = 100 * float64(r.Probes) * probeTime.Seconds() / slotTime
+	r.Goodput = float64(r.Good) / (s.run.Workload.capacity() * measured)
+	slotTime := float64(s.run.Workload.Upstreams*slotsPerUpstream) * s.clock.now.Seconds()
+	r.ProbeShare = 100 * float64(r.Probes) * probeServiceTime.Seconds() / slotTime
 }
--- a/internal/lab/simulation.go
+++ b/internal/lab/simulation.go
@@ -9,146 +9,152 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 )
 
-// world is the state of one run.
-type world struct {
+// simulation is the state of one run.
+type simulation struct {
 	run       Run
 	clock     *Clock
 	upstreams []*upstream
 	hosts     []*hostEnv
 	result    *Result
-	// Each matter has its own random source, so that a policy's draws do not
-	// change the arrivals or the service times that another policy meets.
-	arrivals, faults *rand.Rand
-	onsetAt          time.Duration
+	// Arrivals, faults, upstreams and hosts have separate random sources, so that
+	// the random numbers a policy draws do not change the arrivals and service
+	// times it is measured with.
+	arrivalRand, faultRand *rand.Rand
+	lastOnset              time.Duration
 }
 
+// Streams of the random sources. Upstream i and host i use the streams
+// firstUpstreamStream+i and firstHostStream+i.
 const (
-	streamArrivals = iota + 1
-	streamFaults
-	streamUpstreams
-	streamHosts = 1000
+	arrivalStream = iota + 1
+	faultStream
+	firstUpstreamStream
+	firstHostStream = 1000
 )
 
-func newWorld(r Run) *world {
-	w := &world{run: r, clock: &Clock{}, result: newResult(), onsetAt: -time.Hour}
-	w.arrivals = rand.New(rand.NewPCG(r.Seed, streamArrivals))
-	w.faults = rand.New(rand.NewPCG(r.Seed, streamFaults))
+func newSimulation(r Run) *simulation {
+	s := &simulation{run: r, clock: &Clock{}, result: newResult(), lastOnset: -time.Hour}
+	s.arrivalRand = rand.New(rand.NewPCG(r.Seed, arrivalStream))
+	s.faultRand = rand.New(rand.NewPCG(r.Seed, faultStream))
 	for i := range r.Workload.Upstreams {
-		w.upstreams = append(w.upstreams, w.newUpstream(i))
+		s.upstreams = append(s.upstreams, s.newUpstream(i))
 	}
 	for i := range r.Workload.EntryHosts {
-		w.hosts = append(w.hosts, newHostEnv(w, i))
+		s.hosts = append(s.hosts, newHostEnv(s, i))
 	}
-	return w
+	return s
 }
 
-func (w *world) newUpstream(i int) *upstream {
-	random := rand.New(rand.NewPCG(w.run.Seed, streamUpstreams+uint64(i)))
+func (s *simulation) newUpstream(i int) *upstream {
+	random := rand.New(rand.NewPCG(s.run.Seed, firstUpstreamStream+uint64(i)))
 	u := &upstream{
-		clock:       w.clock,
-		random:      random,
-		id:          fmt.Sprintf("u%02d", i),
-		domain:      i % w.run.Workload.FailureDomains,
-		slots:       slotsPerUpstream,
-		shedLimit:   shedLimit,
-		mean:        w.run.Workload.Mean,
-		reportEvery: w.run.Fault.ReportEvery,
-		silent:      i < w.run.Fault.Silent,
+		clock:           s.clock,
+		random:          random,
+		id:              fmt.Sprintf("u%02d", i),
+		domain:          i % s.run.Workload.FailureDomains,
+		slots:           slotsPerUpstream,
+		maxInFlight:     defaultMaxInFlight,
+		meanServiceTime: s.run.Workload.MeanServiceTime,
+		reportInterval:  s.run.Fault.ReportInterval,
+		reportsZero:     i < s.run.Fault.ZeroReporters,
 	}
-	if w.run.Fault.ShedLimit > 0 {
-		u.shedLimit = w.run.Fault.ShedLimit
+	if s.run.Fault.MaxInFlight > 0 {
+		u.maxInFlight = s.run.Fault.MaxInFlight
 	}
-	if u.reportEvery == 0 {
-		ratio := float64(maxReportEvery) / float64(minReportEvery)
-		u.reportEvery = time.Duration(float64(minReportEvery) * math.Pow(ratio, random.Float64()))
+	if u.reportInterval == 0 {
+		ratio := float64(maxReportInterval) / float64(minReportInterval)
+		u.reportInterval = time.Duration(float64(minReportInterval) * math.Pow(ratio, random.Float64()))
 	}
-	u.reportPhase = time.Duration(random.Int64N(int64(u.reportEvery)))
+	u.reportPhase = time.Duration(random.Int64N(int64(u.reportInterval)))
 	return u
 }
 
-func (w *world) drawUpstream() *upstream { return w.upstreams[w.faults.IntN(len(w.upstreams))] }
+func (s *simulation) randomUpstream() *upstream {
+	return s.upstreams[s.faultRand.IntN(len(s.upstreams))]
+}
 
-// arrive schedules the next arrival: a Poisson process over all entry hosts.
-func (w *world) arrive() {
-	rate := w.run.Workload.capacity() * w.run.Fault.Load
-	if w.run.Fault.Surge > 0 && w.clock.now-w.onsetAt < surgeTime {
-		rate *= w.run.Fault.Surge
+// scheduleArrival schedules the next arrival of a Poisson process over all entry
+// hosts.
+func (s *simulation) scheduleArrival() {
+	rate := s.run.Workload.capacity() * s.run.Fault.Load
+	if s.run.Fault.SurgeFactor > 0 && s.clock.now-s.lastOnset < surgeDuration {
+		rate *= s.run.Fault.SurgeFactor
 	}
-	wait := time.Duration(w.arrivals.ExpFloat64() / rate * float64(time.Second))
-	w.clock.After(wait, func() {
-		w.accept()
-		w.arrive()
+	wait := time.Duration(s.arrivalRand.ExpFloat64() / rate * float64(time.Second))
+	s.clock.After(wait, func() {
+		s.handleArrival()
+		s.scheduleArrival()
 	})
 }
 
-func (w *world) accept() {
-	h := w.drawHost()
-	now := w.clock.Now()
+func (s *simulation) handleArrival() {
+	h := s.randomHost()
+	now := s.clock.Now()
 	r := &Request{
-		Arrived:  now,
-		Deadline: now.Add(requestDeadline),
-		size:     logNormal(w.arrivals, requestSigma),
+		Arrived:    now,
+		Deadline:   now.Add(requestDeadline),
+		sizeFactor: logNormal(s.arrivalRand, requestSigma),
 	}
-	if w.counts() {
-		w.result.Offered++
+	if s.isMeasured() {
+		s.result.Offered++
 	}
 	h.host.Arrive(r)
 }
 
-// drawHost is the platform's choice of an entry host.
-func (w *world) drawHost() *hostEnv {
-	if w.run.Fault.Uneven > 0 && w.arrivals.Float64() < w.run.Fault.Uneven {
-		return w.hosts[0]
+// randomHost chooses an entry host as the platform's load balancing does.
+func (s *simulation) randomHost() *hostEnv {
+	if s.run.Fault.FirstHostShare > 0 && s.arrivalRand.Float64() < s.run.Fault.FirstHostShare {
+		return s.hosts[0]
 	}
-	return w.hosts[w.arrivals.IntN(len(w.hosts))]
+	return s.hosts[s.arrivalRand.IntN(len(s.hosts))]
 }
 
-// counts reports whether requests that arrive now are measured.
-func (w *world) counts() bool { return w.countsAt(w.clock.now) }
+// isMeasured reports whether requests that arrive now are measured.
+func (s *simulation) isMeasured() bool { return s.isMeasuredAt(s.clock.now) }
 
-func (w *world) countsAt(at time.Duration) bool {
-	if at < warmUp {
+func (s *simulation) isMeasuredAt(at time.Duration) bool {
+	if at < warmUpDuration {
 		return false
 	}
-	since := (at - warmUp) % period
-	return !w.run.Fault.Windowed || since < Window
+	since := (at - warmUpDuration) % onsetPeriod
+	return !s.run.Fault.OnsetWindowOnly || since < OnsetWindow
 }
 
-// onsets starts the fault once per period.
-func (w *world) onsets() {
-	w.onsetAt = w.clock.now
-	if w.run.Fault.onset != nil {
-		w.run.Fault.onset(w)
+// injectFaults starts the fault and schedules its next start.
+func (s *simulation) injectFaults() {
+	s.lastOnset = s.clock.now
+	if s.run.Fault.inject != nil {
+		s.run.Fault.inject(s)
 	}
-	w.clock.After(period, w.onsets)
+	s.clock.After(onsetPeriod, s.injectFaults)
 }
 
-// delay is the one-way time between an entry host and an upstream.
-func (w *world) delay(h *hostEnv, u *upstream) time.Duration {
+// networkDelay returns the one-way delay between an entry host and an upstream.
+func (s *simulation) networkDelay(h *hostEnv, u *upstream) time.Duration {
 	if h.domain == u.domain {
 		return sameDomainDelay
 	}
 	return crossDomainDelay
 }
 
-// sendJob carries a job to u and its end back to h. The returned function
-// cancels it after the same delay.
-func (w *world) sendJob(h *hostEnv, u *upstream, service time.Duration, done func(balancer.Feedback)) (cancel func()) {
-	sent := w.clock.now
-	d := w.delay(h, u)
-	j := &job{service: service}
+// sendJob sends a job to u and its outcome back to h, each after the network
+// delay. The returned function cancels the job, also after the network delay.
+func (s *simulation) sendJob(h *hostEnv, u *upstream, service time.Duration, done func(balancer.Feedback)) (cancel func()) {
+	sent := s.clock.now
+	d := s.networkDelay(h, u)
+	j := &job{serviceTime: service}
 	j.done = func(o balancer.Outcome) {
 		report := u.report()
-		w.clock.After(d, func() {
+		s.clock.After(d, func() {
 			report.Age += d
 			done(balancer.Feedback{
-				Now:     w.clock.Now(),
-				Latency: w.clock.now - sent,
+				Now:     s.clock.Now(),
+				Latency: s.clock.now - sent,
 				Outcome: o,
 				Report:  report,
 			})
 		})
 	}
-	w.clock.After(d, func() { u.submit(j) })
-	return func() { w.clock.After(d, func() { u.cancel(j) }) }
+	s.clock.After(d, func() { u.submit(j) })
+	return func() { s.clock.After(d, func() { u.cancel(j) }) }
 }
--- a/internal/lab/upstream.go
+++ b/internal/lab/upstream.go
@@ -9,17 +9,17 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 )
 
-// failFastTime is the time in which an upstream that fails fast answers.
-const failFastTime = 100 * time.Microsecond
+// failFastLatency is the response time of an upstream that fails fast.
+const failFastLatency = 100 * time.Microsecond
 
 // job is one request or probe at an upstream.
 type job struct {
-	service time.Duration
-	done    func(balancer.Outcome)
-	state   jobState
+	serviceTime time.Duration
+	done        func(balancer.Outcome)
+	state       jobState
 }
 
-// jobState says how far a job has come.
+// jobState is the processing state of a job.
 type jobState uint8
 
 const (
@@ -29,62 +29,63 @@
 	jobEnded
 )
 
-// upstream is a fake server: slots, a queue, and a report that lags.
+// upstream is a simulated server with slots, a queue and delayed load reports.
 type upstream struct {
 	clock  *Clock
 	random *rand.Rand
 	id     string
 	domain int
 
-	slots     int
-	busy      int
-	queue     []*job
-	shedLimit int
-
-	mean     time.Duration
-	slowness float64
-	coldAt   time.Duration
-	cold     float64
-	failFast bool
-
-	silent      bool // always reports 0 requests
-	reportEvery time.Duration
-	reportPhase time.Duration
-	reportTick  int64
-	reported    int
+	slots       int
+	busy        int
+	queue       []*job
+	maxInFlight int
+
+	meanServiceTime time.Duration
+	slowdown        float64
+	coldSince       time.Duration
+	coldFactor      float64
+	failFast        bool
+
+	reportsZero      bool // always report 0 requests in flight
+	reportInterval   time.Duration
+	reportPhase      time.Duration
+	lastReport       int64
+	reportedInFlight int
 }
 
 func (u *upstream) inFlight() int { return u.busy + len(u.queue) }
 
-// serviceTime draws the service time of a request with the given size.
+// serviceTime draws the service time of a request with the given size factor.
 func (u *upstream) serviceTime(size float64) time.Duration {
-	return time.Duration(float64(u.mean) * size * logNormal(u.random, serverSigma))
+	return time.Duration(float64(u.meanServiceTime) * size * logNormal(u.random, serverSigma))
 }
 
-// logNormal draws from a log-normal distribution with the mean 1.
+// logNormal draws from a log-normal distribution with mean 1.
 func logNormal(random *rand.Rand, sigma float64) float64 {
 	return math.Exp(random.NormFloat64()*sigma - sigma*sigma/2)
 }
 
-// speed is the factor on service times now.
-func (u *upstream) speed() float64 {
-	f := max(u.slowness, 1)
-	if u.cold > 1 {
-		warm := float64(u.clock.now-u.coldAt) / float64(coldTime)
-		f *= max(u.cold-(u.cold-1)*warm, 1)
+// serviceTimeFactor returns the current multiplier of service times.
+func (u *upstream) serviceTimeFactor() float64 {
+	f := max(u.slowdown, 1)
+	if u.coldFactor > 1 {
+		warmed := float64(u.clock.now-u.coldSince) / float64(warmUpTime)
+		f *= max(u.coldFactor-(u.coldFactor-1)*warmed, 1)
 	}
 	return f
 }
 
-// submit takes a request. An upstream that sheds or fails answers at once.
+// submit starts, queues, refuses or fails a job. An upstream that sheds load or
+// fails fast responds without using a slot.
 func (u *upstream) submit(j *job) {
-	u.tick()
+	u.updateReport()
 	switch {
 	case j.state == jobEnded:
 		j.done(balancer.Cancelled)
 	case u.failFast:
-		u.clock.After(failFastTime, func() { j.done(balancer.Failed) })
-	case u.inFlight() >= u.shedLimit:
+		u.clock.After(failFastLatency, func() { j.done(balancer.Failed) })
+	case u.inFlight() >= u.maxInFlight:
 		u.clock.After(0, func() { j.done(balancer.Refused) })
 	case u.busy < u.slots:
 		u.start(j)
@@ -97,7 +98,7 @@
 func (u *upstream) start(j *job) {
 	j.state = jobRunning
 	u.busy++
-	d := time.Duration(float64(j.service) * u.speed())
+	d := time.Duration(float64(j.serviceTime) * u.serviceTimeFactor())
 	u.clock.After(d, func() { u.finish(j) })
 }
 
@@ -106,13 +107,13 @@
 		return
 	}
 	j.state = jobEnded
-	u.release()
+	u.releaseSlot()
 	j.done(balancer.Answered)
 }
 
-// release frees a slot for the next job in the queue.
-func (u *upstream) release() {
-	u.tick()
+// releaseSlot frees a slot and starts the next queued job.
+func (u *upstream) releaseSlot() {
+	u.updateReport()
 	u.busy--
 	if len(u.queue) > 0 {
 		next := u.queue[0]
@@ -121,37 +122,39 @@
 	}
 }
 
-// cancel ends a job early. A job that has not arrived is refused on arrival.
+// cancel ends a job early. A job that has not arrived yet ends as cancelled on
+// arrival.
 func (u *upstream) cancel(j *job) {
-	was := j.state
+	previous := j.state
 	j.state = jobEnded
-	switch was {
+	switch previous {
 	case jobQueued:
-		u.tick()
+		u.updateReport()
 		u.queue = slices.DeleteFunc(u.queue, func(q *job) bool { return q == j })
 		j.done(balancer.Cancelled)
 	case jobRunning:
-		u.release()
+		u.releaseSlot()
 		j.done(balancer.Cancelled)
 	case jobNew, jobEnded:
 	}
 }
 
-// tick takes the sample of the newest reporting instant that has passed.
-func (u *upstream) tick() {
-	n := int64((u.clock.now + u.reportPhase) / u.reportEvery)
-	if n > u.reportTick {
-		u.reportTick = n
-		u.reported = u.inFlight()
+// updateReport samples the requests in flight if a reporting instant has passed
+// since the last sample. It must be called before each change of inFlight.
+func (u *upstream) updateReport() {
+	n := int64((u.clock.now + u.reportPhase) / u.reportInterval)
+	if n > u.lastReport {
+		u.lastReport = n
+		u.reportedInFlight = u.inFlight()
 	}
 }
 
-// report returns the newest sample and its age.
+// report returns the latest sample and its age.
 func (u *upstream) report() balancer.Report {
-	u.tick()
-	sampled := time.Duration(u.reportTick)*u.reportEvery - u.reportPhase
-	if u.silent {
+	u.updateReport()
+	sampled := time.Duration(u.lastReport)*u.reportInterval - u.reportPhase
+	if u.reportsZero {
 		return balancer.Report{Valid: true, Age: u.clock.now - sampled}
 	}
-	return balancer.Report{Valid: true, InFlight: u.reported, Age: u.clock.now - sampled}
+	return balancer.Report{Valid: true, InFlight: u.reportedInFlight, Age: u.clock.now - sampled}
 }
