--- a/internal/lab/host.go
+++ b/internal/lab/host.go
@@ -8,11 +8,11 @@
 	"github.com/dapplespindle/dapplespindle/pkg/queue"
 )
 
-// Request is a simulated client request.
+// Request is a simulated request of a caller.
 type Request struct {
 	// Arrived is the time of arrival at the entry host.
 	Arrived time.Time
-	// Deadline is the time at which the client gives up.
+	// Deadline is the time at which the caller gives up.
 	Deadline time.Time
 	// Attempts counts the attempts, including hedges.
 	Attempts int
--- a/internal/loadgen/ranking.go
+++ b/internal/loadgen/ranking.go
@@ -37,8 +37,8 @@
 	Services []string
 	// Rounds is how often each service is measured in each condition.
 	Rounds int
-	// WarmUp is the initial part of a turn, which is not measured. Duration is
-	// the rest.
+	// WarmUp is the time before each measurement in which requests are sent but
+	// not measured. Duration is the time of the measurement.
 	WarmUp, Duration time.Duration
 	// Rate is the arrival rate in requests per second.
 	Rate float64
@@ -80,7 +80,7 @@
 	}
 	for round := range conf.Rounds {
 		for i := range out {
-			if err := conf.runTurn(ctx, &out[i], conf.Seed+uint64(round)); err != nil {
+			if err := conf.measureService(ctx, &out[i], conf.Seed+uint64(round)); err != nil {
 				return nil, err
 			}
 		}
@@ -88,9 +88,9 @@
 	return out, nil
 }
 
-// runTurn measures one service for one round. All services of a round get the
+// measureService measures one service for one round. All services of a round get the
 // same arrivals and slowdowns.
-func (c RankingConfig) runTurn(ctx context.Context, r *RankingResult, seed uint64) error {
+func (c RankingConfig) measureService(ctx context.Context, r *RankingResult, seed uint64) error {
 	run := Config{
 		Rate: c.Rate, Duration: c.WarmUp + c.Duration, MaxRequests: int(2*c.Rate*(c.WarmUp+c.Duration).Seconds()) + 1,
 		MaxInFlight: c.MaxInFlight, Seed: seed,
--- a/internal/loadgen/ranking_test.go
+++ b/internal/loadgen/ranking_test.go
@@ -14,17 +14,17 @@
 // services.
 func TestRankCountsOnlySlowdownWindows(t *testing.T) {
 	is := is.New(t)
-	var slowed, fast, sends atomic.Int64
+	var slowed, restored, requests atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.URL.Path == "/metrics":
 			_, _ = w.Write([]byte(`{"attempts.sent": 7, "latency.service.a": {"count": 1}}`))
 		case r.URL.Path == "/_slow" && r.URL.Query().Get("factor") == "1":
-			fast.Add(1)
+			restored.Add(1)
 		case r.URL.Path == "/_slow":
 			slowed.Add(1)
 		default:
-			sends.Add(1)
+			requests.Add(1)
 			w.Header().Set(headerOutcome, "ran")
 		}
 	}))
@@ -43,8 +43,8 @@
 		is.True(int(r.Latency.TotalCount()) <= r.Sent-r.Skipped)
 		is.Equal(r.Attempts, int64(0)) // the fake reports a constant counter
 	}
-	is.Equal(int64(total), sends.Load())
-	is.Equal(slowed.Load(), fast.Load()) // every slowdown was reverted
+	is.Equal(int64(total), requests.Load())
+	is.Equal(slowed.Load(), restored.Load()) // every slowdown was reverted
 	is.True(slowed.Load() >= 2)
 	is.True(rows[2].Latency.TotalCount() < rows[0].Latency.TotalCount())
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -101,10 +101,10 @@
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		}
-		answer, changed := p.store.changesSince(after, f, time.Now())
+		changes, changed := p.store.changesSince(after, f, time.Now())
 		left := time.Until(deadline)
-		if len(answer.Changes) > 0 || left <= 0 {
-			writeJSON(w, answer)
+		if len(changes.Changes) > 0 || left <= 0 {
+			writeJSON(w, changes)
 			return
 		}
 		if f.Lag > 0 {
