--- a/cmd/spindle-load/compare.go
+++ b/cmd/spindle-load/compare.go
@@ -15,7 +15,7 @@
 	"github.com/dapplespindle/dapplespindle/internal/loadgen"
 )
 
-// compareCommand measures what entry hosts add.
+// compareCommand measures the overhead of entry hosts.
 func compareCommand() *cobra.Command {
 	var (
 		conf       loadgen.CompareConfig
@@ -34,7 +34,8 @@
 				}
 				conf.EntryHosts = append(conf.EntryHosts, host)
 			}
-			// Memory first: a load leaves free memory that would hide the growth.
+			// Memory is measured first, because the process keeps memory it has
+			// freed after a load, which would hide the growth.
 			for _, host := range conf.EntryHosts {
 				if err := printIdleMemory(host, idle); err != nil {
 					return err
@@ -54,20 +55,20 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&conf.DirectURL, "direct", "", "URL at the upstream (required)")
+	f.StringVar(&conf.DirectURL, "direct", "", "URL to request at the upstream directly (required)")
 	f.StringArrayVar(&entryHosts, "through", nil, "entry host, as NAME,URL,PID,ADMIN-IP:PORT; may be repeated to compare builds (required)")
-	f.Float64SliceVar(&conf.LoadShares, "shares", []float64{0.1, 0.5, 0.8}, "loads, as shares of the first entry host's saturation")
-	f.DurationVar(&conf.Duration, "duration", time.Second, "time of each round of each load")
-	f.IntVar(&conf.Rounds, "rounds", 7, "measurements of each load")
-	f.IntVar(&conf.Workers, "workers", 32, "connections to each way")
-	f.Uint64Var(&conf.Seed, "seed", 1, "seed of the arrivals")
-	f.IntVar(&idle, "idle", 2000, "idle connections to measure memory with; 0 is none")
-	f.BoolVar(&eachRound, "each", false, "print each round")
+	f.Float64SliceVar(&conf.LoadShares, "shares", []float64{0.1, 0.5, 0.8}, "loads, as fractions of the saturation rate of the first entry host")
+	f.DurationVar(&conf.Duration, "duration", time.Second, "duration of one round at one load")
+	f.IntVar(&conf.Rounds, "rounds", 7, "number of measurements of each load")
+	f.IntVar(&conf.Workers, "workers", 32, "number of connections per path")
+	f.Uint64Var(&conf.Seed, "seed", 1, "seed of the arrival times")
+	f.IntVar(&idle, "idle", 2000, "number of idle connections for the memory measurement; 0 disables it")
+	f.BoolVar(&eachRound, "each", false, "also print the results of each round")
 	return cmd
 }
 
-// printRounds prints the tail of each round beside the time that the entry
-// host's threads waited for a processor, which tells a busy machine.
+// printRounds prints the latencies of each round and the time that the threads of
+// the entry host waited for a processor, which reveals a busy machine.
 func printRounds(hosts []loadgen.EntryHost, levels []loadgen.LoadLevel) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "load\tround\tway\tdirect p99 ms\tadded p50 ms\tadded p99 ms\twaited for a processor, us/request\t")
@@ -84,7 +85,7 @@
 	return w.Flush()
 }
 
-// wayFields is the number of parts of --through.
+// entryHostFields is the number of comma-separated fields of --through.
 const entryHostFields = 4
 
 func parseEntryHost(raw string) (loadgen.EntryHost, error) {
@@ -94,7 +95,7 @@
 	}
 	pid, err := strconv.Atoi(parts[2])
 	if err != nil {
-		return loadgen.EntryHost{}, errors.Newf("through: %q is not a process id", parts[2])
+		return loadgen.EntryHost{}, errors.Newf("through: %q is not a process ID", parts[2])
 	}
 	return loadgen.EntryHost{Name: parts[0], URL: parts[1], PID: pid, AdminAddress: parts[3]}, nil
 }
@@ -106,8 +107,8 @@
 	}
 }
 
-// printLevels prints quantiles over all rounds, and the median and the range
-// over the rounds of what a way adds to the quantile of the direct one.
+// printLevels prints the latency quantiles over all rounds, and the median and the
+// range over the rounds of the latency added to the direct path.
 func printLevels(hosts []loadgen.EntryHost, levels []loadgen.LoadLevel) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "load\tasked/s\tgot/s\tway\tquantile\tdirect ms\tthrough ms\tadded ms, median\tfrom\tto\trequests\terrors\t")
--- a/cmd/spindle-load/main.go
+++ b/cmd/spindle-load/main.go
@@ -1,5 +1,5 @@
-// Command spindle-load sends bounded load to loopback addresses and prints
-// latency and outcomes.
+// Command spindle-load generates bounded load for loopback addresses and prints
+// latencies and outcomes.
 package main
 
 import (
@@ -15,44 +15,45 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "spindle-load", Short: "Send bounded load to loopback", SilenceUsage: true}
+	root := &cobra.Command{Use: "spindle-load", Short: "Generate bounded load for loopback addresses", SilenceUsage: true}
 	root.AddCommand(mixCommand(), compareCommand(), rankingCommand())
 	if err := root.Execute(); err != nil {
 		os.Exit(1)
 	}
 }
 
-// mixCommand sends the two deployments' mix through entry hosts.
+// mixCommand sends the request mix of the two reference deployments through entry
+// hosts.
 func mixCommand() *cobra.Command {
 	var (
-		conf  loadgen.Config
-		bases []string
+		config    loadgen.Config
+		entryURLs []string
 	)
 	cmd := &cobra.Command{
 		Use:   "mix",
-		Short: "Send the two deployments' mix through entry hosts",
+		Short: "Send the request mix of the two reference deployments through entry hosts",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			for _, base := range bases {
-				conf.Targets = append(conf.Targets, mix(base)...)
+			for _, base := range entryURLs {
+				config.Targets = append(config.Targets, targetsFor(base)...)
 			}
-			report, err := loadgen.Run(cmd.Context(), conf)
+			report, err := loadgen.Run(cmd.Context(), config)
 			if err != nil {
 				return err
 			}
-			return printReport(conf, report)
+			return printReport(config, report)
 		},
 	}
 	f := cmd.Flags()
-	f.StringSliceVar(&bases, "entry", []string{"http://127.0.0.1:8080"}, "base URLs of entry hosts")
-	f.Float64Var(&conf.Rate, "rate", 500, "requests per second")
-	f.DurationVar(&conf.Duration, "duration", 5*time.Second, "longest time to send")
-	f.IntVar(&conf.MaxRequests, "max-requests", 100_000, "most requests to send")
-	f.IntVar(&conf.MaxInFlight, "max-in-flight", 512, "most requests at the same time")
-	f.Uint64Var(&conf.Seed, "seed", 1, "seed of the arrivals")
+	f.StringSliceVar(&entryURLs, "entry", []string{"http://127.0.0.1:8080"}, "base URLs of entry hosts")
+	f.Float64Var(&config.Rate, "rate", 500, "arrival rate in requests per second")
+	f.DurationVar(&config.Duration, "duration", 5*time.Second, "maximum duration of the run")
+	f.IntVar(&config.MaxRequests, "max-requests", 100_000, "maximum number of requests to send")
+	f.IntVar(&config.MaxInFlight, "max-in-flight", 512, "maximum number of concurrent requests; arrivals above it are skipped")
+	f.Uint64Var(&config.Seed, "seed", 1, "seed of the arrival times and the choice of targets")
 	return cmd
 }
 
-func mix(base string) []loadgen.Target {
+func targetsFor(base string) []loadgen.Target {
 	var targets []loadgen.Target
 	for _, d := range standin.Deployments {
 		targets = append(targets, loadgen.Target{
@@ -67,7 +68,7 @@
 	return targets
 }
 
-// print shows one line per kind of request, over all entry hosts.
+// printReport prints one line per kind of request, combined over all entry hosts.
 func printReport(conf loadgen.Config, r *loadgen.Report) error {
 	names, byName := mergeByName(conf, r)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// merge joins the statistics of targets with one name, in the order of the mix.
+// mergeByName merges the statistics of targets with the same name. It returns the
+// names in the order of the mix.
 func mergeByName(conf loadgen.Config, r *loadgen.Report) ([]string, map[string]*loadgen.Stats) {
 	var names []string
 	byName := make(map[string]*loadgen.Stats)
--- a/cmd/spindle-load/ranking.go
+++ b/cmd/spindle-load/ranking.go
@@ -12,12 +12,12 @@
 	"github.com/dapplespindle/dapplespindle/internal/loadgen"
 )
 
-// rankingCommand compares policies on real processes.
+// rankingCommand compares balancer policies using real processes.
 func rankingCommand() *cobra.Command {
 	var conf loadgen.RankingConfig
 	cmd := &cobra.Command{
 		Use:   "ranking",
-		Short: "Compare services that differ in their policy, in turn, steady and with slow-downs",
+		Short: "Compare services that differ in their balancer policy, steady and with slowdowns",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			rows, err := loadgen.Rank(cmd.Context(), conf)
 			if err != nil {
@@ -28,15 +28,15 @@
 	}
 	f := cmd.Flags()
 	f.StringSliceVar(&conf.EntryURLs, "entry", nil, "base URLs of entry hosts")
-	f.StringSliceVar(&conf.AdminURLs, "admin", nil, "base URLs of their metrics")
+	f.StringSliceVar(&conf.AdminURLs, "admin", nil, "base URLs of the entry hosts' metrics")
 	f.StringSliceVar(&conf.UpstreamURLs, "upstream", nil, "base URLs of the stand-in upstreams")
 	f.StringSliceVar(&conf.Services, "service", nil, "services to compare")
-	f.IntVar(&conf.Rounds, "rounds", 3, "turns of each service and condition")
-	f.DurationVar(&conf.WarmUp, "warm-up", 500*time.Millisecond, "time of a turn before requests count")
-	f.DurationVar(&conf.Duration, "duration", 3*time.Second, "rest of a turn")
-	f.Float64Var(&conf.Rate, "rate", 1000, "requests per second")
-	f.IntVar(&conf.MaxInFlight, "max-in-flight", 1024, "most requests at the same time")
-	f.Uint64Var(&conf.Seed, "seed", 1, "seed of the arrivals and of the upstreams that slow down")
+	f.IntVar(&conf.Rounds, "rounds", 3, "measurements of each service in each condition")
+	f.DurationVar(&conf.WarmUp, "warm-up", 500*time.Millisecond, "initial time of a measurement that is not counted")
+	f.DurationVar(&conf.Duration, "duration", 3*time.Second, "duration of a measurement after the warm-up")
+	f.Float64Var(&conf.Rate, "rate", 1000, "arrival rate in requests per second")
+	f.IntVar(&conf.MaxInFlight, "max-in-flight", 1024, "maximum number of concurrent requests; arrivals above it are skipped")
+	f.Uint64Var(&conf.Seed, "seed", 1, "seed of the arrival times and of the choice of slow upstreams")
 	return cmd
 }
 
@@ -59,7 +59,7 @@
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// byRound lists the p99 of the rounds.
+// p99ByRound lists the p99 of each round.
 func p99ByRound(r loadgen.RankingResult) string {
 	s := ""
 	for _, h := range r.Rounds {
--- a/cmd/spindle-standin/main.go
+++ b/cmd/spindle-standin/main.go
@@ -1,5 +1,5 @@
-// Command spindle-standin runs a stand-in for the platform or for upstreams.
-// It serves demos and tests only.
+// Command spindle-standin runs a substitute for the platform or for upstreams. It
+// is meant for demos and tests only.
 package main
 
 import (
@@ -16,7 +16,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "spindle-standin", Short: "Stand-ins for the platform and for upstreams", SilenceUsage: true}
+	root := &cobra.Command{Use: "spindle-standin", Short: "Run substitutes for the platform and for upstreams", SilenceUsage: true}
 	root.AddCommand(platformCommand(), upstreamCommand(), deploymentsCommand(), publishCommand())
 	if err := root.Execute(); err != nil {
 		os.Exit(1)
@@ -32,7 +32,7 @@
 			return http.ListenAndServe(listen, standin.NewPlatform().Handler())
 		},
 	}
-	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:7000", "IP:port")
+	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:7000", "IP:port to listen on")
 	return cmd
 }
 
@@ -63,14 +63,14 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&host, "host", "127.0.0.1", "IP")
+	f.StringVar(&host, "host", "127.0.0.1", "IP to listen on")
 	f.IntVar(&port, "port", 9001, "first port")
 	f.IntVar(&count, "count", 1, "number of upstreams")
-	f.IntVar(&slots, "slots", 3, "requests served at the same time")
+	f.IntVar(&slots, "slots", 3, "number of requests processed concurrently by an upstream")
 	f.DurationVar(&mean, "mean", 5*time.Millisecond, "mean service time")
-	f.Float64Var(&serverSigma, "server-sigma", 0.6, "shape of the part of service times that is drawn for each send")
-	f.Float64Var(&requestSigma, "request-sigma", 0, "shape of the part of service times that belongs to the request")
-	f.StringVar(&name, "name", "upstream", "prefix of the ids")
-	f.StringVar(&crashPath, "ends-under", "", "path of requests under which the process ends")
+	f.Float64Var(&serverSigma, "server-sigma", 0.6, "log-normal shape of the service time factor drawn for each attempt")
+	f.Float64Var(&requestSigma, "request-sigma", 0, "log-normal shape of the service time factor determined by the request ID")
+	f.StringVar(&name, "name", "upstream", "prefix of the upstream IDs")
+	f.StringVar(&crashPath, "ends-under", "", "path of requests that make the process exit (default none)")
 	return cmd
 }
--- a/cmd/spindle-standin/publish.go
+++ b/cmd/spindle-standin/publish.go
@@ -12,13 +12,13 @@
 	"github.com/dapplespindle/dapplespindle/internal/standin"
 )
 
-// publishCommand plays the operator: it puts the documents of the two
-// deployments into the stand-in platform.
+// publishCommand publishes the service documents of the two reference deployments
+// to the stand-in platform, as an operator would.
 func publishCommand() *cobra.Command {
 	var base string
 	cmd := &cobra.Command{
 		Use:   "publish",
-		Short: "Publish the documents of the two deployments",
+		Short: "Publish the service documents of the two reference deployments",
 		RunE: func(*cobra.Command, []string) error {
 			for _, d := range standin.Deployments {
 				if err := publish(base, d); err != nil {
@@ -53,11 +53,11 @@
 	return nil
 }
 
-// deploymentsCommand serves the upstreams of all deployments.
+// deploymentsCommand serves the upstreams of all services in standin.Deployments.
 func deploymentsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "deployments",
-		Short: "Serve the upstreams of the two deployments on loopback",
+		Short: "Serve the upstreams of the two reference deployments on loopback addresses",
 		RunE: func(*cobra.Command, []string) error {
 			errs := make(chan error, 1)
 			for _, d := range standin.Deployments {
--- a/cmd/spindlectl/main.go
+++ b/cmd/spindlectl/main.go
@@ -1,4 +1,4 @@
-// Command spindlectl is the operators' command line.
+// Command spindlectl is the command-line client for operators.
 package main
 
 import (
--- a/cmd/spindled-platform/main.go
+++ b/cmd/spindled-platform/main.go
@@ -1,5 +1,4 @@
-// Command spindled-platform is the daemon of an entry host on the users'
-// platform.
+// Command spindled-platform is the entry host daemon for the users' platform.
 package main
 
 import (
--- a/cmd/spindled/main.go
+++ b/cmd/spindled/main.go
@@ -1,4 +1,4 @@
-// Command spindled is the daemon of an entry host.
+// Command spindled is the entry host daemon.
 package main
 
 import (
@@ -34,7 +34,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := load(cmd, &conf); err != nil {
+			if err := loadSettings(cmd, &conf); err != nil {
 				return err
 			}
 			return run(cmd, conf)
@@ -45,14 +45,15 @@
 	return cmd
 }
 
-// newCheckCommand checks the settings as a start would, and opens no socket.
+// newCheckCommand returns the check-config command. It validates the settings as at
+// startup but opens no socket.
 func newCheckCommand(conf *settings.Entry) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check-config",
-		Short: "Check the settings, with their key files, and end",
+		Short: "Check the settings and the key files they name, then exit",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := load(cmd, conf); err != nil {
+			if err := loadSettings(cmd, conf); err != nil {
 				return err
 			}
 			if err := entry.Check(*conf, cmd.OutOrStdout()); err != nil {
@@ -64,8 +65,9 @@
 	}
 }
 
-// load takes the environment into the flags that were not given, and checks all.
-func load(cmd *cobra.Command, conf *settings.Entry) error {
+// loadSettings sets flags that were not given from the environment and validates
+// the settings.
+func loadSettings(cmd *cobra.Command, conf *settings.Entry) error {
 	if err := settings.FromProcess(cmd.Flags()); err != nil {
 		return err
 	}
--- a/cmd/spindled/main_test.go
+++ b/cmd/spindled/main_test.go
@@ -19,7 +19,7 @@
 	return out.String(), err
 }
 
-// TestCheckConfigOpensNoSocket: the address to listen on is taken already.
+// check-config must succeed although its listen address is already in use.
 func TestCheckConfigOpensNoSocket(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,18 +30,18 @@
 	is.Equal(out, "the settings are valid\n")
 }
 
-func TestCheckConfigRefuses(t *testing.T) {
+func TestCheckConfigRejectsInvalidSettings(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "not-a-key")
 	is.New(t).NoErr(os.WriteFile(file, []byte("nothing"), 0o600))
 	tests := []struct {
 		name string
 		args []string
 	}{
-		{"a setting", []string{"--listen=nowhere"}},
-		{"a flag that is not known", []string{"--no-such-flag"}},
-		{"a file that is no certificate", []string{
+		{"invalid listen address", []string{"--listen=nowhere"}},
+		{"unknown flag", []string{"--no-such-flag"}},
+		{"invalid certificate file", []string{
 			"--operator-tls-cert=" + file, "--operator-tls-key=" + file, "--operator-tls-ca=" + file}},
-		{"a file that holds no fleet key", []string{"--fleet-key-file=" + file}},
+		{"fleet key file without a key", []string{"--fleet-key-file=" + file}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
