--- a/pkg/atmostonce/ask.go
+++ b/pkg/atmostonce/ask.go
@@ -6,86 +6,88 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-// Verdict is what to do with an ask.
+// Verdict is the action to take on a request.
 type Verdict uint8
 
 // The verdicts of Ledger.Ask.
 const (
-	// Execute means that the caller of Ask now runs the request, and alone may.
+	// Execute means that the caller of Ask must execute the request. No other
+	// caller gets this verdict.
 	Execute Verdict = iota
-	// Join means that the request is being executed; wait for its result.
+	// Join means that the request is already being executed; the caller waits for
+	// its result.
 	Join
-	// Final means that Result is the answer, now and for each later ask.
+	// Final means that Result is the answer.
 	Final
 )
 
-// Decision answers an ask.
+// Decision is the answer to an Ask.
 type Decision struct {
-	// Verdict is what to do.
+	// Verdict is the action to take.
 	Verdict Verdict
 	// Result is the answer when Verdict is Final.
 	Result Result
-	// Replayed is true when the result was decided by an earlier ask.
+	// Replayed is true when the result is that of an earlier request.
 	Replayed bool
 }
 
-// Ask is one arrival of a request under a ticket that Sealer.Owner found Own.
+// Ask describes the arrival of a request whose ticket Sealer.Owner reported as Own.
 type Ask struct {
-	// Sequence is the ticket's.
+	// Sequence is the sequence number of the ticket.
 	Sequence uint64
-	// Digest is the request's.
+	// Digest identifies the content of the request.
 	Digest Digest
-	// Deadline is when the caller no longer waits.
+	// Deadline is the time at which the caller stops waiting.
 	Deadline time.Time
 }
 
-// Ask decides one arrival. The error is a *Breach.
+// Ask decides what to do with an arriving request. The error is a *Breach.
 func (l *Ledger) Ask(now time.Time, a Ask) (Decision, error) {
 	now = l.advance(now)
 	if a.Sequence >= l.next {
-		return final(errkind.Internal, "ticket was never issued"), breach(BreachNeverIssued, a.Sequence)
+		return finalDecision(errkind.Internal, "ticket was never issued"), newBreach(BreachNeverIssued, a.Sequence)
 	}
 	if a.Sequence < l.oldest {
-		return final(errkind.TicketForgotten, "the record's time is over"), nil
+		return finalDecision(errkind.TicketForgotten, "the record's time is over"), nil
 	}
 	if l.frozen {
-		return final(errkind.IssuerGone, "tickets were handed over"), nil
+		return finalDecision(errkind.IssuerGone, "tickets were handed over"), nil
 	}
 	s := l.slot(a.Sequence)
 	if s.record == nil {
-		return l.first(now, s, a), nil
+		return l.bind(now, s, a), nil
 	}
-	return s.record.again(a)
+	return s.record.decideRepeat(a)
 }
 
-// first binds the ticket to the request. A ticket that may not run is burnt in
-// the same step in which "not run" is answered.
-func (l *Ledger) first(now time.Time, s *slot, a Ask) Decision {
+// bind binds an unused ticket to the request. If the ticket may not be executed,
+// it is invalidated in the same step that answers "not run".
+func (l *Ledger) bind(now time.Time, s *slot, a Ask) Decision {
 	s.record = &record{digest: a.Digest, deadline: a.Deadline, state: admitted}
 	if !now.Before(s.expires) {
-		return s.record.burn(refused(errkind.TicketExpired, "the ticket's lifetime is over"))
+		return s.record.reject(errorResult(errkind.TicketExpired, "the ticket's lifetime is over"))
 	}
 	if !now.Before(a.Deadline) {
-		return s.record.burn(refused(errkind.DeadlineBeforeSend, "the deadline passed on arrival"))
+		return s.record.reject(errorResult(errkind.DeadlineBeforeSend, "the deadline passed on arrival"))
 	}
 	l.running++
 	return Decision{Verdict: Execute}
 }
 
-// again answers a later ask from the record.
-func (r *record) again(a Ask) (Decision, error) {
+// decideRepeat answers a repeated request from the record.
+func (r *record) decideRepeat(a Ask) (Decision, error) {
 	if a.Digest != r.digest {
-		return final(errkind.TicketMismatch, "the ticket is bound to another request"), nil
+		return finalDecision(errkind.TicketMismatch, "the ticket is bound to another request"), nil
 	}
 	if !r.state.final() {
 		return Decision{Verdict: Join}, nil
 	}
 	if err := r.checkReport(a.Sequence); err != nil {
-		return final(errkind.Internal, err.Error()), err
+		return finalDecision(errkind.Internal, err.Error()), err
 	}
 	return Decision{Verdict: Final, Result: r.result, Replayed: true}, nil
 }
 
-func final(k errkind.Kind, detail string) Decision {
-	return Decision{Verdict: Final, Result: refused(k, detail)}
+func finalDecision(k errkind.Kind, detail string) Decision {
+	return Decision{Verdict: Final, Result: errorResult(k, detail)}
 }
--- a/pkg/atmostonce/atmostonce_test.go
+++ b/pkg/atmostonce/atmostonce_test.go
@@ -11,13 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-// runsVariable sets the number of schedules of a long run.
+// runsVariable is the environment variable that sets the number of schedules.
 const runsVariable = "ATMOSTONCE_RUNS"
 
 const shortRuns = 200
 
 func TestMain(m *testing.M) {
-	_ = flag.Set("rapid.seed", "1") // before Parse, so that a given flag wins
+	_ = flag.Set("rapid.seed", "1") // before Parse, so that the command line overrides it
 	_ = flag.Set("rapid.steps", "200")
 	flag.Parse()
 	os.Exit(m.Run())
@@ -33,23 +33,25 @@
 	return n
 }
 
-// TestSchedules runs the real ledgers under the schedules that break the naive ways.
+// TestSchedules runs the real ledgers under the schedules that break the naive
+// protocols of TestNaiveFails.
 func TestSchedules(t *testing.T) {
 	schedules := scheduleGenerator(weights)
-	count := &tally{}
+	count := &counters{}
 	for seed := range runs(t) {
-		if breach := run(real{testConfig}, schedules.Example(seed+1), count); breach != "" {
-			t.Errorf("seed %d: %s", seed+1, breach)
+		if violation := run(ledgerProtocol{testConfig}, schedules.Example(seed+1), count); violation != "" {
+			t.Errorf("seed %d: %s", seed+1, violation)
 		}
 	}
 	t.Logf("%d runs, %d executions; %s", count.runs, count.executed, count)
 	is.New(t).True(count.executed > 0)
 }
 
-// TestStateMachine lets rapid choose and shrink the steps.
+// TestStateMachine checks the real ledgers under steps that rapid chooses and
+// shrinks.
 func TestStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(real{testConfig}, &tally{})
+		f := newFleet(ledgerProtocol{testConfig}, &counters{})
 		number := rapid.IntRange(0, 1<<16)
 		actions := make(map[string]func(*rapid.T))
 		for o, w := range weights {
@@ -60,26 +62,26 @@
 			}
 		}
 		actions[""] = func(t *rapid.T) {
-			if f.breach != "" {
-				t.Fatal(f.breach)
+			if f.violation != "" {
+				t.Fatal(f.violation)
 			}
 		}
 		t.Repeat(actions)
 	})
 }
 
-// TestUnknownShare prints the share of each answer under one fault at a time.
+// TestUnknownShare logs the share of each outcome under one kind of fault at a time.
 func TestUnknownShare(t *testing.T) {
-	for _, fault := range []op{numOps, opKill, opPause, opSplit, opLose, opDuplicate, opHandOver} {
+	for _, fault := range []op{numOps, opKill, opPause, opPartition, opDrop, opDuplicate, opHandOver} {
 		name := "none"
 		if fault < numOps {
 			name = opNames[fault]
 		}
-		schedules := scheduleGenerator(without(fault))
-		count := &tally{}
+		schedules := scheduleGenerator(weightsWithFault(fault))
+		count := &counters{}
 		for seed := range runs(t) {
-			f := newFleet(real{longConfig}, count)
-			f.patient = true
+			f := newFleet(ledgerProtocol{longConfig}, count)
+			f.waitForDeadline = true
 			is.New(t).Equal(f.run(schedules.Example(seed+1)), "")
 		}
 		n := count.answers
--- a/pkg/atmostonce/breach.go
+++ b/pkg/atmostonce/breach.go
@@ -7,23 +7,24 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// Breaches, by the numbers of their events.
+// Violated invariants, by their event codes.
 const (
-	// BreachNeverIssued is a verified ticket with a number that was not issued.
+	// BreachNeverIssued is a verified ticket whose sequence number was never issued.
 	BreachNeverIssued = event.InvariantTicketNeverIssued
-	// BreachSecondSend is a send while an earlier one may have run.
+	// BreachSecondSend is a second send while the first one may have run.
 	BreachSecondSend = event.InvariantSecondSend
-	// BreachNoRecord is a step of an execution that has no record.
+	// BreachNoRecord is a state change of an execution that has no record, or a
+	// result of "ran" although nothing was sent.
 	BreachNoRecord = event.InvariantNoRecord
-	// BreachFalseNotRun is a report of "not run" for a request that may have run.
+	// BreachFalseNotRun is a result of "not run" for a request that may have run.
 	BreachFalseNotRun = event.InvariantFalseNotRun
 )
 
-// Breach is a broken invariant. It stops the request concerned.
+// Breach is a violated invariant. The affected request must not proceed.
 type Breach struct {
-	// Code is the event to emit.
+	// Code is the code of the event to emit.
 	Code event.Code
-	// Sequence is the ticket's.
+	// Sequence is the sequence number of the ticket.
 	Sequence uint64
 }
 
@@ -32,25 +33,26 @@
 	return b.Code.String() + ": ticket " + strconv.FormatUint(b.Sequence, 10)
 }
 
-func breach(code event.Code, sequence uint64) *Breach {
+func newBreach(code event.Code, sequence uint64) *Breach {
 	return &Breach{Code: code, Sequence: sequence}
 }
 
-// checkReport verifies a final result before it is reported.
+// checkReport verifies that a final result agrees with the attempts that were made
+// before it is reported.
 func (r *record) checkReport(sequence uint64) error {
 	if r.mayHaveRun && r.result.Outcome() == errkind.NotRun {
-		return breach(BreachFalseNotRun, sequence)
+		return newBreach(BreachFalseNotRun, sequence)
 	}
 	return nil
 }
 
-// checkFinish verifies a result against the attempts that were made.
+// checkFinish verifies that a new result agrees with the attempts that were made.
 func (r *record) checkFinish(sequence uint64, result Result) error {
 	if r.mayHaveRun && result.Outcome() == errkind.NotRun {
-		return breach(BreachFalseNotRun, sequence)
+		return newBreach(BreachFalseNotRun, sequence)
 	}
 	if !r.mayHaveRun && result.Outcome() == errkind.Ran {
-		return breach(BreachNoRecord, sequence)
+		return newBreach(BreachNoRecord, sequence)
 	}
 	return nil
 }
--- a/pkg/atmostonce/example_test.go
+++ b/pkg/atmostonce/example_test.go
@@ -8,10 +8,10 @@
 	"github.com/dapplespindle/dapplespindle/pkg/atmostonce"
 )
 
-// A request is asked for twice and runs once.
+// A request arrives twice and is executed once.
 func Example() {
 	now := time.Unix(0, 0)
-	secret := atmostonce.Secret{1} // random in earnest
+	secret := atmostonce.Secret{1} // must be random outside of examples
 	sealer := atmostonce.NewSealer(netip.MustParseAddrPort("10.0.0.1:7400"), 1, secret)
 	ledger := atmostonce.New(atmostonce.DefaultConfig(), now)
 
@@ -21,7 +21,7 @@
 	for range 2 {
 		ticket, _ := atmostonce.ParseTicket(text)
 		if sealer.Owner(ticket) != atmostonce.Own {
-			return // forward it, or answer that the outcome is unknown
+			return // forward the request, or answer that the outcome is unknown
 		}
 		decision, _ := ledger.Ask(now, atmostonce.Ask{
 			Sequence: ticket.Sequence,
@@ -35,7 +35,7 @@
 		if denied, _ := ledger.Send(now, ticket.Sequence); denied != nil {
 			return
 		}
-		answer := &atmostonce.Answer{Status: 201} // the upstream's
+		answer := &atmostonce.Answer{Status: 201} // from the upstream
 		result, _ := ledger.Finish(now, ticket.Sequence, atmostonce.Ran(answer))
 		fmt.Println("first:", result.Outcome(), result.Answer.Status)
 	}
--- a/pkg/atmostonce/fleet_test.go
+++ b/pkg/atmostonce/fleet_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// The fleet is an in-memory message queue around the real ledgers (or a naive
-// variant). A schedule of steps decides what happens; nothing else does.
+// The simulated fleet is an in-memory message queue between members that run the
+// real ledgers or a naive protocol. A schedule of steps alone determines what
+// happens.
 
 const (
 	fleetHosts = 13
@@ -30,12 +31,12 @@
 	replyMessage                      // issuer to forwarder
 	runMessage                        // host to upstream
 	ranMessage                        // upstream to host
-	refusedMessage                    // upstream to host: certainly not run
+	refusedMessage                    // upstream to host: refused before running
 	adoptMessage                      // stopping host to its successor
 )
 
-// message is one message on the queue. Epoch guards against a reply to an
-// earlier process on the same address, as a TCP connection would.
+// message is one message on the queue. The epoch prevents a reply from reaching a
+// later process at the same address, as a TCP connection would.
 type message struct {
 	kind     messageKind
 	from, to int
@@ -47,14 +48,14 @@
 	handOver *handOver
 }
 
-// action is one non-repeatable action of a caller, known by its key.
+// action is a non-repeatable action of a caller, identified by its key.
 type action struct {
-	key        string
-	runs       int
-	toldNotRun bool
+	key            string
+	runs           int
+	reportedNotRun bool
 }
 
-// member is the protocol that one process runs.
+// member is one process that runs a protocol.
 type member interface {
 	receive(m message)
 	timeout(pick int)
@@ -62,42 +63,42 @@
 	handOver(to int)
 }
 
-// protocol makes members and the keys that callers use.
+// protocol creates members and the keys that callers use.
 type protocol interface {
 	start(f *fleet, host int) member
 	key(f *fleet, host int) (string, bool)
 }
 
 type process struct {
-	member member
-	epoch  int
-	paused bool
-	part   int
-	offset time.Duration
-	rate   time.Duration
+	member    member
+	epoch     int
+	paused    bool
+	partition int
+	offset    time.Duration
+	rate      time.Duration
 }
 
 type fleet struct {
-	protocol protocol
-	now      time.Duration
-	hosts    [fleetHosts]process
-	queue    []message
-	actions  []*action
-	random   *rand.Rand
-	breach   string
-	patient  bool
-	count    *tally
-}
-
-// tally counts what happened over all runs of one protocol.
-type tally struct {
-	runs, steps, breached int
-	faults                [numOps]int
-	answers               [numOutcomes]int
-	executed              int
-}
-
-func newFleet(p protocol, count *tally) *fleet {
+	protocol        protocol
+	now             time.Duration
+	hosts           [fleetHosts]process
+	queue           []message
+	actions         []*action
+	random          *rand.Rand
+	violation       string
+	waitForDeadline bool
+	count           *counters
+}
+
+// counters counts events over all runs of one protocol.
+type counters struct {
+	runs, steps, violations int
+	faults                  [numOps]int
+	answers                 [numOutcomes]int
+	executed                int
+}
+
+func newFleet(p protocol, count *counters) *fleet {
 	f := &fleet{protocol: p, count: count, random: rand.New(rand.NewPCG(1, 2))}
 	for i := range f.hosts {
 		f.hosts[i].offset = time.Duration(f.random.IntN(1000)) * time.Hour
@@ -107,13 +108,14 @@
 	return f
 }
 
-// clock is the host's own monotonic clock: its zero and its rate are its own.
+// clock returns the host's monotonic time. Each host's clock has its own offset and
+// rate.
 func (f *fleet) clock(host int) time.Time {
 	h := &f.hosts[host]
 	return time.Time{}.Add(h.offset + f.now*h.rate)
 }
 
-func (f *fleet) post(m message) {
+func (f *fleet) enqueue(m message) {
 	if m.kind == runMessage || m.kind == forwardMessage {
 		m.epoch = f.hosts[m.from].epoch
 	}
@@ -126,9 +128,9 @@
 	if o != answeredNotRun {
 		return
 	}
-	act.toldNotRun = true
+	act.reportedNotRun = true
 	if act.runs > 0 {
-		f.breach = "answered not-run after it ran"
+		f.violation = "answered not-run after it ran"
 	}
 }
 
@@ -138,15 +140,15 @@
 	f.count.executed++
 	switch {
 	case act.runs > 1:
-		f.breach = "ran twice"
-	case act.toldNotRun:
-		f.breach = "ran after not-run was answered"
+		f.violation = "ran twice"
+	case act.reportedNotRun:
+		f.violation = "ran after not-run was answered"
 	}
 	f.queue = append(f.queue, message{kind: ranMessage, from: m.to, to: m.from, epoch: m.epoch, key: m.key, action: m.action})
 }
 
-// deliver hands over message i, unless its receiver is paused or cut off; then
-// it stays and arrives late.
+// deliver delivers message i, unless its receiver is paused or partitioned; then
+// the message stays in the queue and arrives later.
 func (f *fleet) deliver(i int, refuse bool) {
 	m := f.queue[i]
 	if m.kind == runMessage {
@@ -155,7 +157,7 @@
 		return
 	}
 	to := &f.hosts[m.to]
-	if to.paused || f.cut(m) {
+	if to.paused || f.partitioned(m) {
 		return
 	}
 	f.remove(i)
@@ -174,9 +176,9 @@
 	f.execute(m)
 }
 
-func (f *fleet) cut(m message) bool {
+func (f *fleet) partitioned(m message) bool {
 	between := m.kind == forwardMessage || m.kind == replyMessage || m.kind == adoptMessage
-	return between && f.hosts[m.from].part != f.hosts[m.to].part
+	return between && f.hosts[m.from].partition != f.hosts[m.to].partition
 }
 
 func (f *fleet) remove(i int) {
--- a/pkg/atmostonce/handover.go
+++ b/pkg/atmostonce/handover.go
@@ -8,38 +8,39 @@
 
 // Errors of Freeze and Adopt.
 var (
-	// ErrRunning means that executions have not ended; nothing was frozen.
+	// ErrRunning means that executions are still running; nothing was frozen.
 	ErrRunning = errors.New("executions are running")
-	// ErrFrozen means that the ledger was handed over before.
+	// ErrFrozen means that the ledger was already frozen.
 	ErrFrozen = errors.New("already handed over")
-	// ErrTooLarge means that a snapshot holds more tickets than the bound.
+	// ErrTooLarge means that a snapshot holds more than Config.MaxTickets tickets.
 	ErrTooLarge = errors.New("more tickets than the bound")
 )
 
-// Snapshot is a frozen ledger. There must be one copy that is ever adopted:
-// it is sent to one incarnation of one host, which adopts it at most once.
+// Snapshot is the content of a frozen ledger. At most one copy may ever be
+// adopted: it is sent to a single incarnation of a single host, which adopts it
+// at most once.
 type Snapshot struct {
 	// Oldest is the sequence number of the first slot.
 	Oldest uint64
-	// Slots are in the order of their sequence numbers.
+	// Slots are ordered by sequence number.
 	Slots []SavedSlot
 }
 
-// SavedSlot is the memory of one ticket.
+// SavedSlot is the serializable state of one ticket.
 type SavedSlot struct {
-	// Left is the time until the lifetime ends; negative if it is over.
+	// Left is the remaining lifetime; negative if the lifetime is over.
 	Left time.Duration
-	// Used is true if the ticket is bound to Digest and ended with Result.
+	// Used is true if the ticket is bound to Digest and finished with Result.
 	Used bool
-	// Digest is the request's.
+	// Digest identifies the request. It is set only if Used is true.
 	Digest Digest
-	// Result is final.
+	// Result is the final result. It is set only if Used is true.
 	Result Result
 }
 
-// Freeze ends the ledger for good and returns its content: from now on it
-// executes nothing and answers "unknown". It returns ErrRunning while
-// executions run, and ErrFrozen the second time.
+// Freeze permanently stops the ledger and returns its content. A frozen ledger
+// executes nothing and answers "unknown". Freeze returns ErrRunning while
+// executions are running, and ErrFrozen if the ledger is already frozen.
 func (l *Ledger) Freeze(now time.Time) (Snapshot, error) {
 	now = l.advance(now)
 	if l.frozen {
@@ -67,8 +68,9 @@
 	return saved
 }
 
-// Adopt returns a ledger that goes on where the snapshot ends. It issues no
-// tickets. The time that the snapshot travelled is added to the lifetimes.
+// Adopt returns a ledger that continues from the snapshot. It issues no tickets.
+// Remaining lifetimes count from now, so the transfer time of the snapshot
+// extends them.
 func Adopt(conf Config, now time.Time, snapshot Snapshot) (*Ledger, error) {
 	if len(snapshot.Slots) > conf.MaxTickets {
 		return nil, ErrTooLarge
@@ -91,7 +93,7 @@
 	if !saved.Used {
 		return
 	}
-	l.running++ // end counts it off
+	l.running++ // complete decrements it
 	s.record = &record{digest: saved.Digest}
-	l.end(s.record, saved.Result)
+	l.complete(s.record, saved.Result)
 }
--- a/pkg/atmostonce/ledger.go
+++ b/pkg/atmostonce/ledger.go
@@ -8,20 +8,21 @@
 
 // Config bounds a Ledger.
 type Config struct {
-	// Lifetime is how long after its issue a ticket may start to execute.
+	// Lifetime is how long after its issue a ticket may start executing.
 	Lifetime time.Duration
-	// Retention is how long after the lifetime the record still answers.
+	// Retention is how long after its lifetime a ticket's record is kept to answer
+	// repeated requests.
 	Retention time.Duration
-	// MaxTickets bounds the tickets whose lifetime and retention are not over.
+	// MaxTickets bounds the tickets within their lifetime or retention.
 	MaxTickets int
-	// MaxAnswerBytes bounds one answer that is kept, in bytes.
+	// MaxAnswerBytes bounds the size of one stored answer.
 	MaxAnswerBytes int
-	// MaxKeptBytes bounds all answers that are kept, in bytes.
+	// MaxKeptBytes bounds the total size of all stored answers.
 	MaxKeptBytes int
 }
 
-// DefaultConfig is sized for a small entry host: 1000 tickets a second. A
-// ledger at its bounds fits one message between peers.
+// DefaultConfig returns bounds for a small entry host that issues 1000 tickets
+// per second. A ledger at these bounds fits into one message between peers.
 func DefaultConfig() Config {
 	return Config{
 		Lifetime:       30 * time.Second,
@@ -32,36 +33,36 @@
 	}
 }
 
-// Errors of Issue. No ticket was issued, so nothing ran.
+// Errors of Issue. No ticket was issued, so no request was executed.
 var (
-	// ErrFull means that MaxTickets are outstanding.
+	// ErrFull means that MaxTickets tickets are outstanding.
 	ErrFull = errors.New("too many tickets outstanding")
-	// ErrStopped means that the ledger issues no more tickets.
+	// ErrStopped means that the ledger no longer issues tickets.
 	ErrStopped = errors.New("no tickets are issued while stopping")
 )
 
-// Ledger remembers what became of each ticket of one incarnation. It is not
-// safe for concurrent use.
+// Ledger tracks the state of each ticket of one incarnation. It is not safe for
+// concurrent use.
 type Ledger struct {
-	conf    Config
-	slots   []slot // ring, indexed by sequence number modulo its length
-	oldest  uint64 // the first sequence number that still has a slot
-	next    uint64 // the next sequence number to issue
-	now     time.Time
-	kept    int
-	running int
-	stopped bool
-	frozen  bool
+	conf      Config
+	slots     []slot    // ring buffer, indexed by sequence number modulo its length
+	oldest    uint64    // the first sequence number that still has a slot
+	next      uint64    // the next sequence number to issue
+	now       time.Time // the latest time passed to any method
+	keptBytes int
+	running   int
+	stopped   bool
+	frozen    bool
 }
 
-// slot is the memory of one ticket. A nil record is a ticket not yet used.
+// slot holds the state of one ticket. The record is nil until the ticket is used.
 type slot struct {
 	expires time.Time
 	record  *record
 }
 
-// New returns an empty ledger. Start is the current time; times that are given
-// later must come from the same monotonic clock.
+// New returns an empty ledger. Start is the current time; all times passed later
+// must come from the same monotonic clock.
 func New(conf Config, start time.Time) *Ledger {
 	return &Ledger{conf: conf, slots: make([]slot, conf.MaxTickets), now: start}
 }
@@ -81,40 +82,40 @@
 	return sequence, nil
 }
 
-// Stop ends the issue of tickets. Issued tickets may still execute.
+// Stop stops issuing tickets. Tickets already issued may still execute.
 func (l *Ledger) Stop() { l.stopped = true }
 
-// Stats counts what a ledger holds.
+// Stats describes the current content of a ledger.
 type Stats struct {
 	// Tickets is the number of slots in use.
 	Tickets int
-	// Running is the number of executions not yet ended.
+	// Running is the number of executions that have not finished.
 	Running int
-	// KeptBytes is the memory of kept answers, in bytes.
+	// KeptBytes is the total size of stored answers.
 	KeptBytes int
 }
 
-// Stats returns the current counts.
 func (l *Ledger) Stats() Stats {
-	return Stats{Tickets: int(l.next - l.oldest), Running: l.running, KeptBytes: l.kept}
+	return Stats{Tickets: int(l.next - l.oldest), Running: l.running, KeptBytes: l.keptBytes}
 }
 
-// advance frees the slots whose time is over and returns the latest time that
-// the ledger has seen. A caller that read the clock and was then paused cannot
-// turn time back.
+// advance reclaims slots whose retention is over and returns the latest time that
+// the ledger has seen, so that a caller that read the clock and was then paused
+// cannot move the ledger's time backwards.
 func (l *Ledger) advance(now time.Time) time.Time {
 	if now.After(l.now) {
 		l.now = now
 	}
-	for l.oldest < l.next && l.free(l.slot(l.oldest)) {
+	for l.oldest < l.next && l.reclaim(l.slot(l.oldest)) {
 		l.oldest++
 	}
 	return l.now
 }
 
-// free empties a slot and reports whether it could. Expiry grows with the
-// sequence number, so the first slot that stays keeps all later ones.
-func (l *Ledger) free(s *slot) bool {
+// reclaim empties a slot whose retention is over and whose execution has
+// finished, and reports whether it did. Slots expire in order of their sequence
+// numbers, so the first slot that cannot be reclaimed ends the scan.
+func (l *Ledger) reclaim(s *slot) bool {
 	if l.now.Before(s.expires.Add(l.conf.Retention)) {
 		return false
 	}
@@ -122,7 +123,7 @@
 		if !s.record.state.final() {
 			return false
 		}
-		l.kept -= s.record.kept
+		l.keptBytes -= s.record.keptBytes
 	}
 	*s = slot{}
 	return true
--- a/pkg/atmostonce/ledger_test.go
+++ b/pkg/atmostonce/ledger_test.go
@@ -26,7 +26,7 @@
 	return decision
 }
 
-// issued returns a ledger whose only ticket is number 0.
+// issued returns a ledger that has issued one ticket, with sequence number 0.
 func issued(conf atmostonce.Config) *atmostonce.Ledger {
 	l := atmostonce.New(conf, start)
 	if _, err := l.Issue(start); err != nil {
@@ -35,7 +35,7 @@
 	return l
 }
 
-func TestTicketOverItsTime(t *testing.T) {
+func TestTicketExpiry(t *testing.T) {
 	const past = 4 * time.Second
 	for name, c := range map[string]struct {
 		first, second time.Duration
@@ -60,13 +60,13 @@
 	}
 }
 
-func TestTimeNeverTurnsBack(t *testing.T) {
+func TestTimeNeverMovesBackwards(t *testing.T) {
 	l := issued(testConfig)
-	_, _ = l.Issue(start.Add(time.Second)) // another goroutine saw the lifetime end
+	_, _ = l.Issue(start.Add(time.Second)) // another goroutine has read a time at which the lifetime is over
 	is.New(t).Equal(ask(l, 0, digest).Result.Kind, errkind.TicketExpired)
 }
 
-func TestAnotherRequestUnderTheTicket(t *testing.T) {
+func TestTicketIsBoundToOneRequest(t *testing.T) {
 	l := issued(testConfig)
 	is.New(t).Equal(ask(l, 0, digest).Verdict, atmostonce.Execute)
 	other := ask(l, 0, atmostonce.DigestOf("POST", "/sales", []byte("lot 8")))
@@ -74,7 +74,7 @@
 	is.New(t).Equal(ask(l, 0, digest).Verdict, atmostonce.Join)
 }
 
-func TestWokenSendAfterWithdrawal(t *testing.T) {
+func TestSendAfterWithdrawIsDenied(t *testing.T) {
 	l := issued(testConfig)
 	ask(l, 0, digest)
 	result, err := l.Withdraw(start, 0)
@@ -154,8 +154,8 @@
 	})
 }
 
-// BenchmarkRequest is the core's work for one request on its issuer: issue a
-// ticket, verify it, execute, finish.
+// BenchmarkRequest measures the work of this package for one request on its
+// issuer: issue a ticket, verify it, execute and finish.
 func BenchmarkRequest(b *testing.B) {
 	s := atmostonce.NewSealer(address(1), 7, atmostonce.Secret{1})
 	l := atmostonce.New(atmostonce.DefaultConfig(), start)
@@ -173,7 +173,8 @@
 	}
 }
 
-// BenchmarkLedger is the part of BenchmarkRequest that holds the lock.
+// BenchmarkLedger measures the part of BenchmarkRequest that callers run under a
+// lock.
 func BenchmarkLedger(b *testing.B) {
 	l := atmostonce.New(atmostonce.DefaultConfig(), start)
 	answer := atmostonce.Ran(&atmostonce.Answer{Status: 200, Body: make([]byte, 64)})
@@ -187,7 +188,8 @@
 	}
 }
 
-// BenchmarkMemory reports the memory of tickets and of records with a small answer.
+// BenchmarkMemory reports the memory of unused tickets and of records with a small
+// answer.
 func BenchmarkMemory(b *testing.B) {
 	const tickets = 100_000
 	for b.Loop() {
--- a/pkg/atmostonce/naive_test.go
+++ b/pkg/atmostonce/naive_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-// naiveKind selects one of the ways that do not keep actions single.
+// naiveKind selects a protocol that does not guarantee at-most-once execution.
 type naiveKind uint8
 
 const (
 	resendOnTimeout naiveKind = iota
-	homeByHash
+	ownerByHash
 	cachePerHost
 )
 
-var naiveNames = [...]string{"resend on time-out", "home by hash", "key cache per host"}
+var naiveNames = [...]string{"resend on time-out", "owner by hash", "key cache per host"}
 
-// naive is a protocol that must fail.
+// naive is a protocol that must violate at-most-once execution.
 type naive struct {
 	kind naiveKind
 	next int
@@ -53,9 +53,9 @@
 }
 
 func (n *naiveMember) ask(m message) {
-	if n.kind == homeByHash && m.kind == askMessage {
-		if home := n.home(m.key); home != n.host {
-			n.fleet.post(message{kind: forwardMessage, from: n.host, to: home, key: m.key, action: m.action})
+	if n.kind == ownerByHash && m.kind == askMessage {
+		if owner := n.ownerOf(m.key); owner != n.host {
+			n.fleet.enqueue(message{kind: forwardMessage, from: n.host, to: owner, key: m.key, action: m.action})
 			return
 		}
 	}
@@ -66,11 +66,11 @@
 	n.run(m)
 }
 
-// home hashes the key over the members that this host sees in its part.
-func (n *naiveMember) home(key string) int {
+// ownerOf hashes the key over the members that this host sees in its partition.
+func (n *naiveMember) ownerOf(key string) int {
 	var members []int
 	for i := range n.fleet.hosts {
-		if n.fleet.hosts[i].part == n.fleet.hosts[n.host].part {
+		if n.fleet.hosts[i].partition == n.fleet.hosts[n.host].partition {
 			members = append(members, i)
 		}
 	}
@@ -82,7 +82,7 @@
 func (n *naiveMember) run(m message) {
 	n.forget(m.action)
 	n.pending = append(n.pending, m)
-	n.fleet.post(message{kind: runMessage, from: n.host, key: m.key, action: m.action})
+	n.fleet.enqueue(message{kind: runMessage, from: n.host, key: m.key, action: m.action})
 }
 
 func (n *naiveMember) forget(action int) {
@@ -97,7 +97,7 @@
 func (n *naiveMember) send(int)     {}
 func (n *naiveMember) handOver(int) {}
 
-// timeout ends one wait for an upstream.
+// timeout ends the wait for one answer of an upstream.
 func (n *naiveMember) timeout(pick int) {
 	if len(n.pending) == 0 {
 		return
@@ -111,16 +111,17 @@
 	n.fleet.answer(m.action, answeredUnknown)
 }
 
-// TestNaiveFails shows that the schedules find the faults of the naive ways.
+// TestNaiveFails verifies that the schedules detect the faults of naive protocols, so
+// that the success of TestSchedules is meaningful.
 func TestNaiveFails(t *testing.T) {
 	schedules := scheduleGenerator(weights)
 	for kind, name := range naiveNames {
-		count := &tally{}
+		count := &counters{}
 		for seed := range runs(t) {
 			run(&naive{kind: naiveKind(kind)}, schedules.Example(seed+1), count)
 		}
-		t.Logf("%s: %d of %d runs broke single execution; %s", name, count.breached, count.runs, count)
-		if count.breached == 0 {
+		t.Logf("%s: %d of %d runs violated at-most-once execution; %s", name, count.violations, count.runs, count)
+		if count.violations == 0 {
 			t.Errorf("%s was not caught", name)
 		}
 	}
--- a/pkg/atmostonce/real_test.go
+++ b/pkg/atmostonce/real_test.go
@@ -8,8 +8,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-// real runs the product's ledgers.
-type real struct{ conf atmostonce.Config }
+// ledgerProtocol runs the ledgers of this package.
+type ledgerProtocol struct{ conf atmostonce.Config }
 
 var testConfig = atmostonce.Config{
 	Lifetime:       time.Second,
@@ -19,7 +19,7 @@
 	MaxKeptBytes:   16,
 }
 
-// longConfig outlives a schedule, so that no record is forgotten.
+// longConfig keeps every record for longer than a schedule lasts.
 var longConfig = atmostonce.Config{
 	Lifetime:       time.Hour,
 	Retention:      time.Hour,
@@ -34,27 +34,27 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(host)}), 7400)
 }
 
-func (p real) start(f *fleet, host int) member {
+func (p ledgerProtocol) start(f *fleet, host int) member {
 	var secret atmostonce.Secret
 	for i := range secret {
 		secret[i] = byte(f.random.Uint32())
 	}
-	own := &space{
+	own := &incarnationLedger{
 		sealer: atmostonce.NewSealer(address(host), atmostonce.Incarnation(f.random.Uint64()), secret),
 		ledger: atmostonce.New(p.conf, f.clock(host)),
 	}
-	return &realMember{
+	return &ledgerMember{
 		fleet:    f,
 		host:     host,
 		conf:     p.conf,
 		own:      own,
-		spaces:   map[atmostonce.Incarnation]*space{own.sealer.Incarnation(): own},
-		forwards: make(map[int]forwarded),
+		ledgers:  map[atmostonce.Incarnation]*incarnationLedger{own.sealer.Incarnation(): own},
+		forwards: make(map[int]pendingForward),
 	}
 }
 
-func (real) key(f *fleet, host int) (string, bool) {
-	own := f.hosts[host].member.(*realMember).own
+func (ledgerProtocol) key(f *fleet, host int) (string, bool) {
+	own := f.hosts[host].member.(*ledgerMember).own
 	sequence, err := own.ledger.Issue(f.clock(host))
 	if err != nil {
 		return "", false
@@ -62,55 +62,55 @@
 	return own.sealer.Seal(sequence).String(), true
 }
 
-// space holds the tickets of one incarnation; moved is set when they were
-// handed over to another host.
-type space struct {
+// incarnationLedger holds the tickets of one incarnation. If moved is set, they were
+// handed over to host to.
+type incarnationLedger struct {
 	sealer *atmostonce.Sealer
 	ledger *atmostonce.Ledger
 	moved  bool
 	to     int
 }
 
-// handOver is what a stopping host sends to one life of its successor.
+// handOver is the message from a stopping host to one incarnation of its successor.
 type handOver struct {
 	successor atmostonce.Incarnation
 	sealer    *atmostonce.Sealer
 	snapshot  atmostonce.Snapshot
 }
 
-// waiter is an asker: a caller, or a forwarding host.
+// waiter waits for a result: a caller, or a forwarding host if from is set.
 type waiter struct {
 	action int
 	from   *message
 }
 
 type execution struct {
-	ledger   *atmostonce.Ledger
-	sequence uint64
-	action   int
-	since    time.Duration
-	sending  bool
-	waiters  []waiter
+	ledger    *atmostonce.Ledger
+	sequence  uint64
+	action    int
+	startedAt time.Duration
+	sending   bool
+	waiters   []waiter
 }
 
-// forwarded is a request that waits for its issuer.
-type forwarded struct {
-	waiter waiter
-	since  time.Duration
+// pendingForward is a forwarded request that waits for the answer of its issuer.
+type pendingForward struct {
+	waiter    waiter
+	startedAt time.Duration
 }
 
-type realMember struct {
+type ledgerMember struct {
 	fleet      *fleet
 	host       int
 	conf       atmostonce.Config
-	own        *space
-	spaces     map[atmostonce.Incarnation]*space
+	own        *incarnationLedger
+	ledgers    map[atmostonce.Incarnation]*incarnationLedger
 	executions []*execution
-	forwards   map[int]forwarded
+	forwards   map[int]pendingForward
 	nextID     int
 }
 
-func (r *realMember) receive(m message) {
+func (r *ledgerMember) receive(m message) {
 	switch m.kind {
 	case askMessage:
 		r.ask(m, waiter{action: m.action})
@@ -130,20 +130,20 @@
 	}
 }
 
-func (r *realMember) ask(m message, w waiter) {
+func (r *ledgerMember) ask(m message, w waiter) {
 	ticket, err := atmostonce.ParseTicket(m.key)
 	if err != nil {
 		r.reply(w, answeredNotRun)
 		return
 	}
-	sp := r.spaces[ticket.Incarnation]
+	held := r.ledgers[ticket.Incarnation]
 	issuer := int(ticket.Issuer.Addr().As4()[3])
 	switch {
-	case sp != nil && sp.moved:
-		r.forward(m, sp.to, w)
-	case sp != nil && sp.sealer.Owner(ticket) == atmostonce.Own:
-		r.asked(sp.ledger, ticket.Sequence, m, w)
-	case sp != nil:
+	case held != nil && held.moved:
+		r.forward(m, held.to, w)
+	case held != nil && held.sealer.Owner(ticket) == atmostonce.Own:
+		r.submit(held.ledger, ticket.Sequence, m, w)
+	case held != nil:
 		r.reply(w, answeredNotRun)
 	case issuer == r.host || m.kind == forwardMessage:
 		r.reply(w, answeredUnknown)
@@ -152,34 +152,34 @@
 	}
 }
 
-func (r *realMember) forward(m message, to int, w waiter) {
+func (r *ledgerMember) forward(m message, to int, w waiter) {
 	r.nextID++
-	r.forwards[r.nextID] = forwarded{w, r.fleet.now}
-	r.fleet.post(message{kind: forwardMessage, from: r.host, to: to, key: m.key, action: m.action, forward: r.nextID})
+	r.forwards[r.nextID] = pendingForward{w, r.fleet.now}
+	r.fleet.enqueue(message{kind: forwardMessage, from: r.host, to: to, key: m.key, action: m.action, forward: r.nextID})
 }
 
-// handOver freezes the ledger and sends it to the present life of a successor.
-func (r *realMember) handOver(to int) {
+// handOver freezes the ledger and sends it to the current incarnation of a successor.
+func (r *ledgerMember) handOver(to int) {
 	snapshot, err := r.own.ledger.Freeze(r.fleet.clock(r.host))
 	if err != nil || to == r.host {
 		return
 	}
 	r.own.moved, r.own.to = true, to
-	life := r.fleet.hosts[to].member.(*realMember).own.sealer.Incarnation()
-	r.fleet.post(message{kind: adoptMessage, from: r.host, to: to, handOver: &handOver{life, r.own.sealer, snapshot}})
+	target := r.fleet.hosts[to].member.(*ledgerMember).own.sealer.Incarnation()
+	r.fleet.enqueue(message{kind: adoptMessage, from: r.host, to: to, handOver: &handOver{target, r.own.sealer, snapshot}})
 }
 
-func (r *realMember) adopt(h *handOver) {
+func (r *ledgerMember) adopt(h *handOver) {
 	source := h.sealer.Incarnation()
-	if h.successor != r.own.sealer.Incarnation() || r.spaces[source] != nil {
+	if h.successor != r.own.sealer.Incarnation() || r.ledgers[source] != nil {
 		return
 	}
 	ledger, err := atmostonce.Adopt(r.conf, r.fleet.clock(r.host), h.snapshot)
 	r.check(err)
-	r.spaces[source] = &space{sealer: h.sealer, ledger: ledger}
+	r.ledgers[source] = &incarnationLedger{sealer: h.sealer, ledger: ledger}
 }
 
-func (r *realMember) asked(l *atmostonce.Ledger, sequence uint64, m message, w waiter) {
+func (r *ledgerMember) submit(l *atmostonce.Ledger, sequence uint64, m message, w waiter) {
 	now := r.fleet.clock(r.host)
 	d, err := l.Ask(now, atmostonce.Ask{
 		Sequence: sequence,
@@ -189,7 +189,7 @@
 	r.check(err)
 	switch d.Verdict {
 	case atmostonce.Execute:
-		r.executions = append(r.executions, &execution{ledger: l, sequence: sequence, action: m.action, since: r.fleet.now, waiters: []waiter{w}})
+		r.executions = append(r.executions, &execution{ledger: l, sequence: sequence, action: m.action, startedAt: r.fleet.now, waiters: []waiter{w}})
 	case atmostonce.Join:
 		if x := r.find(m.action); x != nil {
 			x.waiters = append(x.waiters, w)
@@ -199,8 +199,8 @@
 	}
 }
 
-// send starts the attempt of one admitted execution.
-func (r *realMember) send(pick int) {
+// send starts the attempt of an admitted execution.
+func (r *ledgerMember) send(pick int) {
 	if len(r.executions) == 0 {
 		return
 	}
@@ -215,23 +215,24 @@
 		return
 	}
 	x.sending = true
-	r.fleet.post(message{kind: runMessage, from: r.host, key: x.key(r.fleet), action: x.action})
+	r.fleet.enqueue(message{kind: runMessage, from: r.host, key: x.key(r.fleet), action: x.action})
 }
 
-// ran ends an execution. On each fifth action the answer is broken.
-func (r *realMember) ran(m message) {
+// ran finishes an execution. The answer to every fifth action is broken off, unless
+// outcomes are being measured.
+func (r *ledgerMember) ran(m message) {
 	x := r.find(m.action)
 	switch {
 	case x == nil:
-	case m.action%5 == 0 && !r.fleet.patient:
+	case m.action%5 == 0 && !r.fleet.waitForDeadline:
 		r.finish(x, atmostonce.Failed(errkind.New(errkind.UpstreamBroken, "")))
 	default:
 		r.finish(x, atmostonce.Ran(&atmostonce.Answer{Status: 200, Body: make([]byte, m.action%10)}))
 	}
 }
 
-// refused tries again, or gives up on each third action.
-func (r *realMember) refused(m message) {
+// refused makes another attempt possible, or gives up on every third action.
+func (r *ledgerMember) refused(m message) {
 	x := r.find(m.action)
 	if x == nil {
 		return
@@ -243,16 +244,16 @@
 	}
 }
 
-// timeout ends one wait: for an upstream, or for the issuer.
-func (r *realMember) timeout(pick int) {
+// timeout ends one wait, either for an upstream or for an issuer.
+func (r *ledgerMember) timeout(pick int) {
 	if n := len(r.executions); pick%2 == 0 && n > 0 {
-		if x := r.executions[pick%n]; r.waited(x.since) {
+		if x := r.executions[pick%n]; r.mayTimeOut(x.startedAt) {
 			r.timeoutExecution(x)
 		}
 		return
 	}
 	for id := range r.nextID + 1 {
-		if fw, ok := r.forwards[id]; ok && r.waited(fw.since) {
+		if fw, ok := r.forwards[id]; ok && r.mayTimeOut(fw.startedAt) {
 			delete(r.forwards, id)
 			r.reply(fw.waiter, answeredUnknown)
 			return
@@ -260,28 +261,28 @@
 	}
 }
 
-// waited reports whether a wait may end. Where safety is tested it may end at
-// any moment; where shares are measured it ends with the deadline.
-func (r *realMember) waited(since time.Duration) bool {
-	return !r.fleet.patient || r.fleet.now-since >= testDeadline
+// mayTimeOut reports whether a wait may end. Tests of safety end it at any moment;
+// measurements of outcome shares end it at the deadline.
+func (r *ledgerMember) mayTimeOut(since time.Duration) bool {
+	return !r.fleet.waitForDeadline || r.fleet.now-since >= testDeadline
 }
 
-// timeoutExecution ends the askers' wait. The attempt goes on, like one that
-// was paused: it may ask to send, and its answer may come late.
-func (r *realMember) timeoutExecution(x *execution) {
+// timeoutExecution ends the wait of all waiters. The attempt continues, like one
+// that was paused: it may still be sent, and its answer may arrive late.
+func (r *ledgerMember) timeoutExecution(x *execution) {
 	result, err := x.ledger.Withdraw(r.fleet.clock(r.host), x.sequence)
 	r.check(err)
 	r.replyAll(x, result)
 }
 
-func (r *realMember) replyAll(x *execution, result atmostonce.Result) {
+func (r *ledgerMember) replyAll(x *execution, result atmostonce.Result) {
 	for _, w := range x.waiters {
 		r.reply(w, outcomeOf(result))
 	}
 	x.waiters = nil
 }
 
-func (r *realMember) finish(x *execution, result atmostonce.Result) {
+func (r *ledgerMember) finish(x *execution, result atmostonce.Result) {
 	result, err := x.ledger.Finish(r.fleet.clock(r.host), x.sequence, result)
 	r.check(err)
 	for i, e := range r.executions {
@@ -293,15 +294,15 @@
 	r.replyAll(x, result)
 }
 
-func (r *realMember) reply(w waiter, o outcome) {
+func (r *ledgerMember) reply(w waiter, o outcome) {
 	if w.from == nil {
 		r.fleet.answer(w.action, o)
 		return
 	}
-	r.fleet.post(message{kind: replyMessage, from: r.host, to: w.from.from, epoch: w.from.epoch, forward: w.from.forward, answer: o})
+	r.fleet.enqueue(message{kind: replyMessage, from: r.host, to: w.from.from, epoch: w.from.epoch, forward: w.from.forward, answer: o})
 }
 
-func (r *realMember) find(action int) *execution {
+func (r *ledgerMember) find(action int) *execution {
 	for _, x := range r.executions {
 		if x.action == action {
 			return x
@@ -310,9 +311,9 @@
 	return nil
 }
 
-func (r *realMember) check(err error) {
+func (r *ledgerMember) check(err error) {
 	if err != nil {
-		r.fleet.breach = err.Error()
+		r.fleet.violation = err.Error()
 	}
 }
 
--- a/pkg/atmostonce/result.go
+++ b/pkg/atmostonce/result.go
@@ -10,9 +10,9 @@
 // Digest identifies the content of a request.
 type Digest [sha256.Size]byte
 
-// DigestOf covers what the caller alone decides: method, target and body. It
-// leaves out the service and the rule, which may change between two asks for
-// the same request: a second ask would then be taken for another request.
+// DigestOf covers only what the caller determines: method, target and body. It
+// excludes the service and the routing rule: they may change between two arrivals
+// of the same request, and the second would be mistaken for another request.
 func DigestOf(method, target string, body []byte) Digest {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(target), body} {
@@ -24,17 +24,17 @@
 	return Digest(h.Sum(nil))
 }
 
-// Answer is an upstream's whole answer.
+// Answer is the complete answer of an upstream.
 type Answer struct {
 	// Status is the HTTP status code.
 	Status int
-	// Header holds the headers in canonical form. It must not be changed.
+	// Header holds the header fields, with canonical names. It must not be modified.
 	Header map[string][]string
-	// Body is the whole body. It must not be changed.
+	// Body is the complete body. It must not be modified.
 	Body []byte
 }
 
-// size estimates the memory that keeping the answer takes, in bytes.
+// size estimates the memory that storing the answer takes, in bytes.
 func (a *Answer) size() int {
 	n := len(a.Body)
 	for k, values := range a.Header {
@@ -46,14 +46,15 @@
 	return n
 }
 
-// headerOverhead is the estimated memory of one header field beside its text, in bytes.
+// headerOverhead is the estimated memory of one header field, in bytes, excluding
+// its name and values.
 const headerOverhead = 64
 
-// Result is what is known about one ticket's request.
+// Result is the known result of the request of one ticket.
 type Result struct {
-	// Kind is the error kind, whose table entry fixes the outcome; None if the request ran.
+	// Kind is the error kind, which determines the outcome; None if the request ran.
 	Kind errkind.Kind
-	// Detail is the error's detail for logs.
+	// Detail describes the error for logs and for the caller.
 	Detail string
 	// Answer is the upstream's answer when Kind is None.
 	Answer *Answer
@@ -62,10 +63,10 @@
 // Ran returns the result of a request that ran.
 func Ran(a *Answer) Result { return Result{Answer: a} }
 
-// Failed returns the result of a request with an error.
+// Failed returns the result of a request that ended with an error.
 func Failed(err *errkind.Error) Result { return Result{Kind: err.Kind, Detail: err.Detail} }
 
-// Outcome returns ran, not run or unknown.
+// Outcome reports whether the request ran, did not run, or may have run.
 func (r Result) Outcome() errkind.Outcome { return r.Kind.Answer().Outcome }
 
-func refused(k errkind.Kind, detail string) Result { return Result{Kind: k, Detail: detail} }
+func errorResult(k errkind.Kind, detail string) Result { return Result{Kind: k, Detail: detail} }
--- a/pkg/atmostonce/schedule_test.go
+++ b/pkg/atmostonce/schedule_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// op is one kind of step.
+// op is a kind of step.
 type op uint8
 
 const (
@@ -15,28 +15,30 @@
 	opSend
 	opAsk
 	opAskAgain
-	opLate
+	opReorder
 	opRefuse
 	opAdvance
 	opTimeout
 	opKill
 	opPause
 	opWake
-	opSplit
+	opPartition
 	opHeal
-	opLose
+	opDrop
 	opDuplicate
 	opHandOver
 	numOps
 )
 
+// opNames are the names of the steps in logs and in TestStateMachine. rapid sorts its
+// actions by name, so the schedule of a seed depends on them.
 var opNames = [numOps]string{
 	"deliver", "send", "ask", "askAgain", "late", "refuse", "advance", "timeout",
 	"kill", "pause", "wake", "split", "heal", "lose", "duplicate", "handOver",
 }
 
-// String lists the steps and the faults of each kind.
-func (c *tally) String() string {
+// String returns the number of steps, in total and of each kind.
+func (c *counters) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d steps", c.steps)
 	for o, n := range c.faults {
@@ -45,11 +47,13 @@
 	return b.String()
 }
 
-// weights makes ordinary progress more frequent than faults.
+// weights holds the relative frequency of each kind of step: ordinary progress is
+// more frequent than faults.
 var weights = [numOps]int{24, 12, 6, 6, 4, 1, 4, 3, 1, 1, 2, 1, 1, 1, 2, 1}
 
-// without returns weights that hold only one of the faults; numOps keeps none.
-func without(only op) [numOps]int {
+// weightsWithFault returns weights that contain a single kind of fault, or none if only
+// is numOps.
+func weightsWithFault(only op) [numOps]int {
 	w := weights
 	for o := opKill; o < numOps; o++ {
 		if o != only {
@@ -59,13 +63,14 @@
 	switch only {
 	case opPause:
 		w[opWake] = weights[opWake]
-	case opSplit:
+	case opPartition:
 		w[opHeal] = weights[opHeal]
 	}
 	return w
 }
 
-// step is one step; a and b choose among what exists at that moment.
+// step is one step of a schedule; a and b select among the hosts, messages or
+// actions that exist when it is applied.
 type step struct {
 	op   op
 	a, b int
@@ -91,8 +96,8 @@
 	return rapid.SliceOfN(stepGenerator(weights), scheduleSteps, scheduleSteps)
 }
 
-// run applies a schedule and returns the breach, or "".
-func run(p protocol, schedule []step, count *tally) string {
+// run applies a schedule and returns the violation found, or "".
+func run(p protocol, schedule []step, count *counters) string {
 	return newFleet(p, count).run(schedule)
 }
 
@@ -101,12 +106,12 @@
 	count.runs++
 	for _, s := range schedule {
 		f.apply(s)
-		if f.breach != "" {
-			count.breached++
+		if f.violation != "" {
+			count.violations++
 			break
 		}
 	}
-	return f.breach
+	return f.violation
 }
 
 func (f *fleet) apply(s step) {
@@ -119,10 +124,10 @@
 		f.ask(host, s.b%fleetHosts)
 	case opAskAgain:
 		f.askAgain(s.a, s.b%fleetHosts)
-	case opDeliver, opRefuse, opLate, opLose, opDuplicate:
-		f.onMessage(s)
+	case opDeliver, opRefuse, opReorder, opDrop, opDuplicate:
+		f.applyToMessage(s)
 	case opSend, opTimeout, opHandOver:
-		f.onMember(s, h)
+		f.applyToMember(s, h)
 	case opAdvance:
 		f.now += stepTime
 	case opKill:
@@ -131,14 +136,14 @@
 		h.paused = true
 	case opWake:
 		h.paused = false
-	case opSplit:
-		h.part = 1
+	case opPartition:
+		h.partition = 1
 	case opHeal:
 		f.heal()
 	}
 }
 
-func (f *fleet) onMember(s step, h *process) {
+func (f *fleet) applyToMember(s step, h *process) {
 	if h.paused {
 		return
 	}
@@ -152,27 +157,28 @@
 	}
 }
 
-// onMessage acts on the oldest messages, except that a late step takes any.
-func (f *fleet) onMessage(s step) {
+// applyToMessage acts on one of the oldest messages, or on any message if the step
+// is opReorder.
+func (f *fleet) applyToMessage(s step) {
 	if len(f.queue) == 0 {
 		return
 	}
 	i := s.a % min(len(f.queue), 4)
-	if s.op == opLate {
+	if s.op == opReorder {
 		i = s.a % len(f.queue)
 	}
 	switch s.op {
 	case opDuplicate:
 		f.duplicate(f.queue[i])
-	case opLose:
+	case opDrop:
 		f.remove(i)
 	default:
 		f.deliver(i, s.op == opRefuse)
 	}
 }
 
-// duplicate copies a message between entry hosts or from a caller. What goes
-// to and from an upstream rides on one TCP connection, which does not double it.
+// duplicate copies a message between entry hosts or from a caller. Messages to and
+// from an upstream share one TCP connection, which does not duplicate them.
 func (f *fleet) duplicate(m message) {
 	switch m.kind {
 	case askMessage, forwardMessage, replyMessage, adoptMessage:
@@ -182,7 +188,7 @@
 
 func (f *fleet) heal() {
 	for i := range f.hosts {
-		f.hosts[i].part = 0
+		f.hosts[i].partition = 0
 	}
 }
 
@@ -195,7 +201,7 @@
 		return
 	}
 	f.actions = append(f.actions, &action{key: key})
-	f.post(message{kind: askMessage, to: through, key: key, action: len(f.actions) - 1})
+	f.enqueue(message{kind: askMessage, to: through, key: key, action: len(f.actions) - 1})
 }
 
 func (f *fleet) askAgain(pick, through int) {
@@ -204,5 +210,5 @@
 	}
 	recent := max(0, len(f.actions)-8)
 	a := recent + pick%(len(f.actions)-recent)
-	f.post(message{kind: askMessage, to: through, key: f.actions[a].key, action: a})
+	f.enqueue(message{kind: askMessage, to: through, key: f.actions[a].key, action: a})
 }
--- a/pkg/atmostonce/ticket.go
+++ b/pkg/atmostonce/ticket.go
@@ -13,54 +13,56 @@
 // SecretBytes is the length of a Secret, in bytes.
 const SecretBytes = 32
 
-// MaxTicketLength bounds the text of a ticket, in bytes.
+// MaxTicketLength bounds the encoded length of a ticket, in bytes.
 const MaxTicketLength = 128
 
 const (
 	ticketVersion = 1
 	macBytes      = 16
-	fixedBytes    = 1 + 8 + 8
+	prefixBytes   = 1 + 8 + 8
 )
 
 var encoding = base64.RawURLEncoding.Strict()
 
-// ErrMalformed is returned for a text that is not a ticket. Such a text was
-// never issued, so nothing ran under it.
+// ErrMalformed is returned for a string that does not encode a ticket. Such a
+// string was never issued, so no request was executed under it.
 var ErrMalformed = errors.New("malformed ticket")
 
-// Secret signs the tickets of one incarnation. It is random and never leaves
-// the process, except to the one successor of a planned stop.
+// Secret is the key that signs the tickets of one incarnation. It is random and
+// never leaves the process, except when a planned shutdown hands the tickets over
+// to a successor.
 type Secret [SecretBytes]byte
 
-// Incarnation identifies one life of a process. It is random.
+// Incarnation identifies one run of a process. It is random.
 type Incarnation uint64
 
-// Ticket is the right to execute one request once.
+// Ticket authorizes the execution of one request, at most once.
 type Ticket struct {
 	// Issuer is the peer address of the entry host that issued it.
 	Issuer netip.AddrPort
-	// Incarnation is the life of the process that issued it.
+	// Incarnation identifies the run of the process that issued it.
 	Incarnation Incarnation
-	// Sequence counts the tickets of the incarnation, from 0.
+	// Sequence numbers the tickets of the incarnation, starting at 0.
 	Sequence uint64
 
 	mac [macBytes]byte
 }
 
-// ParseTicket decodes a text without verifying who issued it. It returns
-// ErrMalformed unless the text is exactly what a Sealer writes.
+// ParseTicket decodes a ticket without verifying its issuer. It returns
+// ErrMalformed unless the text is the canonical encoding that Ticket.String
+// returns.
 func ParseTicket(text string) (Ticket, error) {
 	if len(text) > MaxTicketLength {
 		return Ticket{}, ErrMalformed
 	}
 	b, err := encoding.DecodeString(text)
-	if err != nil || len(b) <= fixedBytes+macBytes || b[0] != ticketVersion {
+	if err != nil || len(b) <= prefixBytes+macBytes || b[0] != ticketVersion {
 		return Ticket{}, ErrMalformed
 	}
 	var t Ticket
 	t.Incarnation = Incarnation(binary.BigEndian.Uint64(b[1:]))
 	t.Sequence = binary.BigEndian.Uint64(b[9:])
-	if err := t.Issuer.UnmarshalBinary(b[fixedBytes : len(b)-macBytes]); err != nil || !t.Issuer.IsValid() {
+	if err := t.Issuer.UnmarshalBinary(b[prefixBytes : len(b)-macBytes]); err != nil || !t.Issuer.IsValid() {
 		return Ticket{}, ErrMalformed
 	}
 	copy(t.mac[:], b[len(b)-macBytes:])
@@ -70,13 +72,13 @@
 	return t, nil
 }
 
-// String returns the text of the ticket for a header.
+// String returns the encoded ticket for use in a header.
 func (t Ticket) String() string {
-	return encoding.EncodeToString(append(t.signed(), t.mac[:]...))
+	return encoding.EncodeToString(append(t.signedBytes(), t.mac[:]...))
 }
 
-// signed returns the part that the MAC covers.
-func (t Ticket) signed() []byte {
+// signedBytes returns the part of the encoding that the MAC covers.
+func (t Ticket) signedBytes() []byte {
 	b := make([]byte, 0, MaxTicketLength)
 	b = append(b, ticketVersion)
 	b = binary.BigEndian.AppendUint64(b, uint64(t.Incarnation))
@@ -85,8 +87,8 @@
 	return append(b, address...)
 }
 
-// Sealer writes and verifies the tickets of one incarnation. It is immutable
-// and safe for concurrent use.
+// Sealer signs and verifies the tickets of one incarnation. It is immutable and
+// safe for concurrent use.
 type Sealer struct {
 	issuer      netip.AddrPort
 	incarnation Incarnation
@@ -94,7 +96,7 @@
 }
 
 // NewSealer returns the sealer of one process. Incarnation and secret must be
-// random and new at each start.
+// generated randomly at each start.
 func NewSealer(issuer netip.AddrPort, incarnation Incarnation, secret Secret) *Sealer {
 	return &Sealer{issuer: issuer, incarnation: incarnation, secret: secret}
 }
@@ -105,32 +107,33 @@
 // Incarnation returns the incarnation that the tickets name.
 func (s *Sealer) Incarnation() Incarnation { return s.incarnation }
 
-// Secret returns the secret, for the one successor of a planned stop.
+// Secret returns the signing key, for handing the tickets over to a successor in
+// a planned shutdown.
 func (s *Sealer) Secret() Secret { return s.secret }
 
-// Seal returns the signed ticket with a sequence number.
+// Seal returns the signed ticket with the given sequence number.
 func (s *Sealer) Seal(sequence uint64) Ticket {
 	t := Ticket{Issuer: s.issuer, Incarnation: s.incarnation, Sequence: sequence}
 	t.mac = s.sign(t)
 	return t
 }
 
-// Owner says who may execute a ticket.
+// Owner classifies tickets by who may execute them.
 type Owner uint8
 
-// The owners.
+// The values of Owner.
 const (
 	// Own tickets were issued by this incarnation.
 	Own Owner = iota
-	// Forged tickets claim this incarnation and were never issued.
+	// Forged tickets name this incarnation, but it never issued them.
 	Forged
-	// Past tickets name an earlier or later incarnation at this address. Nobody executes them.
+	// Past tickets name another incarnation at this address. They are never executed.
 	Past
-	// Foreign tickets name another address and are forwarded there.
+	// Foreign tickets name another address, to which the request is forwarded.
 	Foreign
 )
 
-// Owner verifies t.
+// Owner verifies t and returns who may execute it.
 func (s *Sealer) Owner(t Ticket) Owner {
 	if t.Issuer != s.issuer {
 		return Foreign
@@ -147,7 +150,7 @@
 
 func (s *Sealer) sign(t Ticket) (mac [macBytes]byte) {
 	h := hmac.New(sha256.New, s.secret[:])
-	_, _ = h.Write(t.signed()) // never fails
+	_, _ = h.Write(t.signedBytes()) // never fails
 	copy(mac[:], h.Sum(nil))
 	return mac
 }
