--- a/internal/execution/adopt.go
+++ b/internal/execution/adopt.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// maxAdopted bounds the ledgers that a process takes over in its life.
+	// maxAdopted bounds the ledgers that a process adopts during its lifetime.
 	maxAdopted = 8
-	// maxMoved bounds the hand-overs that a process remembers.
-	maxMoved = 1024
+	// maxSuccessors bounds the hand-overs of other hosts that a process records.
+	maxSuccessors = 1024
 )
 
 var (
-	errOtherLife   = errors.New("the hand-over is for another incarnation")
-	errAdopted     = errors.New("adopted before")
-	errTooMany     = errors.New("too many hand-overs")
-	errBadSnapshot = errors.New("malformed hand-over")
+	errOtherIncarnation  = errors.New("the hand-over is for another incarnation")
+	errAlreadyAdopted    = errors.New("adopted before")
+	errTooManyAdopted    = errors.New("too many hand-overs")
+	errMalformedSnapshot = errors.New("malformed hand-over")
 )
 
-// Adopt takes over the tickets of a stopping host.
+// Adopt takes over the tickets of a host that is shutting down.
 func (v *server) Adopt(_ context.Context, m *executionv1.AdoptRequest) (*executionv1.AdoptResponse, error) {
 	if err := v.service.adopt(m); err != nil {
 		return nil, status.Error(codes.FailedPrecondition, err.Error())
@@ -37,32 +37,33 @@
 	return &executionv1.AdoptResponse{}, nil
 }
 
-// Moved learns where the tickets of a stopping host are executed.
+// Moved records which host has adopted the tickets of a host that is shutting down.
 func (v *server) Moved(_ context.Context, m *executionv1.MovedRequest) (*executionv1.MovedResponse, error) {
 	to, err := netip.ParseAddrPort(m.GetSuccessor())
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	v.service.learnMoved(atmostonce.Incarnation(m.GetIncarnation()), to)
+	v.service.recordSuccessor(atmostonce.Incarnation(m.GetIncarnation()), to)
 	return &executionv1.MovedResponse{}, nil
 }
 
-// learnMoved never overrides what this process executes itself.
-func (s *Service) learnMoved(i atmostonce.Incarnation, to netip.AddrPort) {
+// recordSuccessor records where the tickets of an incarnation are executed. It
+// ignores incarnations whose tickets this process executes itself.
+func (s *Service) recordSuccessor(i atmostonce.Incarnation, to netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, mine := s.adopted[i]
-	if mine || i == s.own.sealer.Incarnation() || to == s.conf.Address || len(s.moved) >= maxMoved {
+	if mine || i == s.own.sealer.Incarnation() || to == s.conf.Address || len(s.successors) >= maxSuccessors {
 		return
 	}
-	s.moved[i] = to
+	s.successors[i] = to
 }
 
-// adopt is bound to this life of the process, and works once for a source: a
-// late copy of the hand-over carries an old state.
+// adopt accepts a hand-over only if it is addressed to this incarnation, and only
+// once per source, because a delayed duplicate would carry an outdated state.
 func (s *Service) adopt(m *executionv1.AdoptRequest) error {
 	if m.GetSuccessor() != uint64(s.own.sealer.Incarnation()) {
-		return errOtherLife
+		return errOtherIncarnation
 	}
 	sealer, err := decodeSealer(m)
 	if err != nil {
@@ -76,32 +77,32 @@
 	if err != nil {
 		return err
 	}
-	if err := s.addAdopted(newSpace(sealer, ledger, s.emit)); err != nil {
+	if err := s.addAdopted(newTicketLedger(sealer, ledger, s.emit)); err != nil {
 		return err
 	}
 	s.emit(event.Event{Code: event.TicketsAdopted, Detail: m.GetIssuer(), Value: int64(len(snapshot.Slots))})
 	return nil
 }
 
-func (s *Service) addAdopted(sp *space) error {
+func (s *Service) addAdopted(tickets *ticketLedger) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	i := sp.sealer.Incarnation()
+	i := tickets.sealer.Incarnation()
 	if _, twice := s.adopted[i]; twice || i == s.own.sealer.Incarnation() {
-		return errAdopted
+		return errAlreadyAdopted
 	}
 	if len(s.adopted) >= maxAdopted {
-		return errTooMany
+		return errTooManyAdopted
 	}
-	s.adopted[i] = sp
-	delete(s.moved, i)
+	s.adopted[i] = tickets
+	delete(s.successors, i)
 	return nil
 }
 
 func decodeSealer(m *executionv1.AdoptRequest) (*atmostonce.Sealer, error) {
 	issuer, err := netip.ParseAddrPort(m.GetIssuer())
 	if err != nil || len(m.GetSecret()) != atmostonce.SecretBytes {
-		return nil, errBadSnapshot
+		return nil, errMalformedSnapshot
 	}
 	return atmostonce.NewSealer(issuer, atmostonce.Incarnation(m.GetIncarnation()), atmostonce.Secret(m.GetSecret())), nil
 }
@@ -109,7 +110,7 @@
 func decodeSnapshot(m *executionv1.AdoptRequest) (atmostonce.Snapshot, error) {
 	snapshot := atmostonce.Snapshot{Oldest: m.GetOldest(), Slots: make([]atmostonce.SavedSlot, 0, len(m.GetSlots()))}
 	if snapshot.Oldest+uint64(len(m.GetSlots())) < snapshot.Oldest {
-		return snapshot, errBadSnapshot
+		return snapshot, errMalformedSnapshot
 	}
 	for _, slot := range m.GetSlots() {
 		saved := atmostonce.SavedSlot{Left: time.Duration(slot.GetLeftUs()) * time.Microsecond}
@@ -118,9 +119,9 @@
 		case len(saved.Digest):
 			saved.Used = true
 			saved.Digest = atmostonce.Digest(slot.GetDigest())
-			saved.Result = resultFrom(slot.GetResult())
+			saved.Result = decodeResult(slot.GetResult())
 		default:
-			return snapshot, errBadSnapshot
+			return snapshot, errMalformedSnapshot
 		}
 		snapshot.Slots = append(snapshot.Slots, saved)
 	}
--- a/internal/execution/codec.go
+++ b/internal/execution/codec.go
@@ -64,11 +64,11 @@
 	return m
 }
 
-// resultFrom decodes a result. One that is neither an answer nor a known kind
-// says nothing certain.
-func resultFrom(m *executionv1.Result) atmostonce.Result {
+// decodeResult decodes a result. A result that has neither an answer nor a known
+// error kind is decoded as "unknown".
+func decodeResult(m *executionv1.Result) atmostonce.Result {
 	if m.GetKind() != "" {
-		return atmostonce.Result{Kind: kindNamed(m.GetKind()), Detail: m.GetDetail()}
+		return atmostonce.Result{Kind: kindByName(m.GetKind()), Detail: m.GetDetail()}
 	}
 	a := m.GetAnswer()
 	if a == nil {
--- a/internal/execution/forward.go
+++ b/internal/execution/forward.go
@@ -12,11 +12,12 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// forwardMargin is the part of the deadline that is left for the way back.
+// forwardMargin is subtracted from the timeout of a forwarded request, to leave time
+// for the answer to travel back.
 const forwardMargin = 10 * time.Millisecond
 
-// forward asks the host that executes the ticket. Whatever fails on the way,
-// the outcome is unknown: an earlier ask may have run.
+// forward sends the request to the host that executes its ticket. If the call fails
+// for any reason, the outcome is unknown, because the request may have run.
 func (s *Service) forward(ctx context.Context, to netip.AddrPort, t atmostonce.Ticket, req *httpwire.Request) atmostonce.Result {
 	id := req.Header.Get(headerRequestID)
 	s.emit(event.Event{Code: event.RequestForwarded, Request: id, Detail: to.String()})
@@ -25,7 +26,7 @@
 		s.emit(event.Event{Code: event.ForwardFailed, Request: id, Detail: err.Error()})
 		return atmostonce.Failed(errkind.New(errkind.IssuerUnreachable, "the issuer gave no answer"))
 	}
-	return resultFrom(resp.GetResult())
+	return decodeResult(resp.GetResult())
 }
 
 func (s *Service) callExecute(ctx context.Context, to netip.AddrPort, t atmostonce.Ticket, req *httpwire.Request) (*executionv1.ExecuteResponse, error) {
@@ -33,7 +34,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return client.Execute(ctx, encodeRequest(t, req, timeLeft(ctx)))
+	return client.Execute(ctx, encodeRequest(t, req, remainingTime(ctx)))
 }
 
 func (s *Service) client(to netip.AddrPort) (executionv1.ExecutionServiceClient, error) {
@@ -44,7 +45,7 @@
 	return executionv1.NewExecutionServiceClient(conn), nil
 }
 
-func timeLeft(ctx context.Context) time.Duration {
+func remainingTime(ctx context.Context) time.Duration {
 	deadline, _ := ctx.Deadline()
 	return time.Until(deadline) - forwardMargin
 }
--- a/internal/execution/fuzz_test.go
+++ b/internal/execution/fuzz_test.go
@@ -16,7 +16,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// registrar catches the server that a Service registers.
+// registrar captures the server that a Service registers.
 type registrar struct {
 	server executionv1.ExecutionServiceServer
 }
@@ -25,8 +25,9 @@
 	r.server = server.(executionv1.ExecutionServiceServer)
 }
 
-// FuzzPeerMessages gives any bytes to the peers' calls. Nothing runs, as no
-// ticket was issued and no hand-over names this incarnation.
+// FuzzPeerMessages passes arbitrary messages to the calls that peers can make. No
+// request may be executed, because no ticket was issued, and no hand-over may be
+// accepted, because none names this incarnation.
 func FuzzPeerMessages(f *testing.F) {
 	sealer := atmostonce.NewSealer(freeAddress(f), 7, atmostonce.Secret{})
 	seed, err := proto.Marshal(&executionv1.ExecuteRequest{Ticket: sealer.Seal(1).String(), Method: "POST", TimeoutUs: 1000})
--- a/internal/execution/handover.go
+++ b/internal/execution/handover.go
@@ -16,26 +16,28 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// freezePoll is how often a stopping host looks whether its executions ended.
-const freezePoll = 5 * time.Millisecond
+// freezePollInterval is how often HandOver checks whether all executions have
+// finished.
+const freezePollInterval = 5 * time.Millisecond
 
-// handOverBytes is the room for slots with their answers in one message, in
-// bytes. The rest of the message's bound is for slots without an answer.
-const handOverBytes = peer.MaxMessageBytes / 2
+// maxSlotBytes is the size in one message, in bytes, up to which slots include their
+// answers. The rest of the message is reserved for slots without an answer.
+const maxSlotBytes = peer.MaxMessageBytes / 2
 
-// StopIssuing ends the offer of tickets. Requests with a ticket still execute.
+// StopIssuing stops issuing tickets. Requests that already have one still execute.
 func (s *Service) StopIssuing() {
 	s.own.mu.Lock()
 	defer s.own.mu.Unlock()
 	s.own.ledger.Stop()
 }
 
-// HandOver gives this host's tickets to one peer when its executions have
-// ended, and tells the others. It works once; it must be called when no more
-// callers are accepted. When ctx ends before the freeze nothing has changed.
-// After the freeze this process never executes again, and if the successor
-// does not confirm nobody else is asked: the tickets may be its own or nobody's.
-// Tickets that were adopted here are not handed on.
+// HandOver waits until this host's executions have finished, transfers its tickets to
+// one peer and notifies the others. It succeeds at most once, and must be called
+// after the host has stopped accepting requests of callers. If ctx ends before the
+// ledger is frozen, only the issue of tickets has stopped. After the freeze this
+// process executes no ticket of its own again. If the successor does not confirm the
+// transfer, no other peer is tried, because the successor may have adopted the
+// tickets. Tickets that this host adopted are not handed over again.
 func (s *Service) HandOver(ctx context.Context, successor netip.AddrPort, others []netip.AddrPort) error {
 	s.StopIssuing()
 	client, err := s.client(successor)
@@ -44,7 +46,7 @@
 	}
 	identity, err := client.Identify(ctx, &executionv1.IdentifyRequest{})
 	if err != nil {
-		return errors.Wrap(err, "identify the successor")
+		return errors.Wrap(err, "identify successor")
 	}
 	snapshot, err := s.freeze(ctx, successor)
 	if err != nil {
@@ -53,14 +55,15 @@
 	n := int64(len(snapshot.Slots))
 	if _, err := client.Adopt(ctx, encodeSnapshot(identity.GetIncarnation(), s.own.sealer, snapshot)); err != nil {
 		s.emit(event.Event{Code: event.HandOverUnknown, Detail: err.Error(), Value: n})
-		return errors.Wrap(err, "adopt")
+		return errors.Wrap(err, "hand over tickets")
 	}
 	s.emit(event.Event{Code: event.TicketsHandedOver, Detail: successor.String(), Value: n})
-	s.announce(ctx, successor, others)
+	s.announceSuccessor(ctx, successor, others)
 	return nil
 }
 
-// freeze waits for the executions, ends the ledger, and forwards from then on.
+// freeze waits until all executions have finished and freezes the ledger. From then
+// on, requests are forwarded to the successor.
 func (s *Service) freeze(ctx context.Context, successor netip.AddrPort) (atmostonce.Snapshot, error) {
 	for {
 		snapshot, err := s.tryFreeze(successor)
@@ -70,7 +73,7 @@
 		select {
 		case <-ctx.Done():
 			return snapshot, err
-		case <-time.After(freezePoll):
+		case <-time.After(freezePollInterval):
 		}
 	}
 }
@@ -82,14 +85,15 @@
 	defer s.own.mu.Unlock()
 	snapshot, err := s.own.ledger.Freeze(clock.Now())
 	if err == nil {
-		s.moved[s.own.sealer.Incarnation()] = successor
+		s.successors[s.own.sealer.Incarnation()] = successor
 	}
 	return snapshot, err
 }
 
-// announce is a courtesy: a host that misses it forwards to the old address
-// and answers "unknown".
-func (s *Service) announce(ctx context.Context, successor netip.AddrPort, others []netip.AddrPort) {
+// announceSuccessor tells the other peers where the tickets are executed. It is best
+// effort: a host that misses the announcement forwards to the old address and answers
+// "unknown".
+func (s *Service) announceSuccessor(ctx context.Context, successor netip.AddrPort, others []netip.AddrPort) {
 	m := &executionv1.MovedRequest{Incarnation: uint64(s.own.sealer.Incarnation()), Successor: successor.String()}
 	for _, to := range others {
 		if to == successor {
@@ -111,20 +115,20 @@
 		Oldest:      snapshot.Oldest,
 		Slots:       make([]*executionv1.Slot, 0, len(snapshot.Slots)),
 	}
-	room := handOverBytes
+	remaining := maxSlotBytes
 	for _, saved := range snapshot.Slots {
-		slot := encodeSlot(saved, room)
-		room -= proto.Size(slot)
+		slot := encodeSlot(saved, remaining)
+		remaining -= proto.Size(slot)
 		m.Slots = append(m.Slots, slot)
 	}
 	return m
 }
 
-// encodeSlot leaves out an answer that is over the room; what became of the
-// ticket is always told.
-func encodeSlot(saved atmostonce.SavedSlot, room int) *executionv1.Slot {
+// encodeSlot omits an answer whose body exceeds the remaining size. The state of the
+// ticket is always included.
+func encodeSlot(saved atmostonce.SavedSlot, remaining int) *executionv1.Slot {
 	m := &executionv1.Slot{LeftUs: saved.Left.Microseconds()}
-	if a := saved.Result.Answer; a != nil && len(a.Body) > room {
+	if a := saved.Result.Answer; a != nil && len(a.Body) > remaining {
 		saved.Result = atmostonce.Failed(errkind.New(errkind.AnswerNotKept, "the answer was too large to hand over"))
 	}
 	if saved.Used {
--- a/internal/execution/headers.go
+++ b/internal/execution/headers.go
@@ -10,15 +10,16 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-// Headers of single execution.
+// Headers of at-most-once execution.
 const (
-	// HeaderKey carries the ticket of a request, the standard idempotency key.
+	// HeaderKey is the standard idempotency key. It carries the ticket of a request.
 	HeaderKey = "Idempotency-Key"
-	// HeaderTicket on an answer offers a ticket for the caller's next request.
+	// HeaderTicket carries, on an answer, a ticket for the caller's next request.
 	HeaderTicket = "Dapplespindle-Ticket"
 )
 
-// Headers that the proxy sets on its answers, read here.
+// Headers that the proxy sets on its answers. This package reads them, and sets them
+// on its own answers.
 const (
 	headerOutcome    = "Dapplespindle-Outcome"
 	headerError      = "Dapplespindle-Error"
@@ -26,11 +27,11 @@
 	headerRetryAfter = "Retry-After"
 )
 
-// retryAfterSeconds is when a caller may come back after a refusal.
+// retryAfterSeconds is the value of Retry-After on answers that allow a retry.
 const retryAfterSeconds = "1"
 
-// ticketOf reads the ticket of a request, quoted or bare.
-func ticketOf(h http.Header) (atmostonce.Ticket, *errkind.Error) {
+// ticketFromHeader returns the ticket of a request, whose header value may be quoted.
+func ticketFromHeader(h http.Header) (atmostonce.Ticket, *errkind.Error) {
 	values := h[HeaderKey]
 	switch len(values) {
 	case 0:
@@ -51,36 +52,38 @@
 }
 
 // Undecided returns the error to answer with when a request is refused before
-// Execute was called: for want of a configuration or a route, by a limit, or
-// because it was not received whole. The request was not run by this ask, but
-// with a ticket an earlier ask may have run: then the outcome is unknown.
+// Execute was called: because there is no configuration or route, because of a
+// limit, or because it was not received completely. This arrival did not run the
+// request, but if the request carries a ticket, an earlier arrival may have run it,
+// and the outcome is unknown.
 func Undecided(h http.Header, err *errkind.Error) *errkind.Error {
 	if len(h[HeaderKey]) == 0 || err.Kind.Answer().Outcome != errkind.NotRun {
 		return err
 	}
-	if _, bad := ticketOf(h); bad != nil && bad.Kind == errkind.TicketRequired {
+	if _, bad := ticketFromHeader(h); bad != nil && bad.Kind == errkind.TicketRequired {
 		return err
 	}
 	return errkind.Wrap(errkind.IssuerNotAsked, err, "refused before the issuer was asked")
 }
 
-// resultOf reads what the proxy's answer says about execution.
-func resultOf(resp *httpwire.Response) atmostonce.Result {
+// resultFromResponse derives the result of an execution from the headers of the
+// proxy's response.
+func resultFromResponse(resp *httpwire.Response) atmostonce.Result {
 	name := resp.Header.Get(headerError)
 	outcome := resp.Header.Get(headerOutcome)
 	if outcome == errkind.Ran.String() {
 		return atmostonce.Ran(&atmostonce.Answer{Status: resp.Status, Header: maps.Clone(resp.Header), Body: resp.Body})
 	}
-	kind := kindNamed(name)
+	kind := kindByName(name)
 	if kind.Answer().Outcome.String() != outcome {
 		kind = errkind.OutcomeUnknown
 	}
 	return atmostonce.Result{Kind: kind, Detail: strings.TrimSpace(string(resp.Body))}
 }
 
-var kindsByName = namesOfKinds()
+var kindsByName = indexKinds()
 
-func namesOfKinds() map[string]errkind.Kind {
+func indexKinds() map[string]errkind.Kind {
 	names := make(map[string]errkind.Kind)
 	for _, k := range errkind.All() {
 		names[k.String()] = k
@@ -88,17 +91,18 @@
 	return names
 }
 
-// kindNamed returns the kind with a stable name. A name that this version does
-// not know says nothing certain.
-func kindNamed(name string) errkind.Kind {
+// kindByName returns the error kind with the given stable name, or OutcomeUnknown if
+// this version does not know the name.
+func kindByName(name string) errkind.Kind {
 	if k, ok := kindsByName[name]; ok {
 		return k
 	}
 	return errkind.OutcomeUnknown
 }
 
-// responseOf renders a result. The header is the response's own.
-func responseOf(r atmostonce.Result, requestID string) *httpwire.Response {
+// newResponse renders a result as a response, which does not share its header map
+// with the result.
+func newResponse(r atmostonce.Result, requestID string) *httpwire.Response {
 	if a := r.Answer; a != nil {
 		h := http.Header(maps.Clone(a.Header))
 		setRequestID(h, requestID)
--- a/internal/execution/space.go
+++ b/internal/execution/ledger.go
@@ -13,11 +13,12 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// runFunc sends a request and returns the answer or a refusal.
+// runFunc sends a request to an upstream and returns the answer or an error response.
 type runFunc func(ctx context.Context) *httpwire.Response
 
-// space holds the tickets of one incarnation that this process executes.
-type space struct {
+// ticketLedger is the ledger of one incarnation whose tickets this process executes:
+// its own, or one that it adopted.
+type ticketLedger struct {
 	sealer *atmostonce.Sealer
 	emit   func(event.Event)
 
@@ -26,18 +27,19 @@
 	calls  map[uint64]*call // by sequence number
 }
 
-// call is an execution that others may wait for. Result is set before done is closed.
+// call is a running execution that repeated requests wait for. Result is set before
+// done is closed.
 type call struct {
 	done   chan struct{}
 	result atmostonce.Result
 }
 
-func newSpace(sealer *atmostonce.Sealer, ledger *atmostonce.Ledger, emit func(event.Event)) *space {
-	return &space{sealer: sealer, ledger: ledger, emit: emit, calls: make(map[uint64]*call)}
+func newTicketLedger(sealer *atmostonce.Sealer, ledger *atmostonce.Ledger, emit func(event.Event)) *ticketLedger {
+	return &ticketLedger{sealer: sealer, ledger: ledger, emit: emit, calls: make(map[uint64]*call)}
 }
 
-// issue returns the text of a new ticket.
-func (s *space) issue(requestID string) (string, error) {
+// issue returns a new ticket, encoded.
+func (s *ticketLedger) issue(requestID string) (string, error) {
 	s.mu.Lock()
 	sequence, err := s.ledger.Issue(clock.Now())
 	s.mu.Unlock()
@@ -49,9 +51,10 @@
 	return s.sealer.Seal(sequence).String(), nil
 }
 
-// execute runs the request unless its ticket was used, and returns what is
-// known. The response is run's own when this call ran it, and otherwise nil.
-func (s *space) execute(ctx context.Context, sequence uint64, req *httpwire.Request, run runFunc) (atmostonce.Result, *httpwire.Response) {
+// execute runs the request unless its ticket was already used, and returns the
+// result. The response is that of run if this call ran the request, and nil
+// otherwise.
+func (s *ticketLedger) execute(ctx context.Context, sequence uint64, req *httpwire.Request, run runFunc) (atmostonce.Result, *httpwire.Response) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return atmostonce.Failed(errkind.New(errkind.Internal, "no deadline")), nil
@@ -61,7 +64,7 @@
 		Digest:   atmostonce.DigestOf(req.Method, req.Target, req.Body),
 		Deadline: deadline,
 	}
-	d, c := s.ask(ask)
+	d, c := s.decide(ask)
 	s.emitDecision(d, sequence, req.Header.Get(headerRequestID))
 	switch d.Verdict {
 	case atmostonce.Execute:
@@ -73,7 +76,7 @@
 	}
 }
 
-func (s *space) emitDecision(d atmostonce.Decision, sequence uint64, id string) {
+func (s *ticketLedger) emitDecision(d atmostonce.Decision, sequence uint64, id string) {
 	e := event.Event{Request: id, Value: int64(sequence)}
 	switch {
 	case d.Verdict == atmostonce.Execute:
@@ -90,8 +93,9 @@
 	s.emit(e)
 }
 
-// ask decides, and finds or makes the call in the same step.
-func (s *space) ask(ask atmostonce.Ask) (atmostonce.Decision, *call) {
+// decide asks the ledger for a decision, and looks up or creates the call under the same
+// lock.
+func (s *ticketLedger) decide(ask atmostonce.Ask) (atmostonce.Decision, *call) {
 	s.mu.Lock()
 	d, err := s.ledger.Ask(clock.Now(), ask)
 	c := s.calls[ask.Sequence]
@@ -100,38 +104,38 @@
 		s.calls[ask.Sequence] = c
 	}
 	s.mu.Unlock()
-	s.report(err)
+	s.emitBreach(err)
 	return d, c
 }
 
-// run executes on the calling goroutine. A caller that goes away does not
-// cancel it, as others may ask for its result.
-func (s *space) run(ctx context.Context, sequence uint64, c *call, run runFunc) (atmostonce.Result, *httpwire.Response) {
+// run executes the request on the calling goroutine. It is not cancelled when the
+// caller disconnects, because repeated requests may need its result.
+func (s *ticketLedger) run(ctx context.Context, sequence uint64, c *call, run runFunc) (atmostonce.Result, *httpwire.Response) {
 	deadline, _ := ctx.Deadline()
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer cancel()
-	resp := run(withGate(ctx, &gate{space: s, sequence: sequence}))
-	wanted := resultOf(resp)
-	got := s.finish(sequence, c, wanted)
-	if got.Kind != wanted.Kind {
-		return got, nil
+	resp := run(withSendGuard(ctx, &sendGuard{ledger: s, sequence: sequence}))
+	reported := resultFromResponse(resp)
+	recorded := s.finish(sequence, c, reported)
+	if recorded.Kind != reported.Kind {
+		return recorded, nil
 	}
-	return got, resp
+	return recorded, resp
 }
 
-func (s *space) finish(sequence uint64, c *call, wanted atmostonce.Result) atmostonce.Result {
+func (s *ticketLedger) finish(sequence uint64, c *call, reported atmostonce.Result) atmostonce.Result {
 	s.mu.Lock()
-	result, err := s.ledger.Finish(clock.Now(), sequence, wanted)
+	result, err := s.ledger.Finish(clock.Now(), sequence, reported)
 	delete(s.calls, sequence)
 	s.mu.Unlock()
 	c.result = result
 	close(c.done)
-	s.report(err)
+	s.emitBreach(err)
 	s.emit(event.Event{Code: event.ExecutionEnded, Reason: result.Outcome().String(), Value: int64(sequence)})
 	return result
 }
 
-// wait waits for the result of an execution that another call started.
+// wait waits for the result of an execution that another request started.
 func (c *call) wait(ctx context.Context) atmostonce.Result {
 	select {
 	case <-c.done:
@@ -141,26 +145,26 @@
 	}
 }
 
-func (s *space) send(sequence uint64) *errkind.Error {
+func (s *ticketLedger) send(sequence uint64) *errkind.Error {
 	s.mu.Lock()
 	denied, err := s.ledger.Send(clock.Now(), sequence)
 	s.mu.Unlock()
-	s.report(err)
+	s.emitBreach(err)
 	if denied != nil {
 		s.emit(event.Event{Code: event.SendDenied, Reason: denied.Kind.String(), Value: int64(sequence)})
 	}
 	return denied
 }
 
-func (s *space) notRun(sequence uint64) {
+func (s *ticketLedger) notRun(sequence uint64) {
 	s.mu.Lock()
 	err := s.ledger.NotRun(clock.Now(), sequence)
 	s.mu.Unlock()
-	s.report(err)
+	s.emitBreach(err)
 }
 
-// report emits the event of a broken invariant.
-func (s *space) report(err error) {
+// emitBreach emits the event of a violated invariant.
+func (s *ticketLedger) emitBreach(err error) {
 	var b *atmostonce.Breach
 	if errors.As(err, &b) {
 		s.emit(event.Event{Code: b.Code, Value: int64(b.Sequence)})
--- a/internal/execution/server.go
+++ b/internal/execution/server.go
@@ -14,14 +14,14 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-// server answers peers.
+// server implements the gRPC service for peers.
 type server struct {
 	executionv1.UnimplementedExecutionServiceServer
 	service *Service
 }
 
-// Execute runs a forwarded request. It is never forwarded a second time,
-// except by a host that handed its tickets over.
+// Execute executes a forwarded request. It is forwarded again only if this host
+// handed over the tickets or knows their successor.
 func (v *server) Execute(ctx context.Context, m *executionv1.ExecuteRequest) (*executionv1.ExecuteResponse, error) {
 	ticket, err := atmostonce.ParseTicket(m.GetTicket())
 	if err != nil {
@@ -30,21 +30,21 @@
 	req := decodeRequest(m, clock.Now())
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(m.GetTimeoutUs())*time.Microsecond)
 	defer cancel()
-	return &executionv1.ExecuteResponse{Result: encodeResult(v.service.forwarded(ctx, ticket, req))}, nil
+	return &executionv1.ExecuteResponse{Result: encodeResult(v.service.executeForwarded(ctx, ticket, req))}, nil
 }
 
-func (s *Service) forwarded(ctx context.Context, t atmostonce.Ticket, req *httpwire.Request) atmostonce.Result {
-	if sp := s.space(t); sp != nil {
-		result, _ := s.owned(ctx, sp, t, req, func(ctx context.Context) *httpwire.Response { return s.conf.Local(ctx, req) })
+func (s *Service) executeForwarded(ctx context.Context, t atmostonce.Ticket, req *httpwire.Request) atmostonce.Result {
+	if tickets := s.ledgerOf(t); tickets != nil {
+		result, _ := s.executeOwned(ctx, tickets, t, req, func(ctx context.Context) *httpwire.Response { return s.conf.Local(ctx, req) })
 		return result
 	}
-	if to, moved := s.location(t); moved && to != s.conf.Address {
+	if to, handedOver := s.executingPeer(t); handedOver && to != s.conf.Address {
 		return s.forward(ctx, to, t, req)
 	}
 	return atmostonce.Failed(errkind.New(errkind.IssuerGone, "the issuing process has ended"))
 }
 
-// Identify returns the incarnation.
+// Identify returns the incarnation of this process.
 func (v *server) Identify(context.Context, *executionv1.IdentifyRequest) (*executionv1.IdentifyResponse, error) {
 	return &executionv1.IdentifyResponse{Incarnation: uint64(v.service.own.sealer.Incarnation())}, nil
 }
--- a/internal/execution/service.go
+++ b/internal/execution/service.go
@@ -1,6 +1,6 @@
-// Package execution carries non-repeatable requests to the one entry host that
-// may execute them. The decisions are pkg/atmostonce's; this package adds the
-// clock, the locks, the wait of those who ask again, and gRPC between peers.
+// Package execution routes non-repeatable requests to the only entry host that may
+// execute them. Package atmostonce makes the decisions; this package adds the clock,
+// locking, waiting for a running execution, and gRPC between peers.
 package execution
 
 import (
@@ -30,20 +30,20 @@
 	Host string
 	// Address is the address at which peers reach this process.
 	Address netip.AddrPort
-	// Ledger bounds the tickets of one incarnation.
+	// Ledger bounds the ledger of one incarnation.
 	Ledger atmostonce.Config
-	// KnownPeer reports whether an address may be forwarded to. A ticket can
-	// name any address; nil allows all.
+	// KnownPeer reports whether requests may be forwarded to an address. It is
+	// needed because a forged ticket can name any address. Nil allows all.
 	KnownPeer func(netip.AddrPort) bool
-	// Direct reports whether a rule sends without tickets, once by this host;
-	// nil means that none does.
+	// Direct reports whether requests of a rule are sent without a ticket, once
+	// and by the host that receives them. Nil means that no rule does.
 	Direct func(*routing.Rule) bool
 	// Local routes and runs a request that a peer forwarded. It must not call
-	// Execute. It must not be nil.
+	// Service.Execute. It must not be nil.
 	Local func(ctx context.Context, req *httpwire.Request) *httpwire.Response
-	// Pool connects to peers.
+	// Pool holds the connections to peers.
 	Pool *peer.Pool
-	// Events receives the decisions.
+	// Events receives an event for each decision.
 	Events event.Sink
 }
 
@@ -51,71 +51,73 @@
 // proxy's Executor and is safe for concurrent use.
 type Service struct {
 	conf Config
-	own  *space
+	own  *ticketLedger
 
-	mu      sync.RWMutex
-	adopted map[atmostonce.Incarnation]*space
-	moved   map[atmostonce.Incarnation]netip.AddrPort
+	mu         sync.RWMutex
+	adopted    map[atmostonce.Incarnation]*ticketLedger
+	successors map[atmostonce.Incarnation]netip.AddrPort // executors of tickets that were handed over
 }
 
-// New returns a service with a new incarnation and secret, both read from
-// random, which must be a cryptographic source.
+// New returns a service with a new incarnation and secret, both read from random,
+// which must be cryptographically secure.
 func New(conf Config, random io.Reader) (*Service, error) {
 	var incarnation [8]byte
 	var secret atmostonce.Secret
 	if _, err := io.ReadFull(random, incarnation[:]); err != nil {
-		return nil, errors.Wrap(err, "incarnation")
+		return nil, errors.Wrap(err, "generate incarnation")
 	}
 	if _, err := io.ReadFull(random, secret[:]); err != nil {
-		return nil, errors.Wrap(err, "secret")
+		return nil, errors.Wrap(err, "generate ticket secret")
 	}
 	s := &Service{
-		conf:    conf,
-		adopted: make(map[atmostonce.Incarnation]*space),
-		moved:   make(map[atmostonce.Incarnation]netip.AddrPort),
+		conf:       conf,
+		adopted:    make(map[atmostonce.Incarnation]*ticketLedger),
+		successors: make(map[atmostonce.Incarnation]netip.AddrPort),
 	}
 	number := atmostonce.Incarnation(binary.BigEndian.Uint64(incarnation[:]))
-	s.own = newSpace(atmostonce.NewSealer(conf.Address, number, secret), atmostonce.New(conf.Ledger, clock.Now()), s.emit)
+	s.own = newTicketLedger(atmostonce.NewSealer(conf.Address, number, secret), atmostonce.New(conf.Ledger, clock.Now()), s.emit)
 	return s, nil
 }
 
-// Register serves the peers' calls.
+// Register registers the gRPC service for peers.
 func (s *Service) Register(on grpc.ServiceRegistrar) {
 	executionv1.RegisterExecutionServiceServer(on, &server{service: s})
 }
 
-// Execute implements the proxy's Executor: it runs the request, forwards it to
-// the issuer of its ticket, or answers without running it. Every answer but a
-// direct rule's offers a fresh ticket, unless the bound is reached.
+// Execute implements the proxy's Executor: it runs the request, forwards it to the
+// issuer of its ticket, or answers without running it. Every answer carries a new
+// ticket, unless the ledger issues none or the request was sent without a ticket
+// under a direct rule.
 func (s *Service) Execute(ctx context.Context, req *httpwire.Request, rule *routing.Rule, run func(ctx context.Context) *httpwire.Response) *httpwire.Response {
 	id := req.Header.Get(headerRequestID)
-	ticket, err := ticketOf(req.Header)
-	if err != nil && s.direct(rule) {
+	ticket, err := ticketFromHeader(req.Header)
+	if err != nil && s.runsDirectly(rule) {
 		return run(ctx)
 	}
 	if err != nil {
-		return s.offer(responseOf(atmostonce.Failed(err), id), id)
+		return s.attachTicket(newResponse(atmostonce.Failed(err), id), id)
 	}
 	result, resp := s.dispatch(ctx, ticket, req, run)
 	if resp == nil {
-		resp = responseOf(result, id)
+		resp = newResponse(result, id)
 	}
-	return s.offer(resp, id)
+	return s.attachTicket(resp, id)
 }
 
-// direct reports whether a request without a ticket is run. One with a ticket
-// keeps its protection when the rule has become direct in between.
-func (s *Service) direct(rule *routing.Rule) bool {
+// runsDirectly reports whether a request without a ticket is run. A request with a
+// ticket is executed at most once even if its rule has become direct since the ticket
+// was issued.
+func (s *Service) runsDirectly(rule *routing.Rule) bool {
 	return s.conf.Direct != nil && s.conf.Direct(rule)
 }
 
-// offer adds a fresh ticket. A caller who needed one and gets none is told
-// that the fleet is short of room: nothing ran.
-func (s *Service) offer(resp *httpwire.Response, id string) *httpwire.Response {
+// attachTicket adds a new ticket to the response. If none can be issued to a caller
+// that needs one, the response is "overloaded"; the request was not run.
+func (s *Service) attachTicket(resp *httpwire.Response, id string) *httpwire.Response {
 	text, err := s.own.issue(id)
 	if err != nil {
 		if resp.Header.Get(headerError) == errkind.TicketRequired.String() {
-			return responseOf(atmostonce.Failed(errkind.New(errkind.Overloaded, err.Error())), id)
+			return newResponse(atmostonce.Failed(errkind.New(errkind.Overloaded, err.Error())), id)
 		}
 		return resp
 	}
@@ -123,35 +125,36 @@
 	return resp
 }
 
-// dispatch finds who executes the ticket.
+// dispatch executes the request here, forwards it to the host that executes its
+// ticket, or refuses it.
 func (s *Service) dispatch(ctx context.Context, t atmostonce.Ticket, req *httpwire.Request, run runFunc) (atmostonce.Result, *httpwire.Response) {
-	if sp := s.space(t); sp != nil {
-		return s.owned(ctx, sp, t, req, run)
+	if tickets := s.ledgerOf(t); tickets != nil {
+		return s.executeOwned(ctx, tickets, t, req, run)
 	}
-	to, moved := s.location(t)
+	to, handedOver := s.executingPeer(t)
 	switch {
 	case to == s.conf.Address:
 		return atmostonce.Failed(errkind.New(errkind.IssuerGone, "the issuing process has ended")), nil
-	case !moved && s.conf.KnownPeer != nil && !s.conf.KnownPeer(to):
+	case !handedOver && s.conf.KnownPeer != nil && !s.conf.KnownPeer(to):
 		return atmostonce.Failed(errkind.New(errkind.IssuerUnreachable, "the issuer is not a known peer")), nil
 	default:
 		return s.forward(ctx, to, t, req), nil
 	}
 }
 
-func (s *Service) owned(ctx context.Context, sp *space, t atmostonce.Ticket, req *httpwire.Request, run runFunc) (atmostonce.Result, *httpwire.Response) {
-	if sp.sealer.Owner(t) != atmostonce.Own {
+func (s *Service) executeOwned(ctx context.Context, tickets *ticketLedger, t atmostonce.Ticket, req *httpwire.Request, run runFunc) (atmostonce.Result, *httpwire.Response) {
+	if tickets.sealer.Owner(t) != atmostonce.Own {
 		return atmostonce.Failed(errkind.New(errkind.TicketRejected, "the ticket was never issued")), nil
 	}
-	return sp.execute(ctx, t.Sequence, req, run)
+	return tickets.execute(ctx, t.Sequence, req, run)
 }
 
-// space returns the tickets that this process executes and t claims to be of,
-// or nil.
-func (s *Service) space(t atmostonce.Ticket) *space {
+// ledgerOf returns the ledger of the incarnation that t names, or nil if this process
+// does not execute its tickets. The ticket is not verified.
+func (s *Service) ledgerOf(t atmostonce.Ticket) *ticketLedger {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	if _, gone := s.moved[t.Incarnation]; gone {
+	if _, gone := s.successors[t.Incarnation]; gone {
 		return nil
 	}
 	if t.Incarnation == s.own.sealer.Incarnation() {
@@ -160,12 +163,12 @@
 	return s.adopted[t.Incarnation]
 }
 
-// location returns the peer that executes t, and whether its tickets were
-// handed over to it.
-func (s *Service) location(t atmostonce.Ticket) (netip.AddrPort, bool) {
+// executingPeer returns the address of the peer that executes t, and whether the
+// ticket was handed over to that peer.
+func (s *Service) executingPeer(t atmostonce.Ticket) (netip.AddrPort, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	if to, ok := s.moved[t.Incarnation]; ok {
+	if to, ok := s.successors[t.Incarnation]; ok {
 		return to, true
 	}
 	return t.Issuer, false
--- a/internal/execution/service_test.go
+++ b/internal/execution/service_test.go
@@ -21,7 +21,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// host is an entry host whose upstream counts what ran.
+// host is an entry host whose upstream counts the requests that ran.
 type host struct {
 	*execution.Service
 	address netip.AddrPort
@@ -69,7 +69,7 @@
 	return &httpwire.Response{Status: 201, Header: http.Header{"Dapplespindle-Outcome": {"ran"}}, Body: []byte("sold")}
 }
 
-func (h *host) ask(ticket, body string) *httpwire.Response {
+func (h *host) send(ticket, body string) *httpwire.Response {
 	req := &httpwire.Request{Method: "POST", Target: "/sales", Path: "/sales", Header: http.Header{}, Body: []byte(body)}
 	if ticket != "" {
 		req.Header[execution.HeaderKey] = []string{ticket}
@@ -83,11 +83,11 @@
 
 func kindOf(r *httpwire.Response) string { return r.Header.Get("Dapplespindle-Error") }
 
-func TestAsksThroughManyHostsRunOnce(t *testing.T) {
+func TestRepeatsThroughManyHostsRunOnce(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int64
 	issuer, other := newHost(t, &runs), newHost(t, &runs)
-	required := issuer.ask("", "lot 7")
+	required := issuer.send("", "lot 7")
 	is.Equal(required.Status, http.StatusPreconditionRequired)
 	ticket := ticketOf(required)
 	issuer.block = make(chan struct{})
@@ -95,7 +95,7 @@
 	for i := range 20 {
 		wait.Go(func() {
 			h := []*host{issuer, other}[i%2]
-			resp := h.ask(ticket, "lot 7")
+			resp := h.send(ticket, "lot 7")
 			is.Equal(resp.Status, 201)
 			is.Equal(string(resp.Body), "sold")
 			is.True(ticketOf(resp) != "")
@@ -104,17 +104,17 @@
 	close(issuer.block)
 	wait.Wait()
 	is.Equal(runs.Load(), int64(1))
-	is.Equal(kindOf(other.ask(ticket, "lot 8")), errkind.TicketMismatch.String())
-	is.Equal(kindOf(other.ask(ticket+"A", "lot 7")), errkind.TicketRequired.String())
+	is.Equal(kindOf(other.send(ticket, "lot 8")), errkind.TicketMismatch.String())
+	is.Equal(kindOf(other.send(ticket+"A", "lot 7")), errkind.TicketRequired.String())
 }
 
-func TestIssuerThatIsGone(t *testing.T) {
+func TestUnreachableIssuer(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int64
 	issuer, other := newHost(t, &runs), newHost(t, &runs)
-	ticket := ticketOf(issuer.ask("", ""))
+	ticket := ticketOf(issuer.send("", ""))
 	issuer.server.Stop()
-	resp := other.ask(ticket, "")
+	resp := other.send(ticket, "")
 	is.Equal(kindOf(resp), errkind.IssuerUnreachable.String())
 	is.Equal(resp.Header.Get("Dapplespindle-Outcome"), "unknown")
 	is.Equal(runs.Load(), int64(0))
@@ -124,24 +124,24 @@
 	is := is.New(t)
 	var runs atomic.Int64
 	old, successor, other := newHost(t, &runs), newHost(t, &runs), newHost(t, &runs)
-	used, fresh := ticketOf(old.ask("", "")), ticketOf(old.ask("", ""))
-	is.Equal(old.ask(used, "lot 7").Status, 201)
+	used, fresh := ticketOf(old.send("", "")), ticketOf(old.send("", ""))
+	is.Equal(old.send(used, "lot 7").Status, 201)
 	is.NoErr(old.HandOver(context.Background(), successor.address, []netip.AddrPort{other.address}))
-	is.Equal(old.ask(used, "lot 7").Status, 201)
+	is.Equal(old.send(used, "lot 7").Status, 201)
 	is.Equal(runs.Load(), int64(1))
 	old.server.Stop()
 	for range 2 {
-		is.Equal(other.ask(used, "lot 7").Status, 201)
-		is.Equal(other.ask(fresh, "lot 8").Status, 201)
-		is.Equal(successor.ask(fresh, "lot 8").Status, 201)
+		is.Equal(other.send(used, "lot 7").Status, 201)
+		is.Equal(other.send(fresh, "lot 8").Status, 201)
+		is.Equal(successor.send(fresh, "lot 8").Status, 201)
 	}
 	is.Equal(runs.Load(), int64(2))
 	is.True(old.HandOver(context.Background(), other.address, nil) != nil)
 }
 
-func TestRefusedBeforeTheIssuerIsAsked(t *testing.T) {
+func TestUndecidedRequest(t *testing.T) {
 	var runs atomic.Int64
-	ticket := ticketOf(newHost(t, &runs).ask("", ""))
+	ticket := ticketOf(newHost(t, &runs).send("", ""))
 	for name, c := range map[string]struct {
 		keys []string
 		want errkind.Kind
@@ -158,8 +158,8 @@
 	}
 }
 
-// BenchmarkExecute compares a request sent directly with one under a ticket,
-// asked for at its issuer and through another host on loopback.
+// BenchmarkExecute compares a request sent directly with one that has a ticket, sent
+// to its issuer and through another host on loopback.
 func BenchmarkExecute(b *testing.B) {
 	var runs atomic.Int64
 	issuer, other := newHost(b, &runs), newHost(b, &runs)
@@ -170,16 +170,16 @@
 	})
 	b.Run("ticket-required", func(b *testing.B) {
 		for b.Loop() {
-			issuer.ask("", "lot 7")
+			issuer.send("", "lot 7")
 		}
 	})
 	for name, h := range map[string]*host{"issuer": issuer, "forwarded": other} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
-				ticket := ticketOf(issuer.ask("", ""))
+				ticket := ticketOf(issuer.send("", ""))
 				b.StartTimer()
-				h.ask(ticket, "lot 7")
+				h.send(ticket, "lot 7")
 			}
 		})
 	}
