--- a/internal/tlsconf/credentials.go
+++ b/internal/tlsconf/credentials.go
@@ -7,10 +7,11 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// Credentials returns gRPC credentials for both sides of a connection. Each
-// handshake uses the certificates then in force. An empty serverName expects
-// the server's certificate to name the address that is connected to; entry
-// hosts that come and go are easier served by one name for all of them.
+// Credentials returns gRPC credentials for both sides of a connection. Each handshake
+// uses the certificates that are current at that time. A client expects the server's
+// certificate to carry serverName or, if serverName is empty, the address that it
+// connects to. A name shared by all entry hosts is easier to manage when hosts are
+// added and removed.
 func (r *Reloader) Credentials(serverName string) credentials.TransportCredentials {
 	return &transport{reloader: r, serverName: serverName}
 }
@@ -22,8 +23,8 @@
 }
 
 // ClientHandshake implements credentials.TransportCredentials. The gRPC library
-// verifies the certificate against authority, whatever name the configuration
-// holds, so the expected name takes authority's place.
+// verifies the certificate against authority and ignores the server name in the TLS
+// configuration, so the expected name is passed as authority.
 func (t *transport) ClientHandshake(ctx context.Context, authority string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	if t.serverName != "" {
 		authority = t.serverName
--- a/internal/tlsconf/files.go
+++ b/internal/tlsconf/files.go
@@ -1,10 +1,10 @@
-// Package tlsconf gives mutual TLS to gRPC listeners and connections, between
-// entry hosts and towards operators, and TLS to callers and upstreams.
+// Package tlsconf provides mutual TLS for gRPC between entry hosts and with operators,
+// and TLS for connections with callers and upstreams.
 //
-// With mutual TLS both sides must show a certificate that the agreed authority
-// signed. The
-// files are read again when they change, checked at a handshake and at most
-// once a second, so that certificates are replaced without a restart.
+// With mutual TLS, both sides must present a certificate signed by the configured
+// certificate authority. The files are reloaded when their content changes, so that
+// certificates can be replaced without a restart. They are checked during handshakes,
+// at most once per second.
 package tlsconf
 
 import (
@@ -18,19 +18,19 @@
 
 // Files are the paths of PEM files.
 type Files struct {
-	// Certificate is this side's certificate, with intermediates.
+	// Certificate is the certificate of this side, with intermediates.
 	Certificate string
 	// Key is the private key of Certificate.
 	Key string
-	// Authority holds the certificates of the agreed authority; the other side's
-	// certificate must be signed by one of them.
+	// Authority holds the certificates of the certificate authority. The certificate
+	// of the other side must be signed by one of them.
 	Authority string
 }
 
 // Enabled reports whether any file is set.
 func (f Files) Enabled() bool { return f != Files{} }
 
-// Validate reports a set of files that is not whole.
+// Validate returns an error if only some of the files are set.
 func (f Files) Validate() error {
 	if !f.Enabled() || (f.Certificate != "" && f.Key != "" && f.Authority != "") {
 		return nil
@@ -38,61 +38,62 @@
 	return errors.New("TLS needs the certificate, the key and the authority: set all three or none")
 }
 
-// contents are the bytes of the files.
-type contents struct {
+// fileContents holds the bytes of the files.
+type fileContents struct {
 	certificate, key, authority []byte
 }
 
-func (c *contents) equal(o *contents) bool {
+func (c *fileContents) equal(o *fileContents) bool {
 	return bytes.Equal(c.certificate, o.certificate) && bytes.Equal(c.key, o.key) && bytes.Equal(c.authority, o.authority)
 }
 
-func (f Files) read() (*contents, error) {
-	certificate, err := readSet(f.Certificate)
+func (f Files) read() (*fileContents, error) {
+	certificate, err := readOptional(f.Certificate)
 	if err != nil {
 		return nil, errors.Wrap(err, "certificate")
 	}
-	key, err := readSet(f.Key)
+	key, err := readOptional(f.Key)
 	if err != nil {
 		return nil, errors.Wrap(err, "key")
 	}
-	authority, err := readSet(f.Authority)
+	authority, err := readOptional(f.Authority)
 	if err != nil {
 		return nil, errors.Wrap(err, "authority")
 	}
-	return &contents{certificate, key, authority}, nil
+	return &fileContents{certificate, key, authority}, nil
 }
 
-// readSet reads a file that is set.
-func readSet(path string) ([]byte, error) {
+// readOptional reads a file, or returns nil if its path is empty.
+func readOptional(path string) ([]byte, error) {
 	if path == "" {
 		return nil, nil
 	}
 	return os.ReadFile(path)
 }
 
-// material is what a handshake needs. It is immutable.
+// material holds the parsed certificates and keys for handshakes. It is immutable.
 type material struct {
-	// certificate is empty and authority nil where their files are not set.
+	// certificate is empty and authority is nil if their files are not set.
 	certificate tls.Certificate
 	authority   *x509.CertPool
-	// callers is for the handshakes of callers; it holds their session keys.
+	// callers is the configuration for handshakes with callers. It holds their session
+	// ticket keys, so sessions end when the certificates are replaced.
 	callers *tls.Config
 }
 
-func (c *contents) parse(f Files) (*material, error) {
+func (c *fileContents) parse(f Files) (*material, error) {
 	m := new(material)
 	if f.Certificate != "" {
 		pair, err := tls.X509KeyPair(c.certificate, c.key)
 		if err != nil {
-			return nil, errors.Wrapf(err, "%s with %s", f.Certificate, f.Key)
+			return nil, errors.Wrapf(err, "certificate %s with key %s", f.Certificate, f.Key)
 		}
 		m.certificate = pair
 	}
 	if f.Authority != "" {
 		m.authority = x509.NewCertPool()
 		if !m.authority.AppendCertsFromPEM(c.authority) {
-			return nil, errors.Newf("%s: holds no certificate in PEM", f.Authority)
+			return nil, errors.Newf("%s: contains no PEM certificate", f.Authority)
 		}
 	}
 	m.callers = m.callerConfig()
--- a/internal/tlsconf/reloader.go
+++ b/internal/tlsconf/reloader.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// checkEvery is the shortest time between two looks at the files.
-const checkEvery = time.Second
+// checkInterval is the minimum time between two checks of the files.
+const checkInterval = time.Second
 
-// Options adapt a Reloader.
+// Options configures a Reloader.
 type Options struct {
-	// Now is the clock. Default: time.Now.
+	// Now returns the current time. The default is time.Now.
 	Now func() time.Time
-	// OnReload is told of each change of the files: nil when the new ones are in
-	// force, or why the old ones stay. It must not block.
+	// OnReload is called for each change of the files: with nil if the new files are
+	// now used, or with the reason why the old ones remain in use. It must not block.
 	OnReload func(error)
 }
 
-// Reloader holds the certificates in force.
+// Reloader holds the current certificates and reloads them when their files change.
 type Reloader struct {
 	files Files
 	opts  Options
 
 	mu      sync.Mutex
 	checked time.Time
-	seen    *contents
+	seen    *fileContents
 	current *material
 }
 
-// Load reads the files. It fails if they can't be used, so that a process with
-// wrong files does not start.
+// Load reads the files. It returns an error if they can't be used, so that a process
+// with invalid files does not start.
 func Load(f Files, opts Options) (*Reloader, error) {
 	if err := f.Validate(); err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 	return load(f, opts)
 }
 
-// load reads those of the files that are set.
+// load reads the files that are set.
 func load(f Files, opts Options) (*Reloader, error) {
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -57,8 +57,8 @@
 	return &Reloader{files: f, opts: opts, checked: opts.Now(), seen: c, current: m}, nil
 }
 
-// Expires returns the end of validity of this side's certificate in force, or
-// the zero time without one.
+// Expires returns when the current certificate of this side expires, or the zero time
+// if there is none.
 func (r *Reloader) Expires() time.Time {
 	if leaf := r.material().certificate.Leaf; leaf != nil {
 		return leaf.NotAfter
@@ -66,13 +66,14 @@
 	return time.Time{}
 }
 
-// material returns the certificates in force, after a look at the files if
-// the last one is a second ago. Files that can't be used leave the old ones.
+// material returns the current certificates. It first checks the files if the last
+// check was at least checkInterval ago. If the new files can't be used, the previous
+// certificates remain current.
 func (r *Reloader) material() *material {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.opts.Now()
-	if now.Sub(r.checked) < checkEvery {
+	if now.Sub(r.checked) < checkInterval {
 		return r.current
 	}
 	r.checked = now
@@ -93,8 +94,8 @@
 	return r.current
 }
 
-// serverConfig returns the configuration of one handshake as a server: the
-// other side must show a certificate of the authority.
+// serverConfig returns the configuration of one handshake as a server. The client must
+// present a certificate signed by the authority.
 func (r *Reloader) serverConfig() *tls.Config {
 	m := r.material()
 	return &tls.Config{
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -25,14 +25,14 @@
 	healthv1 "google.golang.org/grpc/health/grpc_health_v1"
 )
 
-// authority signs certificates for tests.
-type authority struct {
+// testCA is a certificate authority for tests.
+type testCA struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 	pem         []byte
 }
 
-func newAuthority(t *testing.T) *authority {
+func newTestCA(t *testing.T) *testCA {
 	t.Helper()
 	is := is.New(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -46,11 +46,12 @@
 	is.NoErr(err)
 	certificate, err := x509.ParseCertificate(der)
 	is.NoErr(err)
-	return &authority{certificate, key, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}
+	return &testCA{certificate, key, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}
 }
 
-// issue writes a certificate with its key, and the authority to trust, to dir.
-func (a *authority) issue(t *testing.T, dir, name string, trust *authority) Files {
+// issue writes a new certificate, its key, and the certificate of the authority to
+// trust to dir.
+func (a *testCA) issue(t *testing.T, dir, name string, trust *testCA) Files {
 	t.Helper()
 	is := is.New(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -72,13 +73,13 @@
 	return f
 }
 
-// clock is a clock that a test moves.
-type clock struct{ offset atomic.Int64 }
+// fakeClock is a clock that tests can advance.
+type fakeClock struct{ offset atomic.Int64 }
 
-func (c *clock) now() time.Time { return time.Now().Add(time.Duration(c.offset.Load())) }
-func (c *clock) advance()       { c.offset.Add(int64(checkEvery)) }
+func (c *fakeClock) now() time.Time { return time.Now().Add(time.Duration(c.offset.Load())) }
+func (c *fakeClock) advance()       { c.offset.Add(int64(checkInterval)) }
 
-func mustLoad(t *testing.T, f Files, c *clock, onReload func(error)) *Reloader {
+func mustLoad(t *testing.T, f Files, c *fakeClock, onReload func(error)) *Reloader {
 	t.Helper()
 	r, err := Load(f, Options{Now: c.now, OnReload: onReload})
 	is.New(t).NoErr(err)
@@ -96,7 +97,7 @@
 	return ln.Addr().String()
 }
 
-// call makes one call over a new connection.
+// call makes one gRPC call over a new connection.
 func call(t *testing.T, address string, creds credentials.TransportCredentials) error {
 	t.Helper()
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(creds))
@@ -108,34 +109,34 @@
 	return err
 }
 
-func TestOnlyTheAgreedAuthorityIsServed(t *testing.T) {
+func TestMutualTLSRequiresTrustedAuthority(t *testing.T) {
 	is := is.New(t)
-	agreed, wrong := newAuthority(t), newAuthority(t)
-	var c clock
-	server := mustLoad(t, agreed.issue(t, t.TempDir(), "server", agreed), &c, nil)
+	trusted, untrusted := newTestCA(t), newTestCA(t)
+	var c fakeClock
+	server := mustLoad(t, trusted.issue(t, t.TempDir(), "server", trusted), &c, nil)
 	address := serve(t, server.Credentials(""))
 
-	good := mustLoad(t, agreed.issue(t, t.TempDir(), "peer", agreed), &c, nil)
+	good := mustLoad(t, trusted.issue(t, t.TempDir(), "peer", trusted), &c, nil)
 	is.NoErr(call(t, address, good.Credentials("")))
 	is.NoErr(call(t, address, good.Credentials("entry")))
-	is.True(call(t, address, good.Credentials("other")) != nil) // another name than the certificate's
+	is.True(call(t, address, good.Credentials("other")) != nil) // not a name in the certificate
 
-	stranger := mustLoad(t, wrong.issue(t, t.TempDir(), "stranger", agreed), &c, nil)
-	is.True(call(t, address, stranger.Credentials("")) != nil) // wrong authority
+	stranger := mustLoad(t, untrusted.issue(t, t.TempDir(), "stranger", trusted), &c, nil)
+	is.True(call(t, address, stranger.Credentials("")) != nil) // untrusted authority
 
 	pool := x509.NewCertPool()
-	pool.AddCert(agreed.certificate)
+	pool.AddCert(trusted.certificate)
 	is.True(call(t, address, credentials.NewTLS(&tls.Config{RootCAs: pool})) != nil) // no certificate
 	is.True(call(t, address, insecure.NewCredentials()) != nil)                      // no TLS
 
-	distrustful := mustLoad(t, agreed.issue(t, t.TempDir(), "peer", wrong), &c, nil)
-	is.True(call(t, address, distrustful.Credentials("")) != nil) // the client refuses the server
+	distrustful := mustLoad(t, trusted.issue(t, t.TempDir(), "peer", untrusted), &c, nil)
+	is.True(call(t, address, distrustful.Credentials("")) != nil) // the client rejects the server
 }
 
 func TestReloadTakesEffectWithoutRestart(t *testing.T) {
 	is := is.New(t)
-	old, renewed := newAuthority(t), newAuthority(t)
-	var c clock
+	old, renewed := newTestCA(t), newTestCA(t)
+	var c fakeClock
 	var reloads, failures atomic.Int32
 	dir := t.TempDir()
 	files := old.issue(t, dir, "server", old)
@@ -154,7 +155,7 @@
 
 	is.NoErr(os.WriteFile(files.Certificate, []byte("half written"), 0o600))
 	c.advance()
-	is.NoErr(call(t, address, before.Credentials(""))) // files that can't be used leave the old ones
+	is.NoErr(call(t, address, before.Credentials(""))) // the previous certificates remain in use
 	is.Equal(failures.Load(), int32(1))
 
 	renewed.issue(t, dir, "server", renewed)
@@ -164,14 +165,14 @@
 	is.Equal(reloads.Load(), int32(1))
 }
 
-func TestLoadRefusesWhatCannotServe(t *testing.T) {
+func TestLoadRejectsUnusableFiles(t *testing.T) {
 	is := is.New(t)
-	f := newAuthority(t).issue(t, t.TempDir(), "server", newAuthority(t))
+	f := newTestCA(t).issue(t, t.TempDir(), "server", newTestCA(t))
 	_, err := Load(Files{Certificate: f.Certificate}, Options{})
-	is.True(err != nil) // not whole
+	is.True(err != nil) // key and authority missing
 	_, err = Load(Files{f.Certificate, f.Key, f.Key}, Options{})
-	is.True(err != nil) // no authority in the file
+	is.True(err != nil) // no certificate in the authority file
 	_, err = Load(Files{f.Certificate, f.Key, f.Key + "x"}, Options{})
-	is.True(err != nil) // no such file
+	is.True(err != nil) // authority file does not exist
 	is.NoErr(Files{}.Validate())
 }
--- a/internal/tlsconf/wire.go
+++ b/internal/tlsconf/wire.go
@@ -6,10 +6,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// protocol is the application protocol agreed on with callers and upstreams.
-const protocol = "http/1.1"
+// alpnProtocol is the application protocol negotiated with callers and upstreams.
+const alpnProtocol = "http/1.1"
 
-// ValidateCallers reports a set of files that can't serve callers.
+// ValidateCallers returns an error if the set of files can't be used for TLS with
+// callers.
 func (f Files) ValidateCallers() error {
 	if !f.Enabled() || (f.Certificate != "" && f.Key != "") {
 		return nil
@@ -17,7 +18,8 @@
 	return errors.New("TLS towards callers needs the certificate and the key")
 }
 
-// ValidateUpstreams reports a set of files that can't be used with upstreams.
+// ValidateUpstreams returns an error if the set of files can't be used for TLS with
+// upstreams.
 func (f Files) ValidateUpstreams() error {
 	switch {
 	case !f.Enabled():
@@ -30,8 +32,8 @@
 	return nil
 }
 
-// LoadCallers reads the files of TLS towards callers. With an authority,
-// callers must show a certificate that it signed.
+// LoadCallers reads the files for TLS with callers. If the authority is set, callers
+// must present a certificate that it signed.
 func LoadCallers(f Files, opts Options) (*Reloader, error) {
 	if err := f.ValidateCallers(); err != nil {
 		return nil, err
@@ -39,8 +41,8 @@
 	return load(f, opts)
 }
 
-// LoadUpstreams reads the files of TLS towards upstreams. The certificate is
-// shown to upstreams that ask for one.
+// LoadUpstreams reads the files for TLS with upstreams. The certificate, if set, is
+// presented to upstreams that request one.
 func LoadUpstreams(f Files, opts Options) (*Reloader, error) {
 	if err := f.ValidateUpstreams(); err != nil {
 		return nil, err
@@ -48,13 +50,13 @@
 	return load(f, opts)
 }
 
-// callerConfig returns the configuration of handshakes with callers.
+// callerConfig returns the configuration for handshakes with callers.
 func (m *material) callerConfig() *tls.Config {
 	conf := &tls.Config{
 		MinVersion:   tls.VersionTLS12,
-		NextProtos:   []string{protocol},
+		NextProtos:   []string{alpnProtocol},
 		Certificates: []tls.Certificate{m.certificate},
-		// A request or answer goes out in as few records, and so writes, as can be.
+		// Sends a request or answer in as few TLS records, and so writes, as possible.
 		DynamicRecordSizingDisabled: true,
 	}
 	if m.authority != nil {
@@ -64,9 +66,9 @@
 	return conf
 }
 
-// CallerConfig returns a configuration that uses the certificates then in force
-// for each handshake with a caller. Sessions are resumed only under the
-// certificates they began with.
+// CallerConfig returns a configuration that uses, for each handshake with a caller, the
+// certificates that are current at that time. Sessions can be resumed only while the
+// certificates they were established with are current.
 func (r *Reloader) CallerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -76,13 +78,13 @@
 	}
 }
 
-// UpstreamConfig returns the configuration of one handshake with an upstream
-// whose certificate must carry name; the caller fills in an empty one.
+// UpstreamConfig returns the configuration of one handshake with an upstream whose
+// certificate must carry name. If name is empty, the caller must set ServerName.
 func (r *Reloader) UpstreamConfig(name string) *tls.Config {
 	m := r.material()
 	conf := &tls.Config{
 		MinVersion:                  tls.VersionTLS12,
-		NextProtos:                  []string{protocol},
+		NextProtos:                  []string{alpnProtocol},
 		RootCAs:                     m.authority,
 		ServerName:                  name,
 		DynamicRecordSizingDisabled: true,
--- a/internal/tlsconf/wire_test.go
+++ b/internal/tlsconf/wire_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// accept serves TLS handshakes, one byte each, with the configuration that
-// conf returns for each of them.
-func accept(t *testing.T, conf func() *tls.Config) string {
+// serveHandshakes accepts TLS connections, each with the configuration that conf
+// returns for it, and writes one byte to each.
+func serveHandshakes(t *testing.T, conf func() *tls.Config) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -32,7 +32,7 @@
 	return ln.Addr().String()
 }
 
-// connect makes a handshake and reads the byte behind it.
+// connect makes a handshake and reads the byte that follows it.
 func connect(address string, conf *tls.Config) error {
 	d := net.Dialer{Timeout: 10 * time.Second}
 	c, err := tls.DialWithDialer(&d, "tcp", address, conf)
@@ -45,25 +45,25 @@
 	return err
 }
 
-func upstreams(t *testing.T, f Files, c *clock) *Reloader {
+func loadUpstreams(t *testing.T, f Files, c *fakeClock) *Reloader {
 	t.Helper()
 	r, err := LoadUpstreams(f, Options{Now: c.now})
 	is.New(t).NoErr(err)
 	return r
 }
 
-func TestCallersAndUpstreamsTakeReplacedFiles(t *testing.T) {
+func TestCallersAndUpstreamsReload(t *testing.T) {
 	is := is.New(t)
-	old, renewed := newAuthority(t), newAuthority(t)
-	var c clock
+	old, renewed := newTestCA(t), newTestCA(t)
+	var c fakeClock
 	dir, clientDir := t.TempDir(), t.TempDir()
 	files := old.issue(t, dir, "entry", old)
 	callers, err := LoadCallers(files, Options{Now: c.now}) // callers must show a certificate
 	is.NoErr(err)
 	conf := callers.CallerConfig()
-	address := accept(t, func() *tls.Config { return conf })
-	client := upstreams(t, old.issue(t, clientDir, "client", old), &c)
-	stale := upstreams(t, old.issue(t, t.TempDir(), "client", old), &c)
+	address := serveHandshakes(t, func() *tls.Config { return conf })
+	client := loadUpstreams(t, old.issue(t, clientDir, "client", old), &c)
+	stale := loadUpstreams(t, old.issue(t, t.TempDir(), "client", old), &c)
 	sessions := tls.NewLRUClientSessionCache(1)
 	resuming := func(r *Reloader) *tls.Config {
 		conf := r.UpstreamConfig("entry")
@@ -77,19 +77,19 @@
 	renewed.issue(t, dir, "entry", renewed)
 	c.advance()
 	is.True(connect(address, stale.UpstreamConfig("entry")) != nil)
-	is.True(connect(address, resuming(stale)) != nil) // nor by the session from before
+	is.True(connect(address, resuming(stale)) != nil) // an earlier session can't be resumed either
 	renewed.issue(t, clientDir, "client", renewed)
 	c.advance()
 	is.NoErr(connect(address, client.UpstreamConfig("entry")))
 	is.NoErr(os.WriteFile(files.Key, []byte("half written"), 0o600))
 	c.advance()
-	is.NoErr(connect(address, client.UpstreamConfig("entry"))) // the ones in force stay
+	is.NoErr(connect(address, client.UpstreamConfig("entry"))) // the previous certificates remain in use
 }
 
-func TestFilesOfCallersAndUpstreams(t *testing.T) {
+func TestLoadCallersAndUpstreams(t *testing.T) {
 	is := is.New(t)
-	f := newAuthority(t).issue(t, t.TempDir(), "entry", newAuthority(t))
-	other := newAuthority(t).issue(t, t.TempDir(), "entry", newAuthority(t))
+	f := newTestCA(t).issue(t, t.TempDir(), "entry", newTestCA(t))
+	other := newTestCA(t).issue(t, t.TempDir(), "entry", newTestCA(t))
 	tests := map[string]struct {
 		load  func(Files, Options) (*Reloader, error)
 		files Files
@@ -114,5 +114,5 @@
 			is.New(t).Equal(err == nil, test.ok)
 		})
 	}
-	is.Equal(upstreams(t, Files{Authority: f.Authority}, new(clock)).Expires(), time.Time{})
+	is.Equal(loadUpstreams(t, Files{Authority: f.Authority}, new(fakeClock)).Expires(), time.Time{})
 }
