--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,12 +1,16 @@
-// Package clock gives the time by which the process measures how long ago something was.
-// A suspended machine runs on afterwards as if no time had passed: the steady clock, and
-// with it what time.Now, time.Since and timers count, stood still. To the callers, the
-// upstreams and the other hosts that time did pass: deadlines are over, what was known is
-// old, connections that were used a moment ago have been idle. Now counts it.
+// Package clock provides a clock for measuring elapsed time that includes the time for
+// which the machine was suspended.
 //
-// Times of this package and of time.Now must not be compared with one another. Those of
-// this package are for measuring, and time.Now is for what people read; Wall converts.
-// Timers count no suspended time: who must act soon after one registers with OnResume.
+// While a machine is suspended, its monotonic clock stands still, and with it the elapsed
+// time that time.Now, time.Since and timers measure. For callers, upstreams and other
+// hosts the time did pass: after a suspension, deadlines have expired, known state is
+// outdated, and connections that seem to be in recent use have been idle. Now includes
+// that time.
+//
+// Times of this package must not be compared with those of time.Now. Use this package to
+// measure durations and time.Now for times shown to people; Wall converts. Timers do not
+// include suspended time: code that must act soon after a suspension registers with
+// OnResume.
 package clock
 
 import (
@@ -18,94 +22,98 @@
 )
 
 const (
-	// stepTolerance is how far the time of day may move against the steady clock before
-	// the boot clock is read, which is a system call: Now costs as much as time.Now.
-	// Nothing here depends on a shorter suspension.
+	// stepTolerance is how far the wall clock may drift from the monotonic clock before
+	// the boot clock is read. Reading it is a system call; without it, Now costs as much
+	// as time.Now. Shorter suspensions do not affect anything that uses this package.
 	stepTolerance = 50 * time.Millisecond
-	// least is the shortest suspension that is told from the error of reading two clocks.
-	least = 10 * time.Millisecond
-	// closeReads is the longest time between two reads of the steady clock for which what
-	// was read between them counts as simultaneous; readTries bounds the tries.
-	closeReads = time.Millisecond
-	readTries  = 5
+	// minSuspension is the shortest suspension that can be distinguished from the error
+	// of reading two clocks one after the other.
+	minSuspension = 10 * time.Millisecond
+	// maxReadGap is the maximum time between two reads of the monotonic clock for which a
+	// read of the boot clock between them counts as simultaneous. maxReadAttempts bounds
+	// the attempts to stay below it.
+	maxReadGap      = time.Millisecond
+	maxReadAttempts = 5
 )
 
-// reading is one look at two clocks at the same moment.
+// reading holds two clocks read at the same moment.
 type reading struct {
-	steady time.Duration // since the start
-	day    time.Duration // time of day, since 1970
+	monotonic time.Duration // since the start of the process
+	wall      time.Duration // since the Unix epoch
 }
 
-// reader reads the clocks of a machine. Tests have one of their own.
+// reader reads the clocks of a machine. Tests replace it.
 type reader interface {
 	read() reading
-	// boot returns the clock that runs while the machine is suspended.
+	// boot reads the clock that also advances while the machine is suspended.
 	boot() (time.Duration, error)
 }
 
-// clock counts the suspended time of one machine. It is safe for concurrent use.
+// clock tracks the suspended time of one machine. It is safe for concurrent use.
 type clock struct {
 	reader
-	base      reading
-	bootBase  time.Duration
-	drift     atomic.Int64 // of the time of day against the steady clock, when last seen
-	suspended atomic.Int64 // nanoseconds since the start
-	mu        sync.Mutex   // orders looks
-	resumed   []func(suspended time.Duration)
-	err       error // of the boot clock
+	base        reading
+	bootBase    time.Duration
+	drift       atomic.Int64 // of the wall clock from the monotonic clock at the last check, in nanoseconds
+	suspended   atomic.Int64 // total since the start, in nanoseconds
+	mu          sync.Mutex   // serializes checks and guards resumeFuncs
+	resumeFuncs []func(suspended time.Duration)
+	bootErr     error // set if the boot clock can't be read
 }
 
 func newClock(r reader) *clock {
 	c := &clock{reader: r, base: r.read()}
-	c.bootBase, c.err = r.boot()
+	c.bootBase, c.bootErr = r.boot()
 	return c
 }
 
-// at returns how long the machine was suspended since the start.
-func (c *clock) at(r reading) time.Duration {
-	drift := (r.day - c.base.day) - (r.steady - c.base.steady)
+// suspendedAt returns how long the machine was suspended between the start and r.
+func (c *clock) suspendedAt(r reading) time.Duration {
+	drift := (r.wall - c.base.wall) - (r.monotonic - c.base.monotonic)
 	if (drift - time.Duration(c.drift.Load())).Abs() > stepTolerance {
-		c.look(drift)
+		c.checkSuspended(drift)
 	}
 	return time.Duration(c.suspended.Load())
 }
 
-// look finds out whether the machine was suspended, or its time of day was set.
-func (c *clock) look(drift time.Duration) {
+// checkSuspended determines whether a changed drift comes from a suspension of the
+// machine or from a change of its wall clock.
+func (c *clock) checkSuspended(drift time.Duration) {
 	c.mu.Lock()
 	c.drift.Store(int64(drift))
 	known := time.Duration(c.suspended.Load())
-	total, ok := c.measure()
+	total, ok := c.measureSuspended()
 	grown := total - known
-	if !ok || grown < least {
+	if !ok || grown < minSuspension {
 		c.mu.Unlock()
 		return
 	}
 	c.suspended.Store(int64(total))
-	resumed := c.resumed
+	callbacks := c.resumeFuncs
 	c.mu.Unlock()
-	for _, f := range resumed {
+	for _, f := range callbacks {
 		go f(grown)
 	}
 }
 
-// measure returns how long the machine was suspended since the start; false if the boot
-// clock can't be read.
-func (c *clock) measure() (time.Duration, bool) {
-	if c.err != nil {
+// measureSuspended returns how long the machine was suspended since the start, or false
+// if the boot clock can't be read.
+func (c *clock) measureSuspended() (time.Duration, bool) {
+	if c.bootErr != nil {
 		return 0, false
 	}
 	var total time.Duration
-	for range readTries {
-		before := c.read().steady
+	for range maxReadAttempts {
+		before := c.read().monotonic
 		boot, err := c.boot()
 		if err != nil {
 			return 0, false
 		}
-		after := c.read().steady
-		// The process may have waited between the reads: this is never too much.
-		total = (boot - c.bootBase) - (after - c.base.steady)
-		if after-before < closeReads {
+		after := c.read().monotonic
+		// If the process was descheduled between the reads, this underestimates the
+		// suspended time, but it never overestimates it.
+		total = (boot - c.bootBase) - (after - c.base.monotonic)
+		if after-before < maxReadGap {
 			break
 		}
 	}
@@ -115,21 +123,21 @@
 func (c *clock) onResume(f func(time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.resumed = append(c.resumed, f)
+	c.resumeFuncs = append(c.resumeFuncs, f)
 }
 
-// machine reads the clocks of this machine.
-type machine struct {
+// systemClocks reads the clocks of this machine.
+type systemClocks struct {
 	start time.Time
 }
 
-func (m machine) read() reading { return m.of(time.Now()) }
+func (m systemClocks) read() reading { return m.readingAt(time.Now()) }
 
-func (m machine) of(t time.Time) reading {
-	return reading{steady: t.Sub(m.start), day: time.Duration(t.UnixNano())}
+func (m systemClocks) readingAt(t time.Time) reading {
+	return reading{monotonic: t.Sub(m.start), wall: time.Duration(t.UnixNano())}
 }
 
-func (machine) boot() (time.Duration, error) {
+func (systemClocks) boot() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		return 0, err
@@ -138,44 +146,44 @@
 }
 
 var (
-	here    = machine{time.Now()}
-	process = newClock(here)
+	system       = systemClocks{time.Now()}
+	processClock = newClock(system)
 )
 
-// Check returns why suspensions can't be seen, or nil.
-func Check() error { return process.err }
+// Check returns an error if suspensions can't be detected on this machine.
+func Check() error { return processClock.bootErr }
 
-// Now returns the current time, suspended time included.
+// Now returns the current time of this clock, including suspended time.
 func Now() time.Time {
 	t := time.Now()
-	suspended := process.at(here.of(t))
+	suspended := processClock.suspendedAt(system.readingAt(t))
 	if suspended == 0 {
 		return t
 	}
 	return t.Add(suspended)
 }
 
-// Since returns the time that has passed since t, which Now returned.
+// Since returns the time elapsed since t, which must be a time of this clock.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time until t, which is of this clock.
+// Until returns the time until t, which must be a time of this clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Wall returns the time of day of t, which is of this clock.
-func Wall(t time.Time) time.Time { return t.Add(-time.Duration(process.suspended.Load())) }
+// Wall converts t, which must be a time of this clock, to a time of time.Now.
+func Wall(t time.Time) time.Time { return t.Add(-time.Duration(processClock.suspended.Load())) }
 
-// Skip counts d as suspended time, and returns what takes that back. It is for tests of
-// other packages.
+// Skip simulates a suspension of length d, for tests of other packages. The returned
+// function undoes it.
 func Skip(d time.Duration) (undo func()) {
-	process.suspended.Add(int64(d))
-	process.mu.Lock()
-	defer process.mu.Unlock()
-	for _, f := range process.resumed {
+	processClock.suspended.Add(int64(d))
+	processClock.mu.Lock()
+	defer processClock.mu.Unlock()
+	for _, f := range processClock.resumeFuncs {
 		go f(d)
 	}
-	return func() { process.suspended.Add(-int64(d)) }
+	return func() { processClock.suspended.Add(-int64(d)) }
 }
 
-// OnResume has f called, on a goroutine of its own, when it is seen that the machine was
-// suspended, with how long it was. It is seen at the next call of Now.
-func OnResume(f func(suspended time.Duration)) { process.onResume(f) }
+// OnResume registers f to be called, on its own goroutine, with the length of each
+// suspension. Suspensions are detected by the first call of Now after them.
+func OnResume(f func(suspended time.Duration)) { processClock.onResume(f) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,97 +9,100 @@
 	"github.com/matryer/is"
 )
 
-// fake is a machine whose clocks a test moves. Set is how far its time of day was set,
-// and away how long it was suspended.
-type fake struct {
-	steady, set, away time.Duration
-	broken            error
-	boots             int // calls of boot
-	// waits is how long the process waits after each of the next calls of boot.
-	waits []time.Duration
+// fakeClocks simulates the clocks of a machine. WallStep is how far its wall clock was
+// set, and suspended is how long it was suspended.
+type fakeClocks struct {
+	monotonic, wallStep, suspended time.Duration
+	bootErr                        error
+	bootReads                      int // number of calls of boot
+	// bootDelays holds how long the process is descheduled after each of the next calls
+	// of boot.
+	bootDelays []time.Duration
 }
 
-func (f *fake) read() reading {
-	return reading{steady: f.steady, day: f.steady + f.away + f.set}
+func (f *fakeClocks) read() reading {
+	return reading{monotonic: f.monotonic, wall: f.monotonic + f.suspended + f.wallStep}
 }
 
-func (f *fake) boot() (time.Duration, error) {
-	f.boots++
-	read := f.steady + f.away
-	if len(f.waits) > 0 {
-		f.steady += f.waits[0]
-		f.waits = f.waits[1:]
+func (f *fakeClocks) boot() (time.Duration, error) {
+	f.bootReads++
+	read := f.monotonic + f.suspended
+	if len(f.bootDelays) > 0 {
+		f.monotonic += f.bootDelays[0]
+		f.bootDelays = f.bootDelays[1:]
 	}
-	return read, f.broken
+	return read, f.bootErr
 }
 
-// TestSuspended: what counts as suspended time, and what does not.
+// TestSuspended checks that only suspensions count as suspended time: neither changes of
+// the wall clock nor waiting between two reads do.
 func TestSuspended(t *testing.T) {
 	for name, test := range map[string]struct {
-		happens func(f *fake)
-		want    time.Duration
+		change func(f *fakeClocks)
+		want   time.Duration
 	}{
-		"nothing":                 {func(f *fake) { f.steady += time.Hour }, 0},
-		"suspended":               {func(f *fake) { f.away += 5 * time.Second }, 5 * time.Second},
-		"time of day set forward": {func(f *fake) { f.set += 5 * time.Second }, 0},
-		"time of day set back":    {func(f *fake) { f.set -= 5 * time.Second }, 0},
-		"suspended, and then set": {func(f *fake) { f.away, f.set = 5*time.Second, -time.Second }, 5 * time.Second},
-		"the process waits between the reads": {func(f *fake) {
-			f.away, f.waits = 5*time.Second, []time.Duration{time.Second, 0}
+		"not suspended":                  {func(f *fakeClocks) { f.monotonic += time.Hour }, 0},
+		"suspended":                      {func(f *fakeClocks) { f.suspended += 5 * time.Second }, 5 * time.Second},
+		"wall clock set forward":         {func(f *fakeClocks) { f.wallStep += 5 * time.Second }, 0},
+		"wall clock set back":            {func(f *fakeClocks) { f.wallStep -= 5 * time.Second }, 0},
+		"suspended, then wall clock set": {func(f *fakeClocks) { f.suspended, f.wallStep = 5*time.Second, -time.Second }, 5 * time.Second},
+		"descheduled between the reads": {func(f *fakeClocks) {
+			f.suspended, f.bootDelays = 5*time.Second, []time.Duration{time.Second, 0}
 		}, 5 * time.Second},
-		"the boot clock can't be read": {func(f *fake) {
-			f.away, f.broken = 5*time.Second, errors.New("no such clock")
+		"the boot clock can't be read": {func(f *fakeClocks) {
+			f.suspended, f.bootErr = 5*time.Second, errors.New("no such clock")
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := &fake{steady: time.Minute}
+			f := &fakeClocks{monotonic: time.Minute}
 			c := newClock(f)
-			is.Equal(c.at(f.read()), time.Duration(0))
-			test.happens(f)
-			is.Equal(c.at(f.read()), test.want)
-			f.steady += time.Second
-			is.Equal(c.at(f.read()), test.want)
+			is.Equal(c.suspendedAt(f.read()), time.Duration(0))
+			test.change(f)
+			is.Equal(c.suspendedAt(f.read()), test.want)
+			f.monotonic += time.Second
+			is.Equal(c.suspendedAt(f.read()), test.want)
 		})
 	}
 }
 
-// TestBootClockIsRarelyRead: only when the time of day has moved against the steady one.
+// TestBootClockIsRarelyRead checks that the boot clock is read only when the wall clock
+// has moved against the monotonic clock, because each read is a system call.
 func TestBootClockIsRarelyRead(t *testing.T) {
 	is := is.New(t)
-	f := new(fake)
+	f := new(fakeClocks)
 	c := newClock(f)
 	for range 1000 {
-		f.steady += time.Millisecond
-		c.at(f.read())
+		f.monotonic += time.Millisecond
+		c.suspendedAt(f.read())
 	}
-	is.Equal(f.boots, 1) // at the start
-	f.set += time.Second
+	is.Equal(f.bootReads, 1) // by newClock
+	f.wallStep += time.Second
 	for range 1000 {
-		c.at(f.read())
+		c.suspendedAt(f.read())
 	}
-	is.Equal(f.boots, 2)
+	is.Equal(f.bootReads, 2)
 }
 
-// TestOnResume: each suspension is told once, with its length.
+// TestOnResume checks that each suspension is reported once, with its length.
 func TestOnResume(t *testing.T) {
 	is := is.New(t)
-	f := new(fake)
+	f := new(fakeClocks)
 	c := newClock(f)
 	told := make(chan time.Duration, 4)
 	c.onResume(func(d time.Duration) { told <- d })
 	for _, d := range []time.Duration{5 * time.Second, 2 * time.Second} {
-		f.away += d
+		f.suspended += d
 		for range 3 {
-			c.at(f.read())
+			c.suspendedAt(f.read())
 		}
 		is.Equal(<-told, d)
 	}
 	is.Equal(len(told), 0)
 }
 
-// TestRealClock: nothing was suspended, so that both clocks show the same, also in tests
-// with a time of their own.
+// TestRealClock checks that this clock agrees with time.Now as long as the machine is not
+// suspended, also inside a synctest bubble.
 func TestRealClock(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(Check())
