--- a/internal/httpget/httpget.go
+++ b/internal/httpget/httpget.go
@@ -1,4 +1,5 @@
-// Package httpget reads over HTTP, bounded.
+// Package httpget performs HTTP GET requests with a bound on the size of the response
+// body.
 package httpget
 
 import (
@@ -11,40 +12,40 @@
 	"github.com/cockroachdb/errors"
 )
 
-// StatusError is an answer other than 200.
+// StatusError is returned for a response with a status other than 200.
 type StatusError struct {
-	// Code is the HTTP status.
+	// Code is the HTTP status code.
 	Code int
 }
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return "answered " + strconv.Itoa(e.Code) + " " + http.StatusText(e.Code)
+	return "unexpected status " + strconv.Itoa(e.Code) + " " + http.StatusText(e.Code)
 }
 
-// ErrTooLarge says that an answer exceeds its bound.
-var ErrTooLarge = errors.New("answer too large")
+// ErrTooLarge is returned for a response body that exceeds its bound.
+var ErrTooLarge = errors.New("response body too large")
 
-// JSON reads url into out. The answer may have maxBytes. The error is one of Body or
-// of decoding.
+// JSON gets url and decodes the response body, of at most maxBytes, into out. The error
+// is one of Body or of decoding.
 func JSON(ctx context.Context, client *http.Client, url string, maxBytes int64, out any) error {
 	body, err := Body(ctx, client, url, maxBytes)
 	if err != nil {
 		return err
 	}
-	return errors.Wrap(json.Unmarshal(body, out), "answer")
+	return errors.Wrap(json.Unmarshal(body, out), "decode response body")
 }
 
-// Body reads what url answers, up to maxBytes. The error is a *StatusError,
-// ErrTooLarge, or one of transport.
+// Body gets url and returns the response body, of at most maxBytes. The error is a
+// *StatusError, ErrTooLarge, or an error of the transport.
 func Body(ctx context.Context, client *http.Client, url string, maxBytes int64) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "request")
+		return nil, errors.Wrap(err, "create request")
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "read")
+		return nil, errors.Wrap(err, "send request")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes+1))
@@ -52,9 +53,9 @@
 	case resp.StatusCode != http.StatusOK:
 		return nil, &StatusError{resp.StatusCode}
 	case err != nil:
-		return nil, errors.Wrap(err, "body")
+		return nil, errors.Wrap(err, "read response body")
 	case int64(len(body)) > maxBytes:
-		return nil, errors.Wrapf(ErrTooLarge, "over %d bytes", maxBytes)
+		return nil, errors.Wrapf(ErrTooLarge, "more than %d bytes", maxBytes)
 	}
 	return body, nil
 }
