--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,4 +1,5 @@
-// Package admin serves liveness, readiness and metrics of a daemon.
+// Package admin implements the HTTP server for liveness, readiness, metrics and
+// profiles of a daemon.
 package admin
 
 import (
@@ -14,34 +15,40 @@
 	"github.com/dapplespindle/dapplespindle/internal/metrics"
 )
 
-const stopTimeout = time.Second
+const (
+	// readHeaderTimeout bounds the time for receiving the headers of a request.
+	readHeaderTimeout = time.Second
+	// stopTimeout bounds the time that Stop waits for requests in progress.
+	stopTimeout = time.Second
+)
 
-// The paths of the product itself.
+// Paths that are served. Config.ReadyPath replaces ReadyPath.
 const (
 	LivePath    = "/livez"
 	ReadyPath   = "/readyz"
 	MetricsPath = "/metrics"
 )
 
-// Config says what is served where.
+// Config configures a Server.
 type Config struct {
-	// Address is the IP:port to listen on.
+	// Address is the address to listen on, as IP:port.
 	Address string
-	// ReadyPath answers 200 while the host takes requests, else 503; empty is ReadyPath.
+	// ReadyPath is the path that returns 200 while the host accepts requests and 503
+	// otherwise. The default is the constant ReadyPath.
 	ReadyPath string
-	// Metrics is served on MetricsPath; nil leaves it out.
+	// Metrics is served on MetricsPath unless it is nil.
 	Metrics *metrics.Sink
-	// Profiles serves the runtime's profiles under /debug/pprof/.
+	// Profiles enables the profiles of the Go runtime under /debug/pprof/.
 	Profiles bool
 }
 
-// Server serves liveness, readiness and metrics.
+// Server serves liveness, readiness, metrics and profiles.
 type Server struct {
 	server *http.Server
 	ready  atomic.Bool
 }
 
-// New returns a server that is not ready and not yet listening.
+// New returns a server that is not listening yet and reports that it is not ready.
 func New(c Config) *Server {
 	s := new(Server)
 	mux := http.NewServeMux()
@@ -57,11 +64,11 @@
 	if c.Profiles {
 		handleProfiles(mux)
 	}
-	s.server = &http.Server{Addr: c.Address, Handler: mux, ReadHeaderTimeout: stopTimeout}
+	s.server = &http.Server{Addr: c.Address, Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	return s
 }
 
-// handleProfiles serves the runtime's profiles; the index lists them.
+// handleProfiles registers the profiles of the Go runtime. The index page lists them.
 func handleProfiles(mux *http.ServeMux) {
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
@@ -72,20 +79,20 @@
 func (s *Server) Start() error {
 	ln, err := net.Listen("tcp", s.server.Addr)
 	if err != nil {
-		return errors.Wrap(err, "admin listener")
+		return errors.Wrap(err, "start admin listener")
 	}
 	go func() { _ = s.server.Serve(ln) }()
 	return nil
 }
 
-// Stop closes the listener and waits a moment for what is being answered.
+// Stop closes the listener and waits up to stopTimeout for requests in progress.
 func (s *Server) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	_ = s.server.Shutdown(ctx)
 }
 
-// SetReady sets what readiness answers.
+// SetReady sets the readiness that the server reports.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
 func (s *Server) serveLive(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -10,7 +10,7 @@
 	"github.com/dapplespindle/dapplespindle/internal/metrics"
 )
 
-func TestProfilesAreOffUnlessSet(t *testing.T) {
+func TestProfilesAreOptIn(t *testing.T) {
 	is := is.New(t)
 	for profiles, want := range map[bool]int{false: http.StatusNotFound, true: http.StatusOK} {
 		a := New(Config{Address: "127.0.0.1:0", Metrics: metrics.New(), Profiles: profiles})
