--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries gRPC between the entry hosts: one server that the
-// parts register their services with, and one connection per peer address.
+// Package peer provides gRPC between entry hosts: a server on which other packages
+// register their services, and a pool with one connection per peer address.
 package peer
 
 import (
@@ -15,12 +15,12 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// MaxMessageBytes bounds one message between peers, in bytes. It leaves room
-// for a document of one megabyte and for a forwarded request with its body.
+// MaxMessageBytes bounds one message between peers, in bytes. It is large enough for a
+// document of one megabyte and for a forwarded request with its body.
 const MaxMessageBytes = 32 << 20
 
-// A peer that was gone for long is tried again within a second or so: a host
-// that restarts must not wait for its peers' backoff.
+// connectParams bounds the backoff so that a peer that was unreachable for long is
+// retried within about a second: peers must reconnect quickly to a host that restarts.
 var connectParams = grpc.ConnectParams{
 	Backoff: backoff.Config{
 		BaseDelay:  100 * time.Millisecond,
@@ -31,14 +31,14 @@
 	MinConnectTimeout: 2 * time.Second,
 }
 
-// Server listens for peers.
+// Server is a gRPC server for peers.
 type Server struct {
 	*grpc.Server
 	address string
 }
 
-// NewServer returns a server for address, "IP:port". With nil credentials it
-// serves without TLS.
+// NewServer returns a server that will listen on address, as IP:port. With nil
+// credentials it serves without TLS.
 func NewServer(address string, creds credentials.TransportCredentials) *Server {
 	if creds == nil {
 		creds = insecure.NewCredentials()
@@ -47,17 +47,17 @@
 	return &Server{Server: s, address: address}
 }
 
-// Start begins to serve in the background.
+// Start opens the listener and serves in the background.
 func (s *Server) Start() error {
 	ln, err := net.Listen("tcp", s.address)
 	if err != nil {
-		return errors.Wrap(err, "peer listener")
+		return errors.Wrap(err, "start gRPC listener")
 	}
 	go func() { _ = s.Serve(ln) }()
 	return nil
 }
 
-// Pool holds one lazily made connection per peer address.
+// Pool holds one connection per peer address, created on first use.
 type Pool struct {
 	creds credentials.TransportCredentials
 	mu    sync.Mutex
@@ -72,8 +72,8 @@
 	return &Pool{creds: creds, conns: make(map[string]*grpc.ClientConn)}
 }
 
-// Conn returns the connection to address, "IP:port". It does not wait for the
-// connection to be made.
+// Conn returns the connection to address, as IP:port. It does not wait for the
+// connection to be established.
 func (p *Pool) Conn(address string) (*grpc.ClientConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,13 +86,13 @@
 		grpc.WithConnectParams(connectParams),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxMessageBytes), grpc.MaxCallSendMsgSize(MaxMessageBytes)))
 	if err != nil {
-		return nil, errors.Wrap(err, "peer connection")
+		return nil, errors.Wrap(err, "create peer connection")
 	}
 	p.conns[address] = c
 	return c, nil
 }
 
-// Forget closes the connection to a peer that left.
+// Forget closes and removes the connection to a peer that left the fleet.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +102,7 @@
 	}
 }
 
-// Close closes every connection.
+// Close closes and removes all connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,8 +112,9 @@
 	}
 }
 
-// CallAll calls each of the peers beside the caller, for news that are repeated: a call that
-// fails is as a message that is lost.
+// CallAll calls all peers concurrently, each with the timeout, and returns immediately.
+// It ignores errors: it is for updates that are sent repeatedly, so that a failed call is
+// equivalent to a lost message.
 func (p *Pool) CallAll(peers []string, timeout time.Duration, call func(context.Context, *grpc.ClientConn) error) {
 	for _, address := range peers {
 		go func() {
