--- a/internal/execution/codec.go
+++ b/internal/execution/codec.go
@@ -64,7 +64,7 @@
 	return m
 }
 
-// decodeResult decodes a result. A result that has neither an answer nor a known
+// decodeResult decodes a result. A result that has neither a response nor a known
 // error kind is decoded as "unknown".
 func decodeResult(m *executionv1.Result) atmostonce.Result {
 	if m.GetKind() != "" {
--- a/internal/execution/forward.go
+++ b/internal/execution/forward.go
@@ -13,7 +13,7 @@
 )
 
 // forwardMargin is subtracted from the timeout of a forwarded request, to leave time
-// for the answer to travel back.
+// for the result to travel back.
 const forwardMargin = 10 * time.Millisecond
 
 // forward sends the request to the host that executes its ticket. If the call fails
--- a/internal/execution/handover.go
+++ b/internal/execution/handover.go
@@ -20,8 +20,8 @@
 // finished.
 const freezePollInterval = 5 * time.Millisecond
 
-// maxSlotBytes is the size in one message, in bytes, up to which slots include their
-// answers. The rest of the message is reserved for slots without an answer.
+// maxSlotBytes is the size in one message, in bytes, up to which slots include the
+// stored responses. The rest of the message is reserved for slots without a response.
 const maxSlotBytes = peer.MaxMessageBytes / 2
 
 // StopIssuing stops issuing tickets. Requests that already have one still execute.
@@ -33,7 +33,7 @@
 
 // HandOver waits until this host's executions have finished, transfers its tickets to
 // one peer and notifies the others. It succeeds at most once, and must be called
-// after the host has stopped accepting requests of callers. If ctx ends before the
+// after the host has stopped accepting requests from callers. If ctx ends before the
 // ledger is frozen, only the issue of tickets has stopped. After the freeze this
 // process executes no ticket of its own again. If the successor does not confirm the
 // transfer, no other peer is tried, because the successor may have adopted the
@@ -91,7 +91,7 @@
 }
 
 // announceSuccessor tells the other peers where the tickets are executed. It is best
-// effort: a host that misses the announcement forwards to the old address and answers
+// effort: a host that misses the announcement forwards to the old address and reports
 // "unknown".
 func (s *Service) announceSuccessor(ctx context.Context, successor netip.AddrPort, others []netip.AddrPort) {
 	m := &executionv1.MovedRequest{Incarnation: uint64(s.own.sealer.Incarnation()), Successor: successor.String()}
@@ -124,7 +124,7 @@
 	return m
 }
 
-// encodeSlot omits an answer whose body exceeds the remaining size. The state of the
+// encodeSlot omits a response whose body exceeds the remaining size. The state of the
 // ticket is always included.
 func encodeSlot(saved atmostonce.SavedSlot, remaining int) *executionv1.Slot {
 	m := &executionv1.Slot{LeftUs: saved.Left.Microseconds()}
--- a/internal/execution/headers.go
+++ b/internal/execution/headers.go
@@ -14,12 +14,12 @@
 const (
 	// HeaderKey is the standard idempotency key. It carries the ticket of a request.
 	HeaderKey = "Idempotency-Key"
-	// HeaderTicket carries, on an answer, a ticket for the caller's next request.
+	// HeaderTicket carries, on a response, a ticket for the caller's next request.
 	HeaderTicket = "Dapplespindle-Ticket"
 )
 
-// Headers that the proxy sets on its answers. This package reads them, and sets them
-// on its own answers.
+// Headers that the proxy sets on its responses. This package reads them, and sets them
+// on its own responses.
 const (
 	headerOutcome    = "Dapplespindle-Outcome"
 	headerError      = "Dapplespindle-Error"
@@ -27,7 +27,7 @@
 	headerRetryAfter = "Retry-After"
 )
 
-// retryAfterSeconds is the value of Retry-After on answers that allow a retry.
+// retryAfterSeconds is the value of Retry-After on responses that allow a retry.
 const retryAfterSeconds = "1"
 
 // ticketFromHeader returns the ticket of a request, whose header value may be quoted.
@@ -51,7 +51,7 @@
 	return t, nil
 }
 
-// Undecided returns the error to answer with when a request is refused before
+// RefusalBeforeExecute returns the error to report when a request is refused before
 // Execute was called: because there is no configuration or route, because of a
 // limit, or because it was not received completely. This arrival did not run the
 // request, but if the request carries a ticket, an earlier arrival may have run it,
--- a/internal/execution/ledger.go
+++ b/internal/execution/ledger.go
@@ -13,7 +13,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// runFunc sends a request to an upstream and returns the answer or an error response.
+// runFunc sends a request to an upstream and returns its response or an error response.
 type runFunc func(ctx context.Context) *httpwire.Response
 
 // ticketLedger is the ledger of one incarnation whose tickets this process executes:
@@ -104,7 +104,7 @@
 		s.calls[ask.Sequence] = c
 	}
 	s.mu.Unlock()
-	s.emitBreach(err)
+	s.emitViolation(err)
 	return d, c
 }
 
@@ -130,7 +130,7 @@
 	s.mu.Unlock()
 	c.result = result
 	close(c.done)
-	s.emitBreach(err)
+	s.emitViolation(err)
 	s.emit(event.Event{Code: event.ExecutionEnded, Reason: result.Outcome().String(), Value: int64(sequence)})
 	return result
 }
@@ -149,7 +149,7 @@
 	s.mu.Lock()
 	denied, err := s.ledger.Send(clock.Now(), sequence)
 	s.mu.Unlock()
-	s.emitBreach(err)
+	s.emitViolation(err)
 	if denied != nil {
 		s.emit(event.Event{Code: event.SendDenied, Reason: denied.Kind.String(), Value: int64(sequence)})
 	}
@@ -160,11 +160,11 @@
 	s.mu.Lock()
 	err := s.ledger.NotRun(clock.Now(), sequence)
 	s.mu.Unlock()
-	s.emitBreach(err)
+	s.emitViolation(err)
 }
 
-// emitBreach emits the event of a violated invariant.
-func (s *ticketLedger) emitBreach(err error) {
+// emitViolation emits the event of a violated invariant.
+func (s *ticketLedger) emitViolation(err error) {
 	var b *atmostonce.Breach
 	if errors.As(err, &b) {
 		s.emit(event.Event{Code: b.Code, Value: int64(b.Sequence)})
--- a/internal/execution/service.go
+++ b/internal/execution/service.go
@@ -85,7 +85,7 @@
 }
 
 // Execute implements the proxy's Executor: it runs the request, forwards it to the
-// issuer of its ticket, or answers without running it. Every answer carries a new
+// issuer of its ticket, or responds without running it. Every response carries a new
 // ticket, unless the ledger issues none or the request was sent without a ticket
 // under a direct rule.
 func (s *Service) Execute(ctx context.Context, req *httpwire.Request, rule *routing.Rule, run func(ctx context.Context) *httpwire.Response) *httpwire.Response {
--- a/internal/tlsconf/wire.go
+++ b/internal/tlsconf/wire.go
@@ -56,7 +56,7 @@
 		MinVersion:   tls.VersionTLS12,
 		NextProtos:   []string{alpnProtocol},
 		Certificates: []tls.Certificate{m.certificate},
-		// Sends a request or answer in as few TLS records, and so writes, as possible.
+		// Sends a request or response in as few TLS records, and so writes, as possible.
 		DynamicRecordSizingDisabled: true,
 	}
 	if m.authority != nil {
--- a/pkg/atmostonce/ask.go
+++ b/pkg/atmostonce/ask.go
@@ -9,29 +9,30 @@
 // Verdict is the action to take on a request.
 type Verdict uint8
 
-// The verdicts of Ledger.Ask.
+// The verdicts of Ledger.Submit.
 const (
-	// Execute means that the caller of Ask must execute the request. No other
+	// Execute means that the caller of Submit must execute the request. No other
 	// caller gets this verdict.
 	Execute Verdict = iota
 	// Join means that the request is already being executed; the caller waits for
 	// its result.
 	Join
-	// Final means that Result is the answer.
+	// Final means that Result is the result of the request.
 	Final
 )
 
-// Decision is the answer to an Ask.
+// Decision is what Ledger.Submit decides.
 type Decision struct {
 	// Verdict is the action to take.
 	Verdict Verdict
-	// Result is the answer when Verdict is Final.
+	// Result is the result of the request when Verdict is Final.
 	Result Result
 	// Replayed is true when the result is that of an earlier request.
 	Replayed bool
 }
 
-// Ask describes the arrival of a request whose ticket Sealer.Owner reported as Own.
+// Submission describes the arrival of a request whose ticket Sealer.Owner reported as
+// Local.
 type Ask struct {
 	// Sequence is the sequence number of the ticket.
 	Sequence uint64
@@ -41,11 +42,11 @@
 	Deadline time.Time
 }
 
-// Ask decides what to do with an arriving request. The error is a *Breach.
+// Submit decides what to do with an arriving request. The error is a *Violation.
 func (l *Ledger) Ask(now time.Time, a Ask) (Decision, error) {
 	now = l.advance(now)
 	if a.Sequence >= l.next {
-		return finalDecision(errkind.Internal, "ticket was never issued"), newBreach(BreachNeverIssued, a.Sequence)
+		return finalDecision(errkind.Internal, "ticket was never issued"), newViolation(BreachNeverIssued, a.Sequence)
 	}
 	if a.Sequence < l.oldest {
 		return finalDecision(errkind.TicketForgotten, "the record's time is over"), nil
--- a/pkg/atmostonce/atmostonce_test.go
+++ b/pkg/atmostonce/atmostonce_test.go
@@ -84,10 +84,10 @@
 			f.waitForDeadline = true
 			is.New(t).Equal(f.run(schedules.Example(seed+1)), "")
 		}
-		n := count.answers
-		total := n[answeredRan] + n[answeredNotRun] + n[answeredUnknown]
+		n := count.outcomes
+		total := n[outcomeRan] + n[outcomeNotRun] + n[outcomeUnknown]
 		t.Logf("fault %-9s %6d answers: ran %4.1f%%, not-run %4.1f%%, unknown %4.1f%%", name, total,
-			percent(n[answeredRan], total), percent(n[answeredNotRun], total), percent(n[answeredUnknown], total))
+			percent(n[outcomeRan], total), percent(n[outcomeNotRun], total), percent(n[outcomeUnknown], total))
 	}
 }
 
--- a/pkg/atmostonce/breach.go
+++ b/pkg/atmostonce/breach.go
@@ -9,18 +9,18 @@
 
 // Violated invariants, by their event codes.
 const (
-	// BreachNeverIssued is a verified ticket whose sequence number was never issued.
+	// ViolationNeverIssued is a verified ticket whose sequence number was never issued.
 	BreachNeverIssued = event.InvariantTicketNeverIssued
-	// BreachSecondSend is a second send while the first one may have run.
+	// ViolationSecondSend is a second send while the first one may have run.
 	BreachSecondSend = event.InvariantSecondSend
-	// BreachNoRecord is a state change of an execution that has no record, or a
+	// ViolationNoRecord is a state change of an execution that has no record, or a
 	// result of "ran" although nothing was sent.
 	BreachNoRecord = event.InvariantNoRecord
-	// BreachFalseNotRun is a result of "not run" for a request that may have run.
+	// ViolationFalseNotRun is a result of "not run" for a request that may have run.
 	BreachFalseNotRun = event.InvariantFalseNotRun
 )
 
-// Breach is a violated invariant. The affected request must not proceed.
+// Violation is a violated invariant. The affected request must not proceed.
 type Breach struct {
 	// Code is the code of the event to emit.
 	Code event.Code
@@ -33,7 +33,7 @@
 	return b.Code.String() + ": ticket " + strconv.FormatUint(b.Sequence, 10)
 }
 
-func newBreach(code event.Code, sequence uint64) *Breach {
+func newViolation(code event.Code, sequence uint64) *Breach {
 	return &Breach{Code: code, Sequence: sequence}
 }
 
@@ -41,7 +41,7 @@
 // before it is reported.
 func (r *record) checkReport(sequence uint64) error {
 	if r.mayHaveRun && r.result.Outcome() == errkind.NotRun {
-		return newBreach(BreachFalseNotRun, sequence)
+		return newViolation(BreachFalseNotRun, sequence)
 	}
 	return nil
 }
@@ -49,10 +49,10 @@
 // checkFinish verifies that a new result agrees with the attempts that were made.
 func (r *record) checkFinish(sequence uint64, result Result) error {
 	if r.mayHaveRun && result.Outcome() == errkind.NotRun {
-		return newBreach(BreachFalseNotRun, sequence)
+		return newViolation(BreachFalseNotRun, sequence)
 	}
 	if !r.mayHaveRun && result.Outcome() == errkind.Ran {
-		return newBreach(BreachNoRecord, sequence)
+		return newViolation(BreachNoRecord, sequence)
 	}
 	return nil
 }
--- a/pkg/atmostonce/example_test.go
+++ b/pkg/atmostonce/example_test.go
@@ -35,8 +35,8 @@
 		if denied, _ := ledger.Send(now, ticket.Sequence); denied != nil {
 			return
 		}
-		answer := &atmostonce.Answer{Status: 201} // from the upstream
-		result, _ := ledger.Finish(now, ticket.Sequence, atmostonce.Ran(answer))
+		response := &atmostonce.Answer{Status: 201} // from the upstream
+		result, _ := ledger.Finish(now, ticket.Sequence, atmostonce.Ran(response))
 		fmt.Println("first:", result.Outcome(), result.Answer.Status)
 	}
 	// Output:
--- a/pkg/atmostonce/execution.go
+++ b/pkg/atmostonce/execution.go
@@ -44,7 +44,7 @@
 // the request was admitted: a request that was reported as not run, or whose
 // deadline has passed, must never be sent. The attempt may start only if the
 // *errkind.Error is nil; otherwise it says why not. A non-nil second error is a
-// *Breach.
+// *Violation.
 func (l *Ledger) Send(now time.Time, sequence uint64) (*errkind.Error, error) {
 	now = l.advance(now)
 	r, err := l.startedRecord(sequence)
@@ -55,7 +55,7 @@
 	case r.state == finished:
 		return errkind.New(r.notSentKind(), "the request was already answered"), nil
 	case r.mayHaveRun || r.state == sending:
-		err := newBreach(BreachSecondSend, sequence)
+		err := newViolation(BreachSecondSend, sequence)
 		return errkind.Wrap(errkind.Internal, err, "send"), err
 	case !now.Before(r.deadline):
 		l.complete(r, errorResult(errkind.DeadlineBeforeSend, "the deadline passed before sending"))
@@ -90,7 +90,7 @@
 
 // Finish ends the execution and returns the result to report to this request and
 // to all that joined it. The first call determines the result. A result of
-// "not run" while an attempt may have run is a *Breach and becomes "unknown".
+// "not run" while an attempt may have run is a *Violation and becomes "unknown".
 func (l *Ledger) Finish(now time.Time, sequence uint64, result Result) (Result, error) {
 	l.advance(now)
 	r, err := l.startedRecord(sequence)
@@ -128,8 +128,8 @@
 	}
 }
 
-// complete makes a result final and stores its answer if the bounds allow it. An
-// answer that is not stored still reaches the requests that are waiting for it;
+// complete makes a result final and stores its response if the bounds allow it. A
+// response that is not stored still reaches the requests that are waiting for it;
 // only later repeats miss it.
 func (l *Ledger) complete(r *record, result Result) {
 	l.running--
@@ -154,11 +154,11 @@
 		return &record{state: finished, result: errorResult(errkind.TicketForgotten, "the record's time is over")}, nil
 	}
 	if sequence >= l.next {
-		return nil, newBreach(BreachNoRecord, sequence)
+		return nil, newViolation(BreachNoRecord, sequence)
 	}
 	r := l.slot(sequence).record
 	if r == nil {
-		return nil, newBreach(BreachNoRecord, sequence)
+		return nil, newViolation(BreachNoRecord, sequence)
 	}
 	return r, nil
 }
--- a/pkg/atmostonce/fleet_test.go
+++ b/pkg/atmostonce/fleet_test.go
@@ -17,16 +17,16 @@
 type outcome uint8
 
 const (
-	answeredRan outcome = iota
-	answeredNotRun
-	answeredUnknown
+	outcomeRan outcome = iota
+	outcomeNotRun
+	outcomeUnknown
 	numOutcomes
 )
 
 type messageKind uint8
 
 const (
-	askMessage     messageKind = iota // caller or forwarder to host
+	requestMessage messageKind = iota // caller to host
 	forwardMessage                    // host to host
 	replyMessage                      // issuer to forwarder
 	runMessage                        // host to upstream
@@ -44,7 +44,7 @@
 	key      string
 	action   int
 	forward  int
-	answer   outcome
+	result   outcome
 	handOver *handOver
 }
 
@@ -94,7 +94,7 @@
 type counters struct {
 	runs, steps, violations int
 	faults                  [numOps]int
-	answers                 [numOutcomes]int
+	outcomes                [numOutcomes]int
 	executed                int
 }
 
@@ -122,15 +122,15 @@
 	f.queue = append(f.queue, m)
 }
 
-func (f *fleet) answer(a int, o outcome) {
-	f.count.answers[o]++
+func (f *fleet) reportOutcome(a int, o outcome) {
+	f.count.outcomes[o]++
 	act := f.actions[a]
-	if o != answeredNotRun {
+	if o != outcomeNotRun {
 		return
 	}
 	act.reportedNotRun = true
 	if act.runs > 0 {
-		f.violation = "answered not-run after it ran"
+		f.violation = "reported not-run after it ran"
 	}
 }
 
@@ -142,7 +142,7 @@
 	case act.runs > 1:
 		f.violation = "ran twice"
 	case act.reportedNotRun:
-		f.violation = "ran after not-run was answered"
+		f.violation = "ran after not-run was reported"
 	}
 	f.queue = append(f.queue, message{kind: ranMessage, from: m.to, to: m.from, epoch: m.epoch, key: m.key, action: m.action})
 }
@@ -161,8 +161,8 @@
 		return
 	}
 	f.remove(i)
-	answer := m.kind == ranMessage || m.kind == refusedMessage || m.kind == replyMessage
-	if answer && m.epoch != to.epoch {
+	isReply := m.kind == ranMessage || m.kind == refusedMessage || m.kind == replyMessage
+	if isReply && m.epoch != to.epoch {
 		return
 	}
 	to.member.receive(m)
--- a/pkg/atmostonce/handover.go
+++ b/pkg/atmostonce/handover.go
@@ -28,7 +28,7 @@
 
 // SavedSlot is the serializable state of one ticket.
 type SavedSlot struct {
-	// Left is the remaining lifetime; negative if the lifetime is over.
+	// Remaining is the remaining lifetime; negative if the lifetime is over.
 	Left time.Duration
 	// Used is true if the ticket is bound to Digest and finished with Result.
 	Used bool
--- a/pkg/atmostonce/ledger.go
+++ b/pkg/atmostonce/ledger.go
@@ -15,9 +15,9 @@
 	Retention time.Duration
 	// MaxTickets bounds the tickets within their lifetime or retention.
 	MaxTickets int
-	// MaxAnswerBytes bounds the size of one stored answer.
+	// MaxAnswerBytes bounds the size of one stored response.
 	MaxAnswerBytes int
-	// MaxKeptBytes bounds the total size of all stored answers.
+	// MaxKeptBytes bounds the total size of all stored responses.
 	MaxKeptBytes int
 }
 
@@ -91,7 +91,7 @@
 	Tickets int
 	// Running is the number of executions that have not finished.
 	Running int
-	// KeptBytes is the total size of stored answers.
+	// KeptBytes is the total size of stored responses.
 	KeptBytes int
 }
 
--- a/pkg/atmostonce/ledger_test.go
+++ b/pkg/atmostonce/ledger_test.go
@@ -17,7 +17,7 @@
 	digest = atmostonce.DigestOf("POST", "/sales", []byte("lot 7"))
 )
 
-func ask(l *atmostonce.Ledger, after time.Duration, d atmostonce.Digest) atmostonce.Decision {
+func submit(l *atmostonce.Ledger, after time.Duration, d atmostonce.Digest) atmostonce.Decision {
 	now := start.Add(after)
 	decision, err := l.Ask(now, atmostonce.Ask{Digest: d, Deadline: now.Add(testDeadline)})
 	if err != nil {
@@ -49,11 +49,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := issued(testConfig)
-			if ask(l, c.first, digest).Verdict == atmostonce.Execute {
+			if submit(l, c.first, digest).Verdict == atmostonce.Execute {
 				_, err := l.Finish(start, 0, atmostonce.Failed(errkind.New(errkind.UpstreamRefused, "")))
 				is.New(t).NoErr(err)
 			}
-			d := ask(l, c.second, digest)
+			d := submit(l, c.second, digest)
 			is.New(t).Equal(d.Verdict, atmostonce.Final)
 			is.New(t).Equal(d.Result.Kind, c.want)
 		})
@@ -63,20 +63,20 @@
 func TestTimeNeverMovesBackwards(t *testing.T) {
 	l := issued(testConfig)
 	_, _ = l.Issue(start.Add(time.Second)) // another goroutine has read a time at which the lifetime is over
-	is.New(t).Equal(ask(l, 0, digest).Result.Kind, errkind.TicketExpired)
+	is.New(t).Equal(submit(l, 0, digest).Result.Kind, errkind.TicketExpired)
 }
 
 func TestTicketIsBoundToOneRequest(t *testing.T) {
 	l := issued(testConfig)
-	is.New(t).Equal(ask(l, 0, digest).Verdict, atmostonce.Execute)
-	other := ask(l, 0, atmostonce.DigestOf("POST", "/sales", []byte("lot 8")))
+	is.New(t).Equal(submit(l, 0, digest).Verdict, atmostonce.Execute)
+	other := submit(l, 0, atmostonce.DigestOf("POST", "/sales", []byte("lot 8")))
 	is.New(t).Equal(other.Result.Kind, errkind.TicketMismatch)
-	is.New(t).Equal(ask(l, 0, digest).Verdict, atmostonce.Join)
+	is.New(t).Equal(submit(l, 0, digest).Verdict, atmostonce.Join)
 }
 
 func TestSendAfterWithdrawIsDenied(t *testing.T) {
 	l := issued(testConfig)
-	ask(l, 0, digest)
+	submit(l, 0, digest)
 	result, err := l.Withdraw(start, 0)
 	is.New(t).NoErr(err)
 	is.New(t).Equal(result.Outcome(), errkind.NotRun)
@@ -87,7 +87,7 @@
 
 func TestBreaches(t *testing.T) {
 	l := issued(testConfig)
-	ask(l, 0, digest)
+	submit(l, 0, digest)
 	denied, err := l.Send(start, 0)
 	is.New(t).True(denied == nil && err == nil)
 	_, err = l.Send(start, 0)
@@ -105,7 +105,7 @@
 	l := issued(conf)
 	_, err := l.Issue(start)
 	is.New(t).Equal(err, atmostonce.ErrFull)
-	ask(l, 0, digest)
+	submit(l, 0, digest)
 	_, _ = l.Send(start, 0)
 	_, err = l.Issue(start.Add(time.Hour)) // a running execution keeps its slot
 	is.New(t).Equal(err, atmostonce.ErrFull)
@@ -113,7 +113,7 @@
 	result, err := l.Finish(start, 0, long)
 	is.New(t).NoErr(err)
 	is.New(t).Equal(result, long)
-	is.New(t).Equal(ask(l, 0, digest).Result.Kind, errkind.TicketForgotten)
+	is.New(t).Equal(submit(l, 0, digest).Result.Kind, errkind.TicketForgotten)
 	is.New(t).Equal(l.Stats(), atmostonce.Stats{})
 	_, err = l.Issue(start.Add(time.Hour))
 	is.New(t).NoErr(err)
@@ -159,17 +159,17 @@
 func BenchmarkRequest(b *testing.B) {
 	s := atmostonce.NewSealer(address(1), 7, atmostonce.Secret{1})
 	l := atmostonce.New(atmostonce.DefaultConfig(), start)
-	answer := atmostonce.Ran(&atmostonce.Answer{Status: 200, Body: make([]byte, 64)})
+	result := atmostonce.Ran(&atmostonce.Answer{Status: 200, Body: make([]byte, 64)})
 	b.ReportAllocs()
 	for i := range b.N {
 		now := start.Add(time.Duration(i) * time.Millisecond)
 		sequence, _ := l.Issue(now)
 		ticket, _ := atmostonce.ParseTicket(s.Seal(sequence).String())
 		s.Owner(ticket)
-		d := atmostonce.DigestOf("POST", "/sales", answer.Answer.Body)
+		d := atmostonce.DigestOf("POST", "/sales", result.Answer.Body)
 		_, _ = l.Ask(now, atmostonce.Ask{Sequence: sequence, Digest: d, Deadline: now.Add(time.Second)})
 		_, _ = l.Send(now, sequence)
-		_, _ = l.Finish(now, sequence, answer)
+		_, _ = l.Finish(now, sequence, result)
 	}
 }
 
@@ -177,19 +177,19 @@
 // lock.
 func BenchmarkLedger(b *testing.B) {
 	l := atmostonce.New(atmostonce.DefaultConfig(), start)
-	answer := atmostonce.Ran(&atmostonce.Answer{Status: 200, Body: make([]byte, 64)})
+	result := atmostonce.Ran(&atmostonce.Answer{Status: 200, Body: make([]byte, 64)})
 	b.ReportAllocs()
 	for i := range b.N {
 		now := start.Add(time.Duration(i) * time.Millisecond)
 		sequence, _ := l.Issue(now)
 		_, _ = l.Ask(now, atmostonce.Ask{Sequence: sequence, Deadline: now.Add(time.Second)})
 		_, _ = l.Send(now, sequence)
-		_, _ = l.Finish(now, sequence, answer)
+		_, _ = l.Finish(now, sequence, result)
 	}
 }
 
 // BenchmarkMemory reports the memory of unused tickets and of records with a small
-// answer.
+// response.
 func BenchmarkMemory(b *testing.B) {
 	const tickets = 100_000
 	for b.Loop() {
--- a/pkg/atmostonce/naive_test.go
+++ b/pkg/atmostonce/naive_test.go
@@ -42,18 +42,18 @@
 
 func (n *naiveMember) receive(m message) {
 	switch m.kind {
-	case askMessage, forwardMessage:
-		n.ask(m)
+	case requestMessage, forwardMessage:
+		n.request(m)
 	case ranMessage:
 		n.forget(m.action)
-		n.fleet.answer(m.action, answeredRan)
+		n.fleet.reportOutcome(m.action, outcomeRan)
 	case refusedMessage:
 		n.run(m)
 	}
 }
 
-func (n *naiveMember) ask(m message) {
-	if n.kind == ownerByHash && m.kind == askMessage {
+func (n *naiveMember) request(m message) {
+	if n.kind == ownerByHash && m.kind == requestMessage {
 		if owner := n.ownerOf(m.key); owner != n.host {
 			n.fleet.enqueue(message{kind: forwardMessage, from: n.host, to: owner, key: m.key, action: m.action})
 			return
@@ -97,7 +97,7 @@
 func (n *naiveMember) send(int)     {}
 func (n *naiveMember) handOver(int) {}
 
-// timeout ends the wait for one answer of an upstream.
+// timeout ends the wait for one response of an upstream.
 func (n *naiveMember) timeout(pick int) {
 	if len(n.pending) == 0 {
 		return
@@ -108,7 +108,7 @@
 		return
 	}
 	n.forget(m.action)
-	n.fleet.answer(m.action, answeredUnknown)
+	n.fleet.reportOutcome(m.action, outcomeUnknown)
 }
 
 // TestNaiveFails verifies that the schedules detect the faults of naive protocols, so
--- a/pkg/atmostonce/real_test.go
+++ b/pkg/atmostonce/real_test.go
@@ -93,7 +93,7 @@
 	waiters   []waiter
 }
 
-// pendingForward is a forwarded request that waits for the answer of its issuer.
+// pendingForward is a forwarded request that waits for the reply of its issuer.
 type pendingForward struct {
 	waiter    waiter
 	startedAt time.Duration
@@ -112,14 +112,14 @@
 
 func (r *ledgerMember) receive(m message) {
 	switch m.kind {
-	case askMessage:
-		r.ask(m, waiter{action: m.action})
+	case requestMessage:
+		r.request(m, waiter{action: m.action})
 	case forwardMessage:
-		r.ask(m, waiter{action: m.action, from: &m})
+		r.request(m, waiter{action: m.action, from: &m})
 	case replyMessage:
 		if fw, ok := r.forwards[m.forward]; ok {
 			delete(r.forwards, m.forward)
-			r.reply(fw.waiter, m.answer)
+			r.reply(fw.waiter, m.result)
 		}
 	case adoptMessage:
 		r.adopt(m.handOver)
@@ -130,10 +130,10 @@
 	}
 }
 
-func (r *ledgerMember) ask(m message, w waiter) {
+func (r *ledgerMember) request(m message, w waiter) {
 	ticket, err := atmostonce.ParseTicket(m.key)
 	if err != nil {
-		r.reply(w, answeredNotRun)
+		r.reply(w, outcomeNotRun)
 		return
 	}
 	held := r.ledgers[ticket.Incarnation]
@@ -144,9 +144,9 @@
 	case held != nil && held.sealer.Owner(ticket) == atmostonce.Own:
 		r.submit(held.ledger, ticket.Sequence, m, w)
 	case held != nil:
-		r.reply(w, answeredNotRun)
+		r.reply(w, outcomeNotRun)
 	case issuer == r.host || m.kind == forwardMessage:
-		r.reply(w, answeredUnknown)
+		r.reply(w, outcomeUnknown)
 	default:
 		r.forward(m, issuer, w)
 	}
@@ -218,8 +218,8 @@
 	r.fleet.enqueue(message{kind: runMessage, from: r.host, key: x.key(r.fleet), action: x.action})
 }
 
-// ran finishes an execution. The answer to every fifth action is broken off, unless
-// outcomes are being measured.
+// ran finishes an execution. The response to every fifth action is incomplete,
+// unless outcomes are being measured.
 func (r *ledgerMember) ran(m message) {
 	x := r.find(m.action)
 	switch {
@@ -255,7 +255,7 @@
 	for id := range r.nextID + 1 {
 		if fw, ok := r.forwards[id]; ok && r.mayTimeOut(fw.startedAt) {
 			delete(r.forwards, id)
-			r.reply(fw.waiter, answeredUnknown)
+			r.reply(fw.waiter, outcomeUnknown)
 			return
 		}
 	}
@@ -268,7 +268,7 @@
 }
 
 // timeoutExecution ends the wait of all waiters. The attempt continues, like one
-// that was paused: it may still be sent, and its answer may arrive late.
+// that was paused: it may still be sent, and its response may arrive late.
 func (r *ledgerMember) timeoutExecution(x *execution) {
 	result, err := x.ledger.Withdraw(r.fleet.clock(r.host), x.sequence)
 	r.check(err)
@@ -296,10 +296,10 @@
 
 func (r *ledgerMember) reply(w waiter, o outcome) {
 	if w.from == nil {
-		r.fleet.answer(w.action, o)
+		r.fleet.reportOutcome(w.action, o)
 		return
 	}
-	r.fleet.enqueue(message{kind: replyMessage, from: r.host, to: w.from.from, epoch: w.from.epoch, forward: w.from.forward, answer: o})
+	r.fleet.enqueue(message{kind: replyMessage, from: r.host, to: w.from.from, epoch: w.from.epoch, forward: w.from.forward, result: o})
 }
 
 func (r *ledgerMember) find(action int) *execution {
--- a/pkg/atmostonce/result.go
+++ b/pkg/atmostonce/result.go
@@ -24,7 +24,7 @@
 	return Digest(h.Sum(nil))
 }
 
-// Answer is the complete answer of an upstream.
+// Answer is the complete response of an upstream.
 type Answer struct {
 	// Status is the HTTP status code.
 	Status int
@@ -34,7 +34,7 @@
 	Body []byte
 }
 
-// size estimates the memory that storing the answer takes, in bytes.
+// size estimates the memory that storing the response takes, in bytes.
 func (a *Answer) size() int {
 	n := len(a.Body)
 	for k, values := range a.Header {
@@ -56,7 +56,7 @@
 	Kind errkind.Kind
 	// Detail describes the error for logs and for the caller.
 	Detail string
-	// Answer is the upstream's answer when Kind is None.
+	// Answer is the response of the upstream when Kind is None.
 	Answer *Answer
 }
 
--- a/pkg/atmostonce/schedule_test.go
+++ b/pkg/atmostonce/schedule_test.go
@@ -13,8 +13,8 @@
 const (
 	opDeliver op = iota
 	opSend
-	opAsk
-	opAskAgain
+	opRequest
+	opRepeat
 	opReorder
 	opRefuse
 	opAdvance
@@ -120,10 +120,10 @@
 	host := s.a % fleetHosts
 	h := &f.hosts[host]
 	switch s.op {
-	case opAsk:
-		f.ask(host, s.b%fleetHosts)
-	case opAskAgain:
-		f.askAgain(s.a, s.b%fleetHosts)
+	case opRequest:
+		f.newRequest(host, s.b%fleetHosts)
+	case opRepeat:
+		f.repeatRequest(s.a, s.b%fleetHosts)
 	case opDeliver, opRefuse, opReorder, opDrop, opDuplicate:
 		f.applyToMessage(s)
 	case opSend, opTimeout, opHandOver:
@@ -181,7 +181,7 @@
 // from an upstream share one TCP connection, which does not duplicate them.
 func (f *fleet) duplicate(m message) {
 	switch m.kind {
-	case askMessage, forwardMessage, replyMessage, adoptMessage:
+	case requestMessage, forwardMessage, replyMessage, adoptMessage:
 		f.queue = append(f.queue, m)
 	}
 }
@@ -192,7 +192,7 @@
 	}
 }
 
-func (f *fleet) ask(issuer, through int) {
+func (f *fleet) newRequest(issuer, through int) {
 	if f.hosts[issuer].paused {
 		return
 	}
@@ -201,14 +201,14 @@
 		return
 	}
 	f.actions = append(f.actions, &action{key: key})
-	f.enqueue(message{kind: askMessage, to: through, key: key, action: len(f.actions) - 1})
+	f.enqueue(message{kind: requestMessage, to: through, key: key, action: len(f.actions) - 1})
 }
 
-func (f *fleet) askAgain(pick, through int) {
+func (f *fleet) repeatRequest(pick, through int) {
 	if len(f.actions) == 0 {
 		return
 	}
 	recent := max(0, len(f.actions)-8)
 	a := recent + pick%(len(f.actions)-recent)
-	f.enqueue(message{kind: askMessage, to: through, key: f.actions[a].key, action: a})
+	f.enqueue(message{kind: requestMessage, to: through, key: f.actions[a].key, action: a})
 }
--- a/pkg/atmostonce/ticket.go
+++ b/pkg/atmostonce/ticket.go
@@ -123,13 +123,13 @@
 
 // The values of Owner.
 const (
-	// Own tickets were issued by this incarnation.
+	// Local tickets were issued by this incarnation.
 	Own Owner = iota
 	// Forged tickets name this incarnation, but it never issued them.
 	Forged
-	// Past tickets name another incarnation at this address. They are never executed.
+	// OtherIncarnation tickets name another incarnation at this address. They are never executed.
 	Past
-	// Foreign tickets name another address, to which the request is forwarded.
+	// OtherHost tickets name another address, to which the request is forwarded.
 	Foreign
 )
 
