--- a/pkg/atmostonce/ask.go
+++ b/pkg/atmostonce/ask.go
@@ -17,7 +17,7 @@
 	// Join means that the request is already being executed; the caller waits for
 	// its result.
 	Join
-	// Final means that Result is the result of the request.
+	// Final means that Result is the result of this request and of each repeat.
 	Final
 )
 
--- a/pkg/atmostonce/fleet_test.go
+++ b/pkg/atmostonce/fleet_test.go
@@ -32,7 +32,7 @@
 	runMessage                        // host to upstream
 	ranMessage                        // upstream to host
 	refusedMessage                    // upstream to host: refused before running
-	adoptMessage                      // stopping host to its successor
+	adoptMessage                      // host that is shutting down to its successor
 )
 
 // message is one message on the queue. The epoch prevents a reply from reaching a
--- a/pkg/atmostonce/real_test.go
+++ b/pkg/atmostonce/real_test.go
@@ -71,7 +71,8 @@
 	to     int
 }
 
-// handOver is the message from a stopping host to one incarnation of its successor.
+// handOver is the message from a host that is shutting down to one incarnation of its
+// successor.
 type handOver struct {
 	successor atmostonce.Incarnation
 	sealer    *atmostonce.Sealer
