--- a/internal/httpwire/ahead_test.go
+++ b/internal/httpwire/ahead_test.go
@@ -14,22 +14,22 @@
 	"github.com/matryer/is"
 )
 
-// gates is a handler whose requests wait until the test lets them go. GET may run
-// ahead.
-type gates struct {
-	mu      sync.Mutex
-	began   map[string]bool
-	ended   map[string]bool // by the end of their context
-	release map[string]chan struct{}
+// gatedHandler is a handler whose requests block until the test opens their gate. GET
+// requests may run concurrently.
+type gatedHandler struct {
+	mu        sync.Mutex
+	started   map[string]bool
+	cancelled map[string]bool // their context ended
+	release   map[string]chan struct{}
 }
 
-func newGates() *gates {
-	return &gates{began: make(map[string]bool), ended: make(map[string]bool), release: make(map[string]chan struct{})}
+func newGatedHandler() *gatedHandler {
+	return &gatedHandler{started: make(map[string]bool), cancelled: make(map[string]bool), release: make(map[string]chan struct{})}
 }
 
-func (g *gates) MayRunAhead(req *Request) bool { return req.Method == http.MethodGet }
+func (g *gatedHandler) MayRunAhead(req *Request) bool { return req.Method == http.MethodGet }
 
-func (g *gates) gate(path string) chan struct{} {
+func (g *gatedHandler) gate(path string) chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.release[path] == nil {
@@ -38,40 +38,40 @@
 	return g.release[path]
 }
 
-func (g *gates) open(path string) { close(g.gate(path)) }
+func (g *gatedHandler) open(path string) { close(g.gate(path)) }
 
-func (g *gates) Serve(ctx context.Context, req *Request) *Response {
+func (g *gatedHandler) Serve(ctx context.Context, req *Request) *Response {
 	gate := g.gate(req.Path)
 	g.mu.Lock()
-	g.began[req.Path] = true
+	g.started[req.Path] = true
 	g.mu.Unlock()
 	select {
 	case <-gate:
 	case <-ctx.Done():
 		g.mu.Lock()
-		g.ended[req.Path] = true
+		g.cancelled[req.Path] = true
 		g.mu.Unlock()
 	}
 	return &Response{Status: http.StatusOK, Header: http.Header{"X-Path": {req.Path}}}
 }
 
-func (g *gates) count(m map[string]bool) int {
+func (g *gatedHandler) count(m map[string]bool) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(m)
 }
 
-// waitFor returns when n requests are in m.
-func (g *gates) waitFor(t *testing.T, m map[string]bool, n int) {
+// waitFor waits until m holds n requests.
+func (g *gatedHandler) waitFor(t *testing.T, m map[string]bool, n int) {
 	t.Helper()
 	for end := time.Now().Add(testWait); g.count(m) < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d requests, not %d", g.count(m), n)
+			t.Fatalf("got %d requests, want %d", g.count(m), n)
 		}
 	}
 }
 
-func gets(from, to int) string {
+func getRequests(from, to int) string {
 	var b strings.Builder
 	for i := from; i < to; i++ {
 		fmt.Fprintf(&b, "GET /%d HTTP/1.1\r\nHost: a\r\n\r\n", i)
@@ -79,137 +79,140 @@
 	return b.String()
 }
 
-// expectPaths reads answers and requires their order.
-func (c *caller) expectPaths(t *testing.T, from, to int) (last *http.Response) {
+// expectResponses reads the responses to requests from to to-1 and checks their order.
+func (c *testClient) expectResponses(t *testing.T, from, to int) (last *http.Response) {
 	t.Helper()
 	for i := from; i < to; i++ {
-		last, _ = c.answer(t, "GET")
+		last, _ = c.readResponse(t, "GET")
 		if got := last.Header.Get("X-Path"); got != "/"+strconv.Itoa(i) {
-			t.Fatalf("answer of %s, not /%d", got, i)
+			t.Fatalf("got response to %s, want /%d", got, i)
 		}
 	}
 	return last
 }
 
-// TestPipelinedRequestsRunTogether: a caller that sends several requests before the
-// first answer waits for the slowest, not for the sum.
-func TestPipelinedRequestsRunTogether(t *testing.T) {
+// TestPipelinedRequestsRunConcurrently checks that a client that sends several requests
+// before the first response waits for the slowest of them, not for the sum.
+func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	is := is.New(t)
-	g := newGates()
+	g := newGatedHandler()
 	s := startServer(t, g, nil)
 	c := dial(t, s)
-	c.send(t, gets(0, 3)) // in one piece
-	c.send(t, gets(3, 4)[:10])
-	g.waitFor(t, g.began, 3)
-	c.send(t, gets(3, 4)[10:]+gets(4, 5))
-	g.waitFor(t, g.began, 5)
-	for i := 4; i >= 0; i-- { // the last one is ready first
+	c.send(t, getRequests(0, 3)) // in one write
+	c.send(t, getRequests(3, 4)[:10])
+	g.waitFor(t, g.started, 3)
+	c.send(t, getRequests(3, 4)[10:]+getRequests(4, 5))
+	g.waitFor(t, g.started, 5)
+	for i := 4; i >= 0; i-- { // the last request completes first
 		g.open("/" + strconv.Itoa(i))
 	}
-	is.True(!c.expectPaths(t, 0, 5).Close)
+	is.True(!c.expectResponses(t, 0, 5).Close)
 }
 
-// TestPipelinedRequestsAreBounded, and more are taken up as answers are written.
+// TestPipelinedRequestsAreBounded checks that at most maxConcurrentPipelined requests run
+// concurrently, and that more are started as responses are written.
 func TestPipelinedRequestsAreBounded(t *testing.T) {
 	is := is.New(t)
-	g := newGates()
+	g := newGatedHandler()
 	c := dial(t, startServer(t, g, nil))
-	c.send(t, gets(0, 3*maxAhead))
-	g.waitFor(t, g.began, maxAhead)
+	c.send(t, getRequests(0, 3*maxConcurrentPipelined))
+	g.waitFor(t, g.started, maxConcurrentPipelined)
 	time.Sleep(20 * time.Millisecond)
-	is.Equal(g.count(g.began), maxAhead)
-	for i := range 3 * maxAhead {
+	is.Equal(g.count(g.started), maxConcurrentPipelined)
+	for i := range 3 * maxConcurrentPipelined {
 		g.open("/" + strconv.Itoa(i))
 	}
-	c.expectPaths(t, 0, 3*maxAhead)
+	c.expectResponses(t, 0, 3*maxConcurrentPipelined)
 }
 
-// TestNonRepeatableRequestWaits until nothing before it is in flight, and repeatable
-// ones behind it run beside it.
+// TestNonRepeatableRequestWaits checks that a non-repeatable request starts only when no
+// earlier request is in flight, and that repeatable requests after it run concurrently
+// with it.
 func TestNonRepeatableRequestWaits(t *testing.T) {
 	is := is.New(t)
-	g := newGates()
+	g := newGatedHandler()
 	c := dial(t, startServer(t, g, nil))
-	c.send(t, gets(0, 2)+"POST /2 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nab"+gets(3, 5))
-	g.waitFor(t, g.began, 2)
+	c.send(t, getRequests(0, 2)+"POST /2 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nab"+getRequests(3, 5))
+	g.waitFor(t, g.started, 2)
 	time.Sleep(20 * time.Millisecond)
-	is.Equal(g.count(g.began), 2)
+	is.Equal(g.count(g.started), 2)
 	g.open("/0")
-	c.expectPaths(t, 0, 1)
+	c.expectResponses(t, 0, 1)
 	time.Sleep(20 * time.Millisecond)
-	is.Equal(g.count(g.began), 2)
+	is.Equal(g.count(g.started), 2)
 	g.open("/1")
-	g.waitFor(t, g.began, 5)
+	g.waitFor(t, g.started, 5)
 	for i := 2; i < 5; i++ {
 		g.open("/" + strconv.Itoa(i))
 	}
-	c.expectPaths(t, 1, 5)
+	c.expectResponses(t, 1, 5)
 }
 
-// TestPlannedStopAnswersWhatRuns: no request that has begun is cut off by the close,
-// which the last answer says, and what waits behind is not begun.
+// TestPlannedStopAnswersWhatRuns checks that a graceful shutdown completes all requests
+// that have started, announces the close in the last response only, and starts none of
+// the requests that wait.
 func TestPlannedStopAnswersWhatRuns(t *testing.T) {
 	is := is.New(t)
-	g := newGates()
+	g := newGatedHandler()
 	s := startServer(t, g, nil)
 	c := dial(t, s)
-	c.send(t, gets(0, 3)+"POST /3 HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
-	g.waitFor(t, g.began, 3)
+	c.send(t, getRequests(0, 3)+"POST /3 HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
+	g.waitFor(t, g.started, 3)
 	s.Drain()
-	c.send(t, gets(4, 5))
+	c.send(t, getRequests(4, 5))
 	for i := 2; i >= 0; i-- {
 		g.open("/" + strconv.Itoa(i))
 	}
-	is.True(!c.expectPaths(t, 0, 2).Close)
-	is.True(c.expectPaths(t, 2, 3).Close)
-	is.True(c.atEnd())
-	is.Equal(g.count(g.began), 3)
+	is.True(!c.expectResponses(t, 0, 2).Close)
+	is.True(c.expectResponses(t, 2, 3).Close)
+	is.True(c.atEOF())
+	is.Equal(g.count(g.started), 3)
 }
 
-// TestCallerThatLeavesEndsAllItsRequests.
-func TestCallerThatLeavesEndsAllItsRequests(t *testing.T) {
-	g := newGates()
+func TestDisconnectCancelsPipelinedRequests(t *testing.T) {
+	g := newGatedHandler()
 	c := dial(t, startServer(t, g, nil))
-	c.send(t, gets(0, 4))
-	g.waitFor(t, g.began, 4)
+	c.send(t, getRequests(0, 4))
+	g.waitFor(t, g.started, 4)
 	_ = c.Close()
-	g.waitFor(t, g.ended, 4)
+	g.waitFor(t, g.cancelled, 4)
 }
 
-// TestWhatIsNoRequestIsRefusedInItsTurn: the answers to those before it come first.
-func TestWhatIsNoRequestIsRefusedInItsTurn(t *testing.T) {
+// TestMalformedPipelinedRequestIsRefusedInOrder checks that the responses to the requests
+// before a malformed one are sent first.
+func TestMalformedPipelinedRequestIsRefusedInOrder(t *testing.T) {
 	is := is.New(t)
-	g := newGates()
+	g := newGatedHandler()
 	c := dial(t, startServer(t, g, nil))
-	c.send(t, gets(0, 2)+"GET /2 HTTP/9.9\r\n\r\n"+gets(3, 4))
-	g.waitFor(t, g.began, 2)
+	c.send(t, getRequests(0, 2)+"GET /2 HTTP/9.9\r\n\r\n"+getRequests(3, 4))
+	g.waitFor(t, g.started, 2)
 	g.open("/1")
 	g.open("/0")
-	c.expectPaths(t, 0, 2)
-	resp, _ := c.answer(t, "GET")
+	c.expectResponses(t, 0, 2)
+	resp, _ := c.readResponse(t, "GET")
 	is.True(resp.StatusCode >= 400)
-	is.True(c.atEnd())
-	is.Equal(g.count(g.began), 2)
+	is.True(c.atEOF())
+	is.Equal(g.count(g.started), 2)
 }
 
-// TestPipelinedAnswersKeepOrderWhateverEndsFirst draws pieces and the order in which
-// requests end.
-func TestPipelinedAnswersKeepOrderWhateverEndsFirst(t *testing.T) {
+// TestPipelinedResponsesKeepOrderUnderRandomCompletion randomizes how the requests are
+// split into writes and the order in which they complete.
+func TestPipelinedResponsesKeepOrderUnderRandomCompletion(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		g := newGates()
+		g := newGatedHandler()
 		c := dial(t, startServer(t, g, nil))
-		n := 1 + random.IntN(3*maxAhead)
+		n := 1 + random.IntN(3*maxConcurrentPipelined)
 		go func() {
 			for _, i := range random.Perm(n) {
 				g.open("/" + strconv.Itoa(i))
 			}
 		}()
-		for text := gets(0, n); text != ""; {
+		for text := getRequests(0, n); text != ""; {
 			piece := min(1+rand.IntN(200), len(text))
 			c.send(t, text[:piece])
 			text = text[piece:]
 		}
-		c.expectPaths(t, 0, n)
+		c.expectResponses(t, 0, n)
 	}
 }
--- a/internal/httpwire/bench_test.go
+++ b/internal/httpwire/bench_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// BenchmarkRequest is one small request and its answer on a warm connection,
-// caller's side included but without allocations there.
+// BenchmarkRequest measures one small request and its response on a warm connection.
+// The client side is included but does not allocate.
 func BenchmarkRequest(b *testing.B) {
 	resp := &Response{Status: http.StatusOK, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte("ok")}
 	s := NewServer(ServerConfig{
@@ -28,15 +28,15 @@
 	}
 	defer func() { _ = conn.Close() }()
 	request := []byte("GET /catalogue/lots/42?full=1 HTTP/1.1\r\nHost: 127.0.0.1\r\nUser-Agent: bench\r\nAccept: */*\r\nX-Request-Id: 42\r\n\r\n")
-	const answerBytes = len("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok")
+	const responseBytes = len("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok")
 	r := bufio.NewReader(conn)
-	answer := make([]byte, answerBytes)
+	response := make([]byte, responseBytes)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := conn.Write(request); err != nil {
 			b.Fatal(err)
 		}
-		if _, err := io.ReadFull(r, answer); err != nil {
+		if _, err := io.ReadFull(r, response); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/httpwire/config.go
+++ b/internal/httpwire/config.go
@@ -9,8 +9,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-// Handler serves one request. Serve runs on its own goroutine; ctx ends when
-// the caller's connection closes. Serve must return a response with a status.
+// Handler serves one request. Serve runs on its own goroutine; ctx is cancelled
+// when the client's connection closes. Serve must return a response with a status.
 type Handler interface {
 	Serve(ctx context.Context, req *Request) *Response
 }
@@ -27,7 +27,7 @@
 	DefaultHandshakeTimeout = 10 * time.Second
 )
 
-// ServerConfig configures a Server. A zero limit or timeout takes its default.
+// ServerConfig configures a Server. Zero limits and timeouts take their defaults.
 type ServerConfig struct {
 	// Address is the IP:port to listen on.
 	Address string
@@ -35,39 +35,40 @@
 	MaxHeadBytes int
 	// MaxBodyBytes bounds a request body, in bytes.
 	MaxBodyBytes int
-	// MaxKeptBytes bounds what is kept of requests and answers in all, in bytes: of those that
-	// are being received, served, or not yet taken by their callers. Beyond it new requests
-	// are refused. Default: 0, no bound.
+	// MaxKeptBytes bounds the bytes of requests and responses held in memory for all
+	// connections: requests being received or served, and responses that clients have not
+	// read yet. Above it, new requests are refused. Default: 0, no limit.
 	MaxKeptBytes int64
-	// MaxConnections bounds the callers' connections; more are closed at once.
+	// MaxConnections bounds the client connections; further ones are closed at once.
 	MaxConnections int
 	// HeadTimeout bounds the time from the first byte of a head to its last.
 	HeadTimeout time.Duration
 	// BodyTimeout bounds the time from the end of the head to the last byte of the body.
 	BodyTimeout time.Duration
-	// WriteTimeout bounds the time until an answer is taken by the caller's side.
+	// WriteTimeout bounds the time until the kernel has accepted a whole response.
 	WriteTimeout time.Duration
-	// IdleTimeout closes a connection without a request.
+	// IdleTimeout bounds the time for which a connection without a request stays open.
 	IdleTimeout time.Duration
-	// TLS is the configuration of callers' connections; nil serves without TLS.
+	// TLS is the configuration for client connections; nil serves without TLS.
 	TLS *tls.Config
 	// HandshakeTimeout bounds the time from the connection to the end of its TLS handshake.
 	HandshakeTimeout time.Duration
-	// OnHandshakeFailed is told of each failed handshake. It must not block; nil is allowed.
+	// OnHandshakeFailed is called for each failed handshake. It must not block; nil is allowed.
 	OnHandshakeFailed func(remoteAddr string, err error)
 	// Handler serves the requests.
 	Handler Handler
-	// Refuse builds the answer to a request that is refused before it reaches
+	// Refuse builds the response to a request that is refused before it reaches
 	// Handler, and may report the refusal. It must not block. If it is nil, a
-	// plain answer is sent.
+	// plain-text response is sent.
 	Refuse func(remoteAddr string, err *errkind.Error) *Response
 }
 
-// maxPipelinedBytes bounds what is held back while a request is served. A
-// caller that sends more gets the current answer and then a close.
+// maxPipelinedBytes bounds the pipelined bytes that are buffered while a request
+// is served. If a client sends more, the connection is closed after the current
+// response.
 const maxPipelinedBytes = 64 << 10
 
-// withDefaults fills in the zero limits.
+// withDefaults returns c with zero limits and timeouts replaced by their defaults.
 func (c ServerConfig) withDefaults() ServerConfig {
 	c.MaxHeadBytes = cmp.Or(c.MaxHeadBytes, DefaultMaxHeadBytes)
 	c.MaxConnections = cmp.Or(c.MaxConnections, DefaultMaxConnections)
@@ -82,7 +83,7 @@
 	return c
 }
 
-// plainRefusal answers with the kind's entry in the error table.
+// plainRefusal builds the response that the error table defines for the kind.
 func plainRefusal(_ string, err *errkind.Error) *Response {
 	answer := err.Kind.Answer()
 	return &Response{
--- a/internal/httpwire/fuzz_test.go
+++ b/internal/httpwire/fuzz_test.go
@@ -13,8 +13,8 @@
 	"github.com/dapplespindle/dapplespindle/internal/httpwire/framing"
 )
 
-// FuzzGuard checks that a request that passes the guard and the library's
-// parser is the same request to net/http: method, target, host, headers, body.
+// FuzzGuard checks that a request that is accepted by the framing check and the
+// library's parser is the same request to net/http: method, target, host, headers, body.
 func FuzzGuard(f *testing.F) {
 	for _, message := range []string{
 		"GET /a?b=c HTTP/1.1\r\nHost: a\r\nAccept: */*\r\nAccept: \t x \r\n\r\n",
@@ -30,7 +30,7 @@
 	limits := framing.Limits{HeadBytes: testMaxHead, BodyBytes: testMaxHead}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		c := &serverConn{}
-		c.parser = nbhttp.NewParser(nil, engine, &c.gathering, false, nil)
+		c.parser = nbhttp.NewParser(nil, engine, &c.builder, false, nil)
 		c.scanner.ResetRequest(limits)
 		if done, err := c.scanner.Scan(data); !done || err != nil {
 			return
@@ -53,7 +53,7 @@
 	})
 }
 
-// normalized drops the headers of which the two readers keep track elsewhere,
+// normalized removes the headers that the two parsers represent outside the header map,
 // and the one that net/http derives from Pragma.
 func normalized(h http.Header) http.Header {
 	for _, name := range []string{"Content-Length", "Expect", "Transfer-Encoding", "Trailer"} {
--- a/internal/httpwire/guard.go
+++ b/internal/httpwire/guard.go
@@ -14,8 +14,9 @@
 
 const interimContinue = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// receive adds data to the message being received and begins to serve it when
-// it is whole. It owns data when owned is true; else it copies what it keeps.
+// receive appends data to the message being received, and dispatches the message when
+// it is complete. If owned is true, receive takes ownership of data; otherwise it
+// copies what it retains.
 func (c *serverConn) receive(data []byte, owned bool) {
 	if len(c.buf) > 0 {
 		c.buf = append(c.buf, data...)
@@ -28,37 +29,37 @@
 		return
 	}
 	if done {
-		c.begin(data, owned)
+		c.dispatch(data, owned)
 		return
 	}
 	if !owned {
 		data = bytes.Clone(data)
 	}
 	c.buf = data
-	c.keep(len(c.buf))
-	if err := c.tooMuch(); err != nil {
+	c.setBuffered(len(c.buf))
+	if err := c.checkMemory(); err != nil {
 		c.refuse(err)
 		return
 	}
-	c.await()
+	c.updateTimeout()
 }
 
-// await sets the timeout of the part that is missing.
-func (c *serverConn) await() {
+// updateTimeout sets the timeout for the part of the message that is missing.
+func (c *serverConn) updateTimeout() {
 	conf := &c.server.conf
 	switch {
 	case !c.scanner.HeadDone() && c.state == connIdle:
 		c.state = connHead
-		c.alarm.set(clock.Now(), c.server.limits.Load().HeadTimeout, c.onAlarm)
+		c.timer.set(clock.Now(), c.server.limits.Load().HeadTimeout, c.onTimer)
 	case c.scanner.HeadDone() && c.state != connBody:
 		c.state = connBody
-		c.alarm.set(clock.Now(), conf.BodyTimeout, c.onAlarm)
+		c.timer.set(clock.Now(), conf.BodyTimeout, c.onTimer)
 		c.sendContinue()
 	}
 }
 
-// sendContinue answers a caller that waits before it sends its body. Nothing
-// else is being written then: earlier answers are complete.
+// sendContinue sends 100 Continue to a client that waits for it before it sends its
+// body. Nothing else is being written then: earlier responses are complete.
 func (c *serverConn) sendContinue() {
 	head := c.scanner.Head()
 	if !head.ExpectContinue || len(c.buf) > head.Bytes {
@@ -67,15 +68,16 @@
 	_ = c.write([]byte(interimContinue))
 }
 
-// begin hands the whole message to the library's parser and serves it.
-func (c *serverConn) begin(data []byte, owned bool) {
+// dispatch parses the complete message at the start of data and starts to serve it.
+// Bytes after the message are buffered as pipelined.
+func (c *serverConn) dispatch(data []byte, owned bool) {
 	c.state = connServing
-	c.alarm.clear()
+	c.timer.clear()
 	end := c.scanner.End()
 	c.buf = nil
-	c.keep(0)
+	c.setBuffered(0)
 	if rest := data[end:]; len(rest) > 0 {
-		c.hold(rest)
+		c.bufferPipelined(rest)
 	}
 	req, err := c.parse(data[:end:end], owned)
 	if err != nil {
@@ -83,26 +85,26 @@
 		return
 	}
 	c.scanner.ResetRequest(c.server.limits.Load().framing())
-	c.start(req)
-	c.ahead()
+	c.startRequest(req)
+	c.startPipelined()
 }
 
 var errNotOneMessage = errors.New("not exactly one message")
 
-// parse shows the parser one message. The body shares the message's memory if
-// that is owned.
+// parse gives the library's parser one complete message. The body of the request
+// shares the memory of message if owned is true.
 func (c *serverConn) parse(message []byte, owned bool) (*Request, error) {
-	g := &c.gathering
-	*g = gathering{req: newRequest(), owned: owned}
-	defer func() { *g = gathering{} }()
+	b := &c.builder
+	*b = requestBuilder{req: newRequest(), owned: owned}
+	defer func() { *b = requestBuilder{} }()
 	if !owned && c.scanner.BodyBytes() > 0 {
-		g.req.Body = make([]byte, 0, c.scanner.BodyBytes())
+		b.req.Body = make([]byte, 0, c.scanner.BodyBytes())
 	}
 	if err := c.scanner.Feed(message, c.parser.Parse); err != nil {
 		return nil, err
 	}
-	req := g.req
-	if g.complete != 1 || len(req.Body) != c.scanner.BodyBytes() {
+	req := b.req
+	if b.complete != 1 || len(req.Body) != c.scanner.BodyBytes() {
 		return nil, errNotOneMessage
 	}
 	req.Received = clock.Now()
@@ -111,7 +113,7 @@
 	return req, nil
 }
 
-// refusal maps a framing error to the kind that the caller is answered with.
+// refusal maps a framing error to the error that the client gets.
 func refusal(err *framing.Error) *errkind.Error {
 	switch err.Fault {
 	case framing.HeadTooLarge:
@@ -123,8 +125,8 @@
 	}
 }
 
-// refuse answers the message being received and closes: where it ends is not
-// known, so no later byte can be trusted.
+// refuse responds to the message being received and closes the connection: the end of
+// the message is unknown, so later bytes can't be interpreted.
 func (c *serverConn) refuse(err *errkind.Error) {
 	resp := c.server.conf.Refuse(c.remote, err)
 	head, body := encodeResponse(&Request{minor: 1}, resp)
@@ -135,42 +137,42 @@
 }
 
 const (
-	// lingerTimeout and lingerBytes bound how long the caller's bytes are read
-	// and dropped, so that a reset does not destroy the last answer.
+	// lingerTimeout and lingerBytes bound how long bytes from the client are read and
+	// discarded. Closing at once could cause a reset that destroys the last response.
 	lingerTimeout = 2 * time.Second
 	lingerBytes   = 64 << 20
 )
 
-// linger ends our side of the connection and drops what the caller still
-// sends, until it closes too or a bound is reached.
+// linger shuts down the sending side of the connection and discards what the client
+// still sends, until the client closes as well or a bound is reached.
 func (c *serverConn) linger() {
 	c.state = connClosing
 	c.buf = nil
-	c.keep(0)
-	c.held = nil
+	c.setBuffered(0)
+	c.pipelined = nil
 	c.pending = nil
 	if c.tls != nil {
 		c.tls.CloseWrite()
 	}
-	socket.EndWrite(c.conn)
-	c.alarm.set(clock.Now(), lingerTimeout, c.onAlarm)
+	socket.ShutdownWrite(c.conn)
+	c.timer.set(clock.Now(), lingerTimeout, c.onTimer)
 }
 
-var errLingered = errors.New("bytes after the last answer")
+var errLingerLimit = errors.New("too many bytes received after the last response")
 
-func (c *serverConn) drop(n int) error {
-	c.dropped += n
-	if c.dropped > lingerBytes {
-		return errLingered
+func (c *serverConn) discard(n int) error {
+	c.discarded += n
+	if c.discarded > lingerBytes {
+		return errLingerLimit
 	}
 	return nil
 }
 
-// onAlarm runs when a timeout may have passed.
-func (c *serverConn) onAlarm() {
+// onTimer is called when a timeout may have expired.
+func (c *serverConn) onTimer() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.alarm.due(clock.Now()) {
+	if !c.timer.expired(clock.Now()) {
 		return
 	}
 	switch c.state {
@@ -179,24 +181,24 @@
 	case connBody:
 		c.refuse(errkind.New(errkind.RequestTimeout, "body not complete in time"))
 	case connIdle:
-		c.endIdle()
-	case connClosing, connShaking:
+		c.onIdleTimeout()
+	case connClosing, connHandshake:
 		socket.End(c.conn)
 	}
 }
 
-// unreadWait is the time that the event loop has to read what the kernel holds
-// already before an idle connection is looked at again. Loops lag by some 150 ms on
-// a small host that takes up a large configuration.
-const unreadWait = 50 * time.Millisecond
+// unreadRetryInterval is how long the event loop has to read what the kernel already
+// holds before an idle connection is checked again. On a small host that applies a
+// large configuration, the event loops lag by about 150 ms.
+const unreadRetryInterval = 50 * time.Millisecond
 
-// endIdle closes a connection that has been idle for long. If a request has arrived
-// that the event loop has not read yet, it is served. The state changes with the
-// close: the kernel goes on handing over what came before, and a request that is
-// read then must not be sent anywhere, since its caller gets no answer.
-func (c *serverConn) endIdle() {
+// onIdleTimeout closes an idle connection, unless a request has arrived that the event
+// loop has not read yet; that request is served. The state changes together with the
+// close: the kernel still delivers bytes received before, and a request read from
+// them must not be forwarded, since its client can't get a response.
+func (c *serverConn) onIdleTimeout() {
 	if !socket.Quiet(c.conn) {
-		c.alarm.set(clock.Now(), unreadWait, c.onAlarm)
+		c.timer.set(clock.Now(), unreadRetryInterval, c.onTimer)
 		return
 	}
 	c.state = connClosing
--- a/internal/httpwire/harness_test.go
+++ b/internal/httpwire/harness_test.go
@@ -22,7 +22,7 @@
 
 func (f handlerFunc) Serve(ctx context.Context, req *Request) *Response { return f(ctx, req) }
 
-// echo answers with the request's path and body, and counts the requests.
+// echo responds with the request's path and body, and counts the requests.
 func echo(served *atomic.Int64) handlerFunc {
 	return func(_ context.Context, req *Request) *Response {
 		served.Add(1)
@@ -54,13 +54,13 @@
 	return s
 }
 
-// caller is one raw connection.
-type caller struct {
+// testClient is a raw client connection.
+type testClient struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func dial(t *testing.T, s *Server) *caller {
+func dial(t *testing.T, s *Server) *testClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
@@ -68,11 +68,11 @@
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(testWait))
-	return &caller{conn, bufio.NewReader(conn)}
+	return &testClient{conn, bufio.NewReader(conn)}
 }
 
-// answer reads one answer and its whole body.
-func (c *caller) answer(t *testing.T, method string) (*http.Response, []byte) {
+// readResponse reads one response and its complete body.
+func (c *testClient) readResponse(t *testing.T, method string) (*http.Response, []byte) {
 	t.Helper()
 	resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
 	if err != nil {
@@ -85,15 +85,15 @@
 	return resp, body
 }
 
-func (c *caller) send(t *testing.T, s string) {
+func (c *testClient) send(t *testing.T, s string) {
 	t.Helper()
 	if _, err := io.WriteString(c, s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// atEnd reports whether the server has closed its side.
-func (c *caller) atEnd() bool {
+// atEOF reports whether the server has closed its sending side.
+func (c *testClient) atEOF() bool {
 	_, err := c.r.ReadByte()
 	return err == io.EOF
 }
--- a/internal/httpwire/header.go
+++ b/internal/httpwire/header.go
@@ -5,13 +5,14 @@
 	"strings"
 )
 
-// hopByHop lists the headers that concern one connection only.
+// hopByHop lists the headers that apply to a single connection.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopByHop deletes the headers that concern one connection only.
+// RemoveHopByHop deletes the hop-by-hop headers, including those that the
+// Connection header names.
 func RemoveHopByHop(h http.Header) {
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
--- a/internal/httpwire/idle_test.go
+++ b/internal/httpwire/idle_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// only returns the server's only connection, once it has one.
-func only(t *testing.T, s *Server) *serverConn {
+// waitForConn waits until the server has a connection and returns it.
+func waitForConn(t *testing.T, s *Server) *serverConn {
 	t.Helper()
 	for end := time.Now().Add(testWait); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
@@ -23,78 +23,79 @@
 	return nil
 }
 
-// alarmNow lets the connection's timeout pass now.
-func alarmNow(c *serverConn) {
+// expireTimer makes the connection's timeout expire now.
+func expireTimer(c *serverConn) {
 	c.mu.Lock()
-	c.alarm.at = time.Now()
+	c.timer.deadline = time.Now()
 	c.mu.Unlock()
-	c.onAlarm()
+	c.onTimer()
 }
 
 const getRequest = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 
-// TestNothingIsServedAfterTheIdleClose: the kernel still hands over a request that
-// came before the close of an idle connection, whose caller gets no answer.
+// TestNothingIsServedAfterTheIdleClose checks that a request which the kernel delivers
+// after the close of an idle connection is not served: its client can't get a response.
 func TestNothingIsServedAfterTheIdleClose(t *testing.T) {
 	is := is.New(t)
 	var served atomic.Int64
 	s := startServer(t, echo(&served), nil)
 	dial(t, s)
-	c := only(t, s)
-	alarmNow(c)
-	began, _ := c.take([]byte(getRequest))
-	is.True(!began)
+	c := waitForConn(t, s)
+	expireTimer(c)
+	started, _ := c.onData([]byte(getRequest))
+	is.True(!started)
 	time.Sleep(20 * time.Millisecond)
 	is.Equal(served.Load(), int64(0))
 }
 
-// TestRequestThatWaitsIsServed: a process that lags finds the request and the
-// passed timeout of an idle connection at the same time.
+// TestRequestThatWaitsIsServed checks that an idle connection is not closed while the
+// kernel holds an unread request. A process that lags can see the request and the expired
+// timeout at the same time.
 func TestRequestThatWaitsIsServed(t *testing.T) {
 	for name, end := range map[string]func(*serverConn){
-		"idle for long": alarmNow,
-		"planned stop":  func(c *serverConn) { c.closeIfIdle() },
+		"idle timeout":      expireTimer,
+		"graceful shutdown": func(c *serverConn) { c.closeIfIdle() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var served atomic.Int64
 			s := startServer(t, echo(&served), nil)
-			caller := dial(t, s)
-			c := only(t, s)
+			client := dial(t, s)
+			c := waitForConn(t, s)
 			release := stall(t, s)
-			_, err := caller.Write([]byte(getRequest))
+			_, err := client.Write([]byte(getRequest))
 			is.NoErr(err)
-			time.Sleep(20 * time.Millisecond) // until the kernel has it
+			time.Sleep(20 * time.Millisecond) // until the kernel has received it
 			end(c)
 			release()
-			resp, _ := caller.answer(t, "GET")
+			resp, _ := client.readResponse(t, "GET")
 			is.Equal(resp.StatusCode, 200)
 			is.Equal(served.Load(), int64(1))
 		})
 	}
 }
 
-// stall keeps the event loops busy: each waits for a connection that this test
-// holds. The result lets them go on.
+// stall blocks the event loops: each waits for the lock of a connection, which the
+// test holds. Calling release unblocks them.
 func stall(t *testing.T, s *Server) (release func()) {
 	t.Helper()
 	s.mu.Lock()
 	before := len(s.conns)
 	s.mu.Unlock()
-	const enough = 64 // connections are dealt to the loops by their descriptors
-	var held []*caller
+	const enough = 64 // to cover every loop: connections are assigned by file descriptor
+	var clients []*testClient
 	for range enough {
-		held = append(held, dial(t, s))
+		clients = append(clients, dial(t, s))
 	}
 	var locked []*serverConn
 	for end := time.Now().Add(testWait); s.Connections() < before+enough; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("connections are missing")
+			t.Fatalf("got %d connections, want %d", s.Connections(), before+enough)
 		}
 	}
 	remote := make(map[string]bool)
-	for _, h := range held {
-		remote[h.LocalAddr().String()] = true
+	for _, client := range clients {
+		remote[client.LocalAddr().String()] = true
 	}
 	s.mu.Lock()
 	for c := range s.conns {
@@ -106,12 +107,12 @@
 	for _, c := range locked {
 		c.mu.Lock()
 	}
-	for _, h := range held {
-		if _, err := h.Write([]byte("G")); err != nil {
+	for _, client := range clients {
+		if _, err := client.Write([]byte("G")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	time.Sleep(20 * time.Millisecond) // until each loop waits for one of them
+	time.Sleep(20 * time.Millisecond) // until each loop waits for one of the locks
 	return func() {
 		for _, c := range locked {
 			c.mu.Unlock()
--- a/internal/httpwire/listener.go
+++ b/internal/httpwire/listener.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// acceptPause is waited after a failed accept, such as too many open files.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept, for instance because too
+// many files are open.
+const acceptRetryDelay = 50 * time.Millisecond
 
 // listener is a net.Listener that can stop accepting before the engine stops.
 // The engine's accept loop spins on errors until the engine itself stops, so
-// Accept blocks in between.
+// Accept blocks between stop and Close.
 type listener struct {
 	net.Listener
-	stopped  chan struct{}
-	closed   chan struct{}
-	stopOnce sync.Once
-	once     sync.Once
+	stopped   chan struct{}
+	closed    chan struct{}
+	stopOnce  sync.Once
+	closeOnce sync.Once
 }
 
 func newListener(ln net.Listener) *listener {
@@ -37,7 +38,7 @@
 			return nil, err
 		case <-l.closed:
 			return nil, err
-		case <-time.After(acceptPause):
+		case <-time.After(acceptRetryDelay):
 		}
 	}
 }
@@ -52,7 +53,7 @@
 
 // Close implements net.Listener.
 func (l *listener) Close() error {
-	l.once.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	l.stop()
 	return nil
 }
--- /dev/null
+++ b/internal/httpwire/memory.go
@@ -0,0 +1,34 @@
+package httpwire
+
+import "github.com/dapplespindle/dapplespindle/pkg/errkind"
+
+// This file bounds the memory used for bodies. Clients may send and read slowly, and a host
+// may have little memory: without a bound, buffered bodies could exhaust the memory and end
+// the process, which would abort all other requests.
+
+// alwaysAcceptedBytes is how much of a request is received even when the memory limit is
+// exceeded, in bytes: enough for heads and for small bodies, which are complete soon.
+const alwaysAcceptedBytes = 16 << 10
+
+// memoryExceeded reports whether the buffered bodies exceed the memory limit.
+func (s *Server) memoryExceeded() bool {
+	limit := s.conf.MaxKeptBytes
+	return limit > 0 && s.buffered.Load() > limit
+}
+
+// BufferedBytes returns the number of bytes of requests and responses that are held in memory.
+func (s *Server) BufferedBytes() int64 { return s.buffered.Load() }
+
+// setBuffered updates how many bytes of the message being received count towards the limit.
+func (c *serverConn) setBuffered(bytes int) {
+	c.server.buffered.Add(int64(bytes - c.buffered))
+	c.buffered = bytes
+}
+
+// checkMemory returns an error if the message being received must be refused for lack of memory.
+func (c *serverConn) checkMemory() *errkind.Error {
+	if len(c.buf) > alwaysAcceptedBytes && c.server.memoryExceeded() {
+		return errkind.New(errkind.Overloaded, "memory for bodies")
+	}
+	return nil
+}
--- a/internal/httpwire/message.go
+++ b/internal/httpwire/message.go
@@ -1,10 +1,12 @@
-// Package httpwire carries HTTP/1.x messages between the wire and the proxy.
+// Package httpwire implements the HTTP/1.x server that faces clients, and the
+// encoding of requests to upstreams.
 //
-// The event loop and the parser are nbhttp's. In front of the parser stands a
-// guard: it frames each message strictly (package framing), shows the parser
-// one whole message at a time, and holds back pipelined bytes until the answer
-// is written, or lets requests that may run twice run beside those before them.
-// Answers keep the order of their requests.
+// The event loop and the parser come from nbhttp. Each connection checks the
+// framing of a message strictly (package framing) before the parser sees it,
+// and gives the parser one complete message at a time. Pipelined bytes are
+// buffered until the current response is written, except that requests which
+// may run twice can be served concurrently with those before them. Responses
+// are always written in the order of their requests.
 package httpwire
 
 import (
@@ -12,7 +14,7 @@
 	"time"
 )
 
-// Request is a complete request as received from a caller.
+// Request is a complete request as received from a client.
 type Request struct {
 	// Method is the HTTP method in upper case.
 	Method string
@@ -20,36 +22,37 @@
 	Target string
 	// Path is the decoded path of Target.
 	Path string
-	// Host is the Host header; empty if an HTTP/1.0 caller sent none.
+	// Host is the Host header; empty if an HTTP/1.0 client sent none.
 	Host string
 	// Header holds the remaining headers in canonical form.
 	Header http.Header
-	// Body is the whole body. It must not be changed.
+	// Body is the complete body. It must not be modified.
 	Body []byte
-	// RemoteAddr is the caller's address.
+	// RemoteAddr is the client's address.
 	RemoteAddr string
 	// Received is when the last byte of the request arrived.
 	Received time.Time
-	// Once is true for a request that must not be sent again after it may have
-	// arrived: it goes over a connection that is surely alive.
+	// Once is true for a request that must not be resent once it may have
+	// reached an upstream. It is only sent on a connection known to be alive.
 	Once bool
 
 	minor     int
 	keepAlive bool
-	// turn is closed when the answers before this one are written; nil if there are
-	// none. Answered is closed when this one's is; nil if nothing waits for it.
-	turn     <-chan struct{}
-	answered chan struct{}
+	// previousWritten is closed when the response to the preceding request has been
+	// written; nil if there is none. written is closed when the response to this
+	// request has been written; nil if nothing waits for it.
+	previousWritten <-chan struct{}
+	written         chan struct{}
 }
 
-// Response is a complete answer.
+// Response is a complete response.
 type Response struct {
 	// Status is the HTTP status code, 200 to 599.
 	Status int
 	// Header holds the headers in canonical form.
 	Header http.Header
-	// Body is the whole body. It must not be changed.
+	// Body is the complete body. It must not be modified.
 	Body []byte
-	// ContentLength is the length that a HEAD answer declares, in bytes; -1 if it declares none.
+	// ContentLength is the length that a response to HEAD declares, in bytes; -1 if it declares none.
 	ContentLength int64
 }
--- a/internal/httpwire/pipeline.go
+++ b/internal/httpwire/pipeline.go
@@ -1,69 +1,73 @@
 package httpwire
 
-// Ahead is implemented by a Handler that serves several requests of one connection
-// at the same time. Their answers keep the order of the requests.
+// Ahead is implemented by a Handler that can serve several pipelined requests of one
+// connection concurrently. Their responses keep the order of the requests.
 type Ahead interface {
 	// MayRunAhead reports whether req may run while earlier requests of its connection
-	// run. A caller whose connection ends sends what was not answered again, so that it
-	// must be true only of requests that may run twice.
+	// are running. If a connection ends, its client resends every request without a
+	// response, so MayRunAhead must be true only for requests that may run twice.
 	MayRunAhead(req *Request) bool
 }
 
-// maxAhead bounds the requests of one connection that run at the same time. Each may
-// hold an answer that waits for those before it.
-const maxAhead = 8
+// maxConcurrentPipelined bounds the requests of one connection that run concurrently.
+// Each may hold a response in memory until those before it are written.
+const maxConcurrentPipelined = 8
 
-// start serves a request whose turn to be answered comes after those in flight.
-func (c *serverConn) start(req *Request) {
-	if c.newest != nil {
-		c.newest.answered = make(chan struct{})
-		req.turn = c.newest.answered
+// startRequest serves req on a worker. Its response is written after those to the
+// requests in flight.
+func (c *serverConn) startRequest(req *Request) {
+	if c.lastRequest != nil {
+		c.lastRequest.written = make(chan struct{})
+		req.previousWritten = c.lastRequest.written
 	}
-	c.newest = req
+	c.lastRequest = req
 	c.inFlight++
 	c.server.workers.start(job{conn: c, req: req})
 }
 
-// ahead begins to serve held requests that may run beside those in flight.
+// startPipelined starts the buffered requests that may run concurrently with those in
+// flight. It reports whether it started any.
 //
-// A caller that sends the next request before it has the answer would otherwise wait
-// for the sum of both. Where callers did so with work of 300 ms and a target of 800 ms,
-// 7.2% of 7,993 requests were late in calm seconds, and a fifth of those by the host's
-// own count, which begins when a request is taken up.
-func (c *serverConn) ahead() (began bool) {
-	for c.mayTakeAhead() {
-		req := c.takeHeld()
+// Without this, a client that sends the next request before it has the response waits
+// for the sum of both service times. With clients that did so, 300 ms of work for each
+// request and a latency target of 800 ms, 7.2% of 7,993 requests were late in
+// undisturbed seconds. A fifth of those were late by the host's own measurement too,
+// which begins when a request is parsed.
+func (c *serverConn) startPipelined() (started bool) {
+	for c.canStartPipelined() {
+		req := c.nextPipelined()
 		if req == nil {
-			return began
+			return started
 		}
-		if !c.server.ahead.MayRunAhead(req) {
+		if !c.server.pipeliner.MayRunAhead(req) {
 			c.pending = req
-			return began
+			return started
 		}
-		c.start(req)
-		began = true
+		c.startRequest(req)
+		started = true
 	}
-	return began
+	return started
 }
 
-// mayTakeAhead reports whether another request may be taken up before those in flight
-// are answered.
-func (c *serverConn) mayTakeAhead() bool {
+// canStartPipelined reports whether another buffered request may be parsed while
+// requests are in flight.
+func (c *serverConn) canStartPipelined() bool {
 	switch {
-	case c.server.ahead == nil || c.state != connServing || len(c.held) == 0:
+	case c.server.pipeliner == nil || c.state != connServing || len(c.pipelined) == 0:
 		return false
-	case c.ending || c.overflow || c.unfit || c.server.stopping.Load():
-		return false // what follows is not read any more, or refused in its turn
-	case c.pending != nil || c.inFlight >= maxAhead:
+	case c.noMoreRequests || c.overflow || c.pipelineInvalid || c.server.stopping.Load():
+		return false // later bytes are ignored, or refused after the responses in flight
+	case c.pending != nil || c.inFlight >= maxConcurrentPipelined:
 		return false
 	}
-	return c.newest == nil || c.newest.keepAlive
+	return c.lastRequest == nil || c.lastRequest.keepAlive
 }
 
-// takeHeld takes the next whole request out of what is held, or returns nil. What
-// can't be a request stays, and is refused when all before it are answered.
-func (c *serverConn) takeHeld() *Request {
-	done, scanErr := c.scanner.Scan(c.held)
+// nextPipelined removes the next complete request from the buffered bytes, or returns
+// nil. Bytes that are not a valid request stay; they are refused when all responses
+// before them are written.
+func (c *serverConn) nextPipelined() *Request {
+	done, scanErr := c.scanner.Scan(c.pipelined)
 	if scanErr == nil && !done {
 		return nil
 	}
@@ -71,91 +75,94 @@
 	var err error
 	if scanErr == nil {
 		end := c.scanner.End()
-		if req, err = c.parse(c.held[:end:end], false); err == nil {
-			c.held = c.held[end:]
+		if req, err = c.parse(c.pipelined[:end:end], false); err == nil {
+			c.pipelined = c.pipelined[end:]
 		}
 	}
 	if scanErr != nil || err != nil {
-		c.unfit = true
+		c.pipelineInvalid = true
 		req = nil
 	}
 	c.scanner.ResetRequest(c.server.limits.Load().framing())
 	return req
 }
 
-// awaitTurn returns when all answers before that of req are written, or false when
-// the connection has ended.
-func (c *serverConn) awaitTurn(req *Request) bool {
-	if req.turn == nil {
+// awaitPreviousResponse waits until all responses before that to req are written. It
+// returns false if the connection ends first.
+func (c *serverConn) awaitPreviousResponse(req *Request) bool {
+	if req.previousWritten == nil {
 		return true
 	}
 	select {
-	case <-req.turn:
+	case <-req.previousWritten:
 		return true
 	case <-c.ctx.Done():
 		return false
 	}
 }
 
-// startAnswer decides whether the connection stays open after the answer to req. It
-// says that it closes only in the last answer: requests that run already are answered
-// first. If it stays open, a whole request is held from now on.
-func (c *serverConn) startAnswer(req *Request, stopping bool) {
+// beginResponse decides whether the connection stays open after the response to req.
+// Only the last response announces the close, since requests that are already running
+// still get theirs. From now on the pipeline buffer has room for a complete request,
+// in case the connection stays open.
+func (c *serverConn) beginResponse(req *Request, stopping bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answering = true
+	c.responding = true
 	if c.overflow || stopping || !req.keepAlive {
-		c.ending = true
+		c.noMoreRequests = true
 	}
-	req.keepAlive = !c.ending || c.inFlight > 1
+	req.keepAlive = !c.noMoreRequests || c.inFlight > 1
 }
 
-// abandon ends the connection after an answer that could not be written.
+// abandon stops the connection from starting further requests after a response could
+// not be written.
 func (c *serverConn) abandon() {
 	c.mu.Lock()
-	c.ending = true
+	c.noMoreRequests = true
 	c.mu.Unlock()
 }
 
-// finished is called when the answer to req is written. It takes up what was held
-// back, or waits for the next request.
-func (c *serverConn) finished(req *Request) {
+// onResponseWritten is called when the response to req is written. It continues with
+// buffered requests, or waits for the next one.
+func (c *serverConn) onResponseWritten(req *Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answering = false
+	c.responding = false
 	c.inFlight--
-	if req.answered != nil {
-		close(req.answered)
+	if req.written != nil {
+		close(req.written)
 	}
-	if c.newest == req {
-		c.newest = nil
+	if c.lastRequest == req {
+		c.lastRequest = nil
 	}
 	switch {
 	case c.state != connServing:
 	case !req.keepAlive:
 		c.linger()
 	case c.inFlight > 0:
-		c.ahead()
+		c.startPipelined()
 	default:
-		c.next()
+		c.resume()
 	}
 }
 
-// next goes on when nothing is in flight.
-func (c *serverConn) next() {
-	c.unfit = false
+// resume continues when no request is in flight: with the pending request, with the
+// buffered bytes, or by waiting for the next request.
+func (c *serverConn) resume() {
+	c.pipelineInvalid = false
 	if req := c.pending; req != nil {
 		c.pending = nil
-		c.start(req)
-		c.ahead()
+		c.startRequest(req)
+		c.startPipelined()
 		return
 	}
 	c.state = connIdle
-	if held := c.held; len(held) > 0 {
-		c.held = nil
-		c.receive(held, true)
+	if data := c.pipelined; len(data) > 0 {
+		c.pipelined = nil
+		c.receive(data, true)
 		return
 	}
-	c.held = nil
-	c.rest()
+	c.pipelined = nil
+	c.awaitRequest()
 }
--- a/internal/httpwire/pipelining_test.go
+++ b/internal/httpwire/pipelining_test.go
@@ -14,7 +14,7 @@
 	"github.com/matryer/is"
 )
 
-func TestPipelinedAnswersKeepOrder(t *testing.T) {
+func TestPipelinedResponsesKeepOrder(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	s := startServer(t, handlerFunc(func(_ context.Context, req *Request) *Response {
@@ -34,12 +34,12 @@
 	close(release)
 	c.send(t, all[len(all)/2:])
 	for i := range n {
-		resp, _ := c.answer(t, "POST")
+		resp, _ := c.readResponse(t, "POST")
 		is.Equal(resp.Header.Get("X-Path"), "/"+strconv.Itoa(i))
 	}
 }
 
-func TestTooMuchPipelinedEndsAfterTheAnswer(t *testing.T) {
+func TestPipelineOverflowClosesAfterTheResponse(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	var served atomic.Int64
@@ -55,29 +55,29 @@
 		time.Sleep(time.Millisecond)
 	}
 	close(release)
-	resp, _ := c.answer(t, "GET")
+	resp, _ := c.readResponse(t, "GET")
 	is.True(resp.Close)
-	is.True(c.atEnd())
+	is.True(c.atEOF())
 	is.Equal(served.Load(), int64(1))
 }
 
-// overflowed reports whether the caller has sent more than is held.
+// overflowed reports whether the client has pipelined more than is buffered.
 func (c *serverConn) overflowed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.overflow
 }
 
-// TestNextRequestBesideTheAnswer sends the next request when the first bytes of
-// an answer that stays open have arrived and the rest is still being written.
+// TestNextRequestBesideTheAnswer sends the next request while a response that leaves
+// the connection open is still being written: its first bytes have arrived.
 func TestNextRequestBesideTheAnswer(t *testing.T) {
 	var served atomic.Int64
-	nextRequestBesideTheAnswer(t, startServer(t, echo(&served), nil), dial)
+	testNextRequestDuringResponse(t, startServer(t, echo(&served), nil), dial)
 }
 
-// nextRequestBesideTheAnswer uses connections that open makes to s, which
-// echoes.
-func nextRequestBesideTheAnswer(t *testing.T, s *Server, open func(*testing.T, *Server) *caller) {
+// testNextRequestDuringResponse uses connections that open makes to s, which must
+// echo request bodies.
+func testNextRequestDuringResponse(t *testing.T, s *Server, open func(*testing.T, *Server) *testClient) {
 	whole := strings.Repeat("0123456789abcdef", testMaxBody/16)
 	post := func(body string) string {
 		return "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
@@ -96,7 +96,7 @@
 	for name, test := range map[string]struct {
 		next   string
 		status []int
-		closes bool // after the last answer, which says so
+		closes bool // the last response announces a close, and the close follows
 	}{
 		"sized":           {post(whole), []int{200}, false},
 		"chunked":         {chunked(whole, 1<<20), []int{200}, false},
@@ -118,25 +118,25 @@
 			sent := make(chan struct{})
 			go func() {
 				defer close(sent)
-				_, _ = io.WriteString(c, test.next) // a refusal may cut it short
+				_, _ = io.WriteString(c, test.next) // a refusal may interrupt it
 			}()
-			time.Sleep(10 * time.Millisecond) // most of it is there before the answer is read
-			resp, body := c.answer(t, "POST")
+			time.Sleep(10 * time.Millisecond) // most of it arrives before the response is read
+			resp, body := c.readResponse(t, "POST")
 			is.Equal(len(body), len(whole))
 			is.True(!resp.Close)
 			for _, status := range test.status {
-				resp, _ = c.answer(t, "POST")
+				resp, _ = c.readResponse(t, "POST")
 				is.Equal(resp.StatusCode, status)
 			}
 			if test.closes && !resp.Close {
-				// What follows was not all there when the answer was written, and is
-				// refused by itself.
-				resp, _ = c.answer(t, "POST")
+				// The last request had not arrived completely when the response was
+				// written, so it is refused separately.
+				resp, _ = c.readResponse(t, "POST")
 				is.Equal(resp.StatusCode, http.StatusRequestEntityTooLarge)
 			}
 			is.Equal(resp.Close, test.closes)
 			if test.closes {
-				is.True(c.atEnd())
+				is.True(c.atEOF())
 			}
 			_ = c.Close()
 			<-sent
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -16,33 +16,34 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-// Server accepts callers' connections.
+// Server is an HTTP/1.x server for client connections.
 type Server struct {
-	conf     ServerConfig
-	engine   socket.Engine
-	listener *listener
-	inFlight atomic.Int64
-	kept     atomic.Int64 // bytes of messages
-	stopping atomic.Bool
-	limits   atomic.Pointer[Limits]
-	workers  workers
-	ahead    Ahead // nil serves the requests of a connection one by one
+	conf      ServerConfig
+	engine    socket.Engine
+	listener  *listener
+	inFlight  atomic.Int64
+	buffered  atomic.Int64 // bytes of messages
+	stopping  atomic.Bool
+	limits    atomic.Pointer[Limits]
+	workers   workerPool
+	pipeliner Ahead // nil if the requests of a connection are served one by one
 
 	mu    sync.Mutex
 	conns map[*serverConn]struct{}
 }
 
-// never is an engine timeout that does not fire: the guard has its own timers,
-// which answer before they close.
-const never = 100 * 365 * 24 * time.Hour
+// noTimeout effectively disables the engine's timeouts, which close a connection
+// without a response. serverConn has its own timers and responds before it closes.
+const noTimeout = 100 * 365 * 24 * time.Hour
 
-// Limits bounds what one caller may send. It can change while the server runs.
+// Limits bounds what a client may send on one connection. It can change while the
+// server runs.
 type Limits struct {
 	// HeadBytes and BodyBytes bound a request, in bytes.
 	HeadBytes, BodyBytes int
 	// HeadTimeout bounds the time from the first byte of a head to its last.
 	HeadTimeout time.Duration
-	// IdleTimeout closes a connection without a request.
+	// IdleTimeout bounds the time for which a connection without a request stays open.
 	IdleTimeout time.Duration
 }
 
@@ -50,15 +51,16 @@
 	return framing.Limits{HeadBytes: l.HeadBytes, BodyBytes: l.BodyBytes}
 }
 
-// SetLimits replaces the limits of the settings for what is received from now on.
+// SetLimits replaces the limits of ServerConfig for messages and timeouts that begin
+// from now on.
 func (s *Server) SetLimits(l Limits) { s.limits.Store(&l) }
 
-// NewServer returns a server that is not yet listening.
+// NewServer returns a server that is not listening yet.
 func NewServer(conf ServerConfig) *Server {
 	conf = conf.withDefaults()
 	s := &Server{conf: conf, conns: make(map[*serverConn]struct{})}
 	s.workers.serve = s.serve
-	s.ahead, _ = conf.Handler.(Ahead)
+	s.pipeliner, _ = conf.Handler.(Ahead)
 	s.SetLimits(Limits{
 		HeadBytes:   conf.MaxHeadBytes,
 		BodyBytes:   conf.MaxBodyBytes,
@@ -72,7 +74,7 @@
 		Listen:          s.listen,
 		MaxHTTPBodySize: conf.MaxBodyBytes,
 		ReadLimit:       conf.MaxBodyBytes + conf.MaxHeadBytes,
-		KeepaliveTime:   never,
+		KeepaliveTime:   noTimeout,
 		MaxLoad:         conf.MaxConnections,
 	})
 	s.engine.Engine.Engine.OnOpen(s.onOpen)
@@ -91,54 +93,55 @@
 
 // Start opens the listener and begins to serve.
 func (s *Server) Start() error {
-	return errors.Wrap(s.engine.Start(), "start caller listener")
+	return errors.Wrap(s.engine.Start(), "start client listener")
 }
 
-// Addr returns the address that the server listens on, once started.
+// Addr returns the address that the server listens on. It is valid after Start.
 func (s *Server) Addr() string { return s.engine.Addrs[0] }
 
-// InFlight returns the number of requests being served, until their answer is
-// written.
+// InFlight returns the number of requests whose response has not been completely
+// written yet.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Connections returns the number of open callers' connections.
+// Connections returns the number of open client connections.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Stop closes the listener and every connection, and ends what is in flight.
+// Stop closes the listener and every connection, and aborts the requests in flight.
 func (s *Server) Stop() {
 	s.engine.Stop()
 	s.workers.stop()
 }
 
-// stopPoll is how often Shutdown looks whether the work is done.
-const stopPoll = 5 * time.Millisecond
+// shutdownPollInterval is how often Shutdown checks whether all connections are closed.
+const shutdownPollInterval = 5 * time.Millisecond
 
-// Drain begins a planned stop: callers are still accepted, and every answer
-// from now on says "Connection: close", so that they move away.
+// Drain begins a graceful shutdown: connections are still accepted, but every
+// response from now on carries "Connection: close", so that clients reconnect
+// elsewhere.
 func (s *Server) Drain() { s.stopping.Store(true) }
 
-// Shutdown is a planned stop. It stops accepting, answers every request that
-// still arrives with "Connection: close", closes idle connections after grace,
-// and waits for the requests in flight until ctx ends. It returns how many are
-// left. Stop must be called afterwards.
+// Shutdown shuts the server down gracefully. It stops accepting connections, sends
+// "Connection: close" with every further response, closes idle connections after
+// the grace period, and waits for the requests in flight until ctx ends. It returns
+// how many requests are left. Stop must be called afterwards.
 func (s *Server) Shutdown(ctx context.Context, grace time.Duration) int64 {
 	s.stopping.Store(true)
 	s.listener.stop()
-	graceOver := time.After(grace)
-	ticker := time.NewTicker(stopPoll)
+	graceTimer := time.After(grace)
+	ticker := time.NewTicker(shutdownPollInterval)
 	defer ticker.Stop()
 	closeIdle := false
 	for {
 		select {
 		case <-ctx.Done():
 			return s.InFlight()
-		case <-graceOver:
+		case <-graceTimer:
 			closeIdle = true
-			graceOver = nil
+			graceTimer = nil
 		case <-ticker.C:
 		}
 		if closeIdle && s.closeIdle() == 0 {
@@ -147,8 +150,8 @@
 	}
 }
 
-// closeIdle closes the connections without a request and returns how many
-// others are left, in which a request is received or served.
+// closeIdle closes the idle connections and returns the number of others, on which
+// a request is being received or served.
 func (s *Server) closeIdle() int {
 	s.mu.Lock()
 	conns := make([]*serverConn, 0, len(s.conns))
@@ -165,8 +168,8 @@
 	return busy
 }
 
-// onOpen runs when a connection was accepted. It puts the guard in place of
-// the library's parser and executor.
+// onOpen is called for each accepted connection. It installs a serverConn in place
+// of the library's parser and executor.
 func (s *Server) onOpen(nc *nbio.Conn) {
 	c := newServerConn(s, nc)
 	socket.SetSession(nc, c)
@@ -175,46 +178,46 @@
 	s.mu.Unlock()
 }
 
-func (s *Server) forget(c *serverConn) {
+func (s *Server) removeConn(c *serverConn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 }
 
-// serve answers one request, after those before it, and then lets the connection take
-// the next one.
+// serve handles one request, writes the response after those to earlier requests of
+// the connection, and lets the connection proceed with the next request.
 func (s *Server) serve(c *serverConn, req *Request) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	resp := s.handle(c, req)
-	kept := int64(len(resp.Body))
-	s.kept.Add(kept)
-	defer s.kept.Add(-kept)
-	if !c.awaitTurn(req) {
+	bodyBytes := int64(len(resp.Body))
+	s.buffered.Add(bodyBytes)
+	defer s.buffered.Add(-bodyBytes)
+	if !c.awaitPreviousResponse(req) {
 		return
 	}
-	c.startAnswer(req, s.stopping.Load())
+	c.beginResponse(req, s.stopping.Load())
 	if err := c.writeResponse(req, resp); err != nil {
 		c.abandon()
 		socket.End(c.conn)
 		return
 	}
-	c.finished(req)
+	c.onResponseWritten(req)
 }
 
-// handle calls the handler. A panic ends this request, not the process.
+// handle calls the handler. A panic fails this request, not the process.
 func (s *Server) handle(c *serverConn, req *Request) (resp *Response) {
 	defer func() {
 		if r := recover(); r != nil {
 			resp = s.conf.Refuse(c.remote, errkind.Wrap(errkind.Internal, errors.Newf("%v", r), "panic in handler"))
 		}
 	}()
-	if s.full() {
+	if s.memoryExceeded() {
 		return s.conf.Refuse(c.remote, errkind.New(errkind.Overloaded, "memory for bodies"))
 	}
-	kept := int64(len(req.Body))
-	s.kept.Add(kept)
-	defer s.kept.Add(-kept)
+	bodyBytes := int64(len(req.Body))
+	s.buffered.Add(bodyBytes)
+	defer s.buffered.Add(-bodyBytes)
 	resp = s.conf.Handler.Serve(c.ctx, req)
 	if resp == nil || resp.Status < 200 || resp.Status > 599 {
 		return s.conf.Refuse(c.remote, errkind.New(errkind.Internal, "handler without an answer"))
--- a/internal/httpwire/server_test.go
+++ b/internal/httpwire/server_test.go
@@ -17,7 +17,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-// refusals are requests that no handler may see, and the kind of the answer.
+// refusals are requests that must not reach the handler, and the error kinds of the responses.
 var refusals = map[string]struct {
 	request string
 	kind    errkind.Kind
@@ -34,12 +34,12 @@
 	"long body":       {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: " + strconv.Itoa(testMaxBody+1) + "\r\n\r\n", errkind.BodyTooLarge},
 }
 
-func TestRefusalsAnswerAndClose(t *testing.T) {
+func TestRefusalsRespondAndClose(t *testing.T) {
 	checkRefusals(t, dial, nil)
 }
 
-// checkRefusals sends the refusals over connections that connect makes.
-func checkRefusals(t *testing.T, connect func(*testing.T, *Server) *caller, change func(*ServerConfig)) {
+// checkRefusals sends the refusals over connections made by connect.
+func checkRefusals(t *testing.T, connect func(*testing.T, *Server) *testClient, change func(*ServerConfig)) {
 	var served atomic.Int64
 	s := startServer(t, echo(&served), change)
 	for name, test := range refusals {
@@ -47,18 +47,18 @@
 			is := is.New(t)
 			c := connect(t, s)
 			c.send(t, test.request)
-			resp, _ := c.answer(t, "GET")
+			resp, _ := c.readResponse(t, "GET")
 			is.Equal(resp.StatusCode, test.kind.Answer().Status)
 			is.Equal(resp.Header.Get("Dapplespindle-Error"), test.kind.String())
 			is.Equal(resp.Header.Get("Dapplespindle-Outcome"), "not-run")
 			is.True(resp.Close)
-			is.True(c.atEnd())
+			is.True(c.atEOF())
 		})
 	}
 	is.New(t).Equal(served.Load(), int64(0))
 }
 
-func TestRefusalIsReadWhileTheCallerStillSends(t *testing.T) {
+func TestRefusalIsReadWhileTheClientStillSends(t *testing.T) {
 	is := is.New(t)
 	var served atomic.Int64
 	s := startServer(t, echo(&served), nil)
@@ -66,7 +66,7 @@
 	c.send(t, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: "+strconv.Itoa(2*testMaxBody)+"\r\n\r\n")
 	_, err := c.Write(make([]byte, 2*testMaxBody))
 	is.NoErr(err)
-	resp, _ := c.answer(t, "POST")
+	resp, _ := c.readResponse(t, "POST")
 	is.Equal(resp.StatusCode, http.StatusRequestEntityTooLarge)
 }
 
@@ -84,18 +84,18 @@
 			is := is.New(t)
 			c := dial(t, s)
 			c.send(t, part)
-			resp, _ := c.answer(t, "GET")
+			resp, _ := c.readResponse(t, "GET")
 			is.Equal(resp.StatusCode, http.StatusRequestTimeout)
-			is.True(c.atEnd())
+			is.True(c.atEOF())
 		})
 	}
 	is.New(t).Equal(served.Load(), int64(0))
 }
 
-func TestIdleConnectionIsClosedWithoutAnAnswer(t *testing.T) {
+func TestIdleConnectionIsClosedWithoutAResponse(t *testing.T) {
 	var served atomic.Int64
 	s := startServer(t, echo(&served), func(c *ServerConfig) { c.IdleTimeout = 20 * time.Millisecond })
-	is.New(t).True(dial(t, s).atEnd())
+	is.New(t).True(dial(t, s).atEOF())
 }
 
 func TestDisconnectCancels(t *testing.T) {
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestBigBodiesBothWays(t *testing.T) {
+func TestLargeBodiesInBothDirections(t *testing.T) {
 	var served atomic.Int64
 	s := startServer(t, echo(&served), nil)
 	body := bytes.Repeat([]byte("0123456789abcdef"), testMaxBody/16)
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestBigAnswerIsWholeBeforeTheClose(t *testing.T) {
+func TestLargeResponseIsCompleteBeforeTheClose(t *testing.T) {
 	is := is.New(t)
 	body := make([]byte, testMaxBody)
 	s := startServer(t, handlerFunc(func(context.Context, *Request) *Response {
@@ -148,13 +148,13 @@
 	}), nil)
 	c := dial(t, s)
 	c.send(t, "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
-	resp, got := c.answer(t, "GET")
+	resp, got := c.readResponse(t, "GET")
 	is.True(resp.Close)
 	is.Equal(len(got), len(body))
-	is.True(c.atEnd())
+	is.True(c.atEOF())
 }
 
-func TestAnswersWithoutABody(t *testing.T) {
+func TestResponsesWithoutABody(t *testing.T) {
 	is := is.New(t)
 	s := startServer(t, handlerFunc(func(_ context.Context, req *Request) *Response {
 		status, _ := strconv.Atoi(req.Path[1:])
@@ -166,7 +166,7 @@
 		status       int
 	}{{"HEAD", "/200", 200}, {"GET", "/204", 204}, {"GET", "/304", 304}, {"GET", "/200", 200}} {
 		c.send(t, test.method+" "+test.path+" HTTP/1.1\r\nHost: a\r\n\r\n")
-		resp, _ := c.answer(t, test.method)
+		resp, _ := c.readResponse(t, test.method)
 		is.Equal(resp.StatusCode, test.status)
 	}
 }
@@ -178,13 +178,13 @@
 	c := dial(t, s)
 	head := "POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
 	c.send(t, head)
-	resp, _ := c.answer(t, "POST")
+	resp, _ := c.readResponse(t, "POST")
 	is.Equal(resp.StatusCode, http.StatusContinue)
 	c.send(t, "ab")
-	_, body := c.answer(t, "POST")
+	_, body := c.readResponse(t, "POST")
 	is.Equal(string(body), "ab")
 	c.send(t, head+"cd")
-	_, body = c.answer(t, "POST")
+	_, body = c.readResponse(t, "POST")
 	is.Equal(string(body), "cd")
 }
 
@@ -194,12 +194,12 @@
 	s := startServer(t, echo(&served), nil)
 	c := dial(t, s)
 	c.send(t, "GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n")
-	resp, _ := c.answer(t, "GET")
+	resp, _ := c.readResponse(t, "GET")
 	is.Equal(resp.Header.Get("Connection"), "keep-alive")
 	c.send(t, "GET /b HTTP/1.0\r\n\r\n")
-	resp, _ = c.answer(t, "GET")
+	resp, _ = c.readResponse(t, "GET")
 	is.Equal(resp.Header.Get("X-Path"), "/b")
-	is.True(c.atEnd())
+	is.True(c.atEOF())
 }
 
 func TestBytewiseRequest(t *testing.T) {
@@ -210,22 +210,22 @@
 	for _, b := range "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\nT: x\r\n\r\n" {
 		c.send(t, string(b))
 	}
-	_, body := c.answer(t, "POST")
+	_, body := c.readResponse(t, "POST")
 	is.Equal(string(body), "abc")
 }
 
-func TestPanicEndsTheRequestOnly(t *testing.T) {
+func TestPanicFailsTheRequestOnly(t *testing.T) {
 	is := is.New(t)
 	s := startServer(t, handlerFunc(func(context.Context, *Request) *Response { panic("broken") }), nil)
 	c := dial(t, s)
 	for range 2 {
 		c.send(t, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-		resp, _ := c.answer(t, "GET")
+		resp, _ := c.readResponse(t, "GET")
 		is.Equal(resp.StatusCode, http.StatusInternalServerError)
 	}
 }
 
-func TestShutdownFinishesWhatIsInFlight(t *testing.T) {
+func TestShutdownCompletesRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	started := make(chan struct{})
 	release := make(chan struct{})
@@ -250,13 +250,13 @@
 		time.Sleep(time.Millisecond)
 	}
 	late.send(t, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-	resp, _ := late.answer(t, "GET")
+	resp, _ := late.readResponse(t, "GET")
 	is.True(resp.Close)
-	is.True(idle.atEnd())
+	is.True(idle.atEOF())
 	close(release)
-	resp, _ = busy.answer(t, "GET")
+	resp, _ = busy.readResponse(t, "GET")
 	is.True(resp.Close)
-	is.True(busy.atEnd())
+	is.True(busy.atEOF())
 	is.Equal(<-left, int64(0))
 	_, err := net.Dial("tcp", s.Addr())
 	is.True(err != nil)
@@ -273,7 +273,7 @@
 	})
 	c := dial(t, s)
 	c.send(t, "GET / HTTP/1.1\r\n\r\n")
-	resp, _ := c.answer(t, "GET")
+	resp, _ := c.readResponse(t, "GET")
 	is.Equal(resp.StatusCode, http.StatusBadRequest)
 	is.Equal(resp.Header.Get("X-Remote"), c.LocalAddr().String())
 	is.Equal((<-reported).Kind, errkind.BadRequest)
--- a/internal/httpwire/serverconn.go
+++ b/internal/httpwire/serverconn.go
@@ -15,31 +15,32 @@
 	"github.com/dapplespindle/dapplespindle/internal/httpwire/socket"
 )
 
-// connState is what a caller's connection is doing.
+// connState is the state of a client connection.
 type connState uint8
 
 const (
-	// connIdle waits for the first byte of a request.
+	// connIdle is waiting for the first byte of a request.
 	connIdle connState = iota
-	// connHead has received part of a head.
+	// connHead has received part of a request head.
 	connHead
-	// connBody has received a head and waits for the rest of the body.
+	// connBody has received a head and is waiting for the rest of the body.
 	connBody
 	// connServing has requests in flight.
 	connServing
-	// connClosing has sent its last answer and drops what still arrives.
+	// connClosing has sent the last response and discards what still arrives.
 	connClosing
-	// connClosed is gone.
+	// connClosed has ended.
 	connClosed
-	// connShaking is in its TLS handshake.
-	connShaking
+	// connHandshake is in the TLS handshake.
+	connHandshake
 )
 
-// serverConn is one caller's connection. It implements nbhttp.ParserCloser, so
-// that the event loop hands it the bytes, and holds the library's parser.
+// serverConn is a client connection. It implements nbhttp.ParserCloser, so that
+// the event loop passes it the received bytes, and it holds the library's parser.
 //
-// The library's functions are excluded from the race detector; all state here
-// is guarded by mu, except what is atomic or set once.
+// The library's functions are excluded from the race detector, so it can't be
+// relied on for what they share with this type. All fields are guarded by mu,
+// except those that are atomic or set once.
 type serverConn struct {
 	server *Server
 	conn   *nbio.Conn
@@ -49,41 +50,41 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	// unwritten counts the bytes of answers that the kernel has not taken yet.
+	// unwritten counts the response bytes that the kernel has not accepted yet.
 	unwritten atomic.Int64
 	// drained is signalled when unwritten reaches zero.
 	drained chan struct{}
 
-	mu    sync.Mutex
-	state connState
-	// secured is true once the TLS handshake is done.
-	secured bool
-	scanner framing.Scanner
+	mu            sync.Mutex
+	state         connState
+	handshakeDone bool
+	scanner       framing.Scanner
 	// buf holds the message that is being received.
 	buf []byte
-	// kept is how much of buf is counted in the server's sum.
-	kept int
-	// held holds the bytes behind the request in flight.
-	held []byte
-	// overflow is true when more was pipelined than is held.
+	// buffered is how much of buf counts towards the server's memory limit.
+	buffered int
+	// pipelined holds the bytes received after the requests in flight.
+	pipelined []byte
+	// overflow is true if more was pipelined than pipelineLimit allows.
 	overflow bool
-	// answering is true once the answer to the request in flight is being
-	// written: it has said whether the connection stays open.
-	answering bool
-	// inFlight counts the requests that are served, and newest is the last of them.
-	inFlight int
-	newest   *Request
-	// pending was taken up, and waits until nothing is in flight.
+	// responding is true while a response is being written. The decision whether
+	// the connection stays open has then been made.
+	responding bool
+	// inFlight counts the requests being served; lastRequest is the newest of them,
+	// or nil.
+	inFlight    int
+	lastRequest *Request
+	// pending is a parsed request that waits until nothing is in flight.
 	pending *Request
-	// ending is true once no further request is served.
-	ending bool
-	// unfit is true while what is held can't be taken up ahead.
-	unfit bool
-	// dropped counts the bytes that arrived while closing.
-	dropped int
-	alarm   alarm
-	// gathering is the request that the parser is calling back for.
-	gathering gathering
+	// noMoreRequests is true once no further request will be started.
+	noMoreRequests bool
+	// pipelineInvalid is true while the pipelined bytes are not a valid request.
+	pipelineInvalid bool
+	// discarded counts the bytes that were discarded while closing.
+	discarded int
+	timer     lazyTimer
+	// builder collects the request that is being parsed.
+	builder requestBuilder
 }
 
 func newServerConn(s *Server, nc *nbio.Conn) *serverConn {
@@ -96,51 +97,51 @@
 		cancel:  cancel,
 		drained: make(chan struct{}, 1),
 	}
-	c.parser = nbhttp.NewParser(nc, s.engine.Engine, &c.gathering, false, nil)
+	c.parser = nbhttp.NewParser(nc, s.engine.Engine, &c.builder, false, nil)
 	c.scanner.ResetRequest(s.limits.Load().framing())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s.conf.TLS != nil {
-		c.awaitHandshake()
+		c.startHandshake()
 		return c
 	}
-	c.rest()
+	c.awaitRequest()
 	return c
 }
 
 // UnderlayerConn implements nbhttp.ParserCloser.
 func (c *serverConn) UnderlayerConn() net.Conn { return c.conn }
 
-// Parse implements nbhttp.ParserCloser; the event loop calls it with the bytes
-// that arrived, which are only valid during the call.
+// Parse implements nbhttp.ParserCloser; the event loop calls it with the received
+// bytes, which are only valid during the call.
 func (c *serverConn) Parse(data []byte) error {
 	if c.tls != nil {
-		return c.tls.Feed(data, c.shaken)
+		return c.tls.Feed(data, c.onHandshake)
 	}
-	return c.plain(data)
+	return c.onPlaintext(data)
 }
 
-// plain takes the caller's bytes, decrypted if there is TLS.
-func (c *serverConn) plain(data []byte) error {
-	began, err := c.take(data)
-	if began {
-		// The loop goes into a system call next and would hold the processor on
-		// which the request was queued; let the request have it first.
+// onPlaintext handles received bytes after decryption, if the connection uses TLS.
+func (c *serverConn) onPlaintext(data []byte) error {
+	started, err := c.onData(data)
+	if started {
+		// The event loop enters a system call next and would block the processor on
+		// whose run queue the request is; yield so that the request runs first.
 		runtime.Gosched()
 	}
 	return err
 }
 
-// take handles the bytes that arrived. It reports whether a request began.
-func (c *serverConn) take(data []byte) (bool, error) {
+// onData handles received bytes. It reports whether it started a request.
+func (c *serverConn) onData(data []byte) (bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch c.state {
 	case connServing:
-		c.hold(data)
-		return c.ahead(), nil
+		c.bufferPipelined(data)
+		return c.startPipelined(), nil
 	case connClosing:
-		return false, c.drop(len(data))
+		return false, c.discard(len(data))
 	case connClosed:
 		return false, net.ErrClosed
 	default:
@@ -150,58 +151,58 @@
 }
 
 // CloseAndClean implements nbhttp.ParserCloser; it is called once, when the
-// connection has ended. It does not wait behind any work.
+// connection has ended. It does not wait for requests in flight.
 func (c *serverConn) CloseAndClean(err error) {
 	c.cancel()
 	if c.tls != nil {
 		c.tls.Ended()
 	}
-	c.server.forget(c)
+	c.server.removeConn(c)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state = connClosed
-	c.alarm.stop()
+	c.timer.stop()
 	c.buf = nil
-	c.keep(0)
-	c.held = nil
+	c.setBuffered(0)
+	c.pipelined = nil
 	c.pending = nil
 	c.parser.CloseAndClean(err)
 }
 
-// hold keeps the bytes behind the request in flight; what comes after the
-// bound was passed is dropped.
-func (c *serverConn) hold(data []byte) {
+// bufferPipelined buffers bytes received after the requests in flight. After an
+// overflow, further bytes are dropped.
+func (c *serverConn) bufferPipelined(data []byte) {
 	if c.overflow {
 		return
 	}
-	c.held = append(c.held, data...)
-	c.overflow = len(c.held) > c.maxHeld()
+	c.pipelined = append(c.pipelined, data...)
+	c.overflow = len(c.pipelined) > c.pipelineLimit()
 }
 
-// maxHeld is how much hold keeps, in bytes. The caller may have read the whole
-// answer, and have sent its next request, before finished is called. The answer
-// said that the connection stays open, so a whole request must fit: without that,
-// of 384 runs of three 8 MB bodies one after the other
-// beside load, 11 were cut off without an answer.
-func (c *serverConn) maxHeld() int {
-	if !c.answering {
+// pipelineLimit is how much bufferPipelined accepts, in bytes. A client may have read
+// the whole response, and have sent its next request, before onResponseWritten is
+// called. As the response left the connection open, a complete request must fit:
+// without that, 11 of 384 runs of three consecutive 8 MB bodies under other load were
+// cut off without a response.
+func (c *serverConn) pipelineLimit() int {
+	if !c.responding {
 		return maxPipelinedBytes
 	}
 	return c.server.limits.Load().framing().MessageBytes() + maxPipelinedBytes
 }
 
-// rest waits for the next request.
-func (c *serverConn) rest() {
-	c.alarm.set(clock.Now(), c.server.limits.Load().IdleTimeout, c.onAlarm)
+// awaitRequest starts the idle timeout.
+func (c *serverConn) awaitRequest() {
+	c.timer.set(clock.Now(), c.server.limits.Load().IdleTimeout, c.onTimer)
 }
 
-// closeIfIdle closes the connection if no request is received or served on it and
-// none waits to be read. It reports whether it did, or whether the last answer was
-// sent before.
+// closeIfIdle closes the connection if no request is being received or served on it
+// and the kernel holds no unread bytes. It reports whether the connection is closing
+// or closed.
 func (c *serverConn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state == connShaking || c.state == connIdle && socket.Quiet(c.conn) {
+	if c.state == connHandshake || c.state == connIdle && socket.Quiet(c.conn) {
 		c.linger()
 	}
 	return c.state == connClosing || c.state == connClosed
--- a/internal/httpwire/socket/socket.go
+++ b/internal/httpwire/socket/socket.go
@@ -72,8 +72,8 @@
 // End ends the connection both ways. No byte is sent afterwards.
 func End(nc *nbio.Conn) { shutdown(nc, syscall.SHUT_RDWR) }
 
-// EndWrite ends our side of the connection; bytes can still be received.
-func EndWrite(nc *nbio.Conn) { shutdown(nc, syscall.SHUT_WR) }
+// ShutdownWrite ends our side of the connection; bytes can still be received.
+func ShutdownWrite(nc *nbio.Conn) { shutdown(nc, syscall.SHUT_WR) }
 
 func shutdown(nc *nbio.Conn, how int) {
 	nc.Lock()
--- a/internal/httpwire/tls.go
+++ b/internal/httpwire/tls.go
@@ -10,26 +10,26 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-// awaitHandshake puts TLS in front of the guard. It is called under mu, before
-// the first byte.
-func (c *serverConn) awaitHandshake() {
-	c.state = connShaking
-	c.tls = socket.NewServerTLS(c.server.conf.TLS, c.conn.RemoteAddr(), c.writeRaw, c.plain)
-	c.alarm.set(clock.Now(), c.server.conf.HandshakeTimeout, c.onAlarm)
+// startHandshake puts TLS in front of the connection's message handling. It is
+// called with mu held, before the first byte arrives.
+func (c *serverConn) startHandshake() {
+	c.state = connHandshake
+	c.tls = socket.NewServerTLS(c.server.conf.TLS, c.conn.RemoteAddr(), c.writeRaw, c.onPlaintext)
+	c.timer.set(clock.Now(), c.server.conf.HandshakeTimeout, c.onTimer)
 }
 
-// shaken is called at the end of the handshake, and once more when the bytes
-// behind it end the connection. It reports whether the connection goes on.
-func (c *serverConn) shaken(err error) bool {
+// onHandshake is called when the handshake ends, and again if the bytes that follow
+// it end the connection. It reports whether the connection stays open.
+func (c *serverConn) onHandshake(err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err != nil && !c.secured {
-		c.reportHandshake(err)
+	if err != nil && !c.handshakeDone {
+		c.reportHandshakeFailure(err)
 	}
 	switch {
 	case c.state == connClosing || c.state == connClosed:
-		return false // closed by the timeout, a stop or the caller
-	case c.state != connShaking:
+		return false // closed by the timeout, a shutdown or the client
+	case c.state != connHandshake:
 		socket.End(c.conn)
 		return false
 	case err != nil:
@@ -37,22 +37,22 @@
 		return false
 	}
 	c.state = connIdle
-	c.secured = true
-	c.rest()
+	c.handshakeDone = true
+	c.awaitRequest()
 	return true
 }
 
-// reportHandshake tells of a failed handshake, whoever ended it.
-func (c *serverConn) reportHandshake(err error) {
+// reportHandshakeFailure reports a failed handshake, whichever side ended it.
+func (c *serverConn) reportHandshakeFailure(err error) {
 	if f := c.server.conf.OnHandshakeFailed; f != nil {
 		f(c.remote, err)
 	}
 }
 
-// refuseHandshake closes after a failed handshake, whose alert is sent. A
-// caller that speaks plain HTTP gets a readable answer.
+// refuseHandshake closes the connection after a failed handshake, whose alert has
+// already been sent. A client that speaks plain HTTP gets an HTTP response.
 func (c *serverConn) refuseHandshake(err error) {
-	if speaksHTTP(err) {
+	if isPlainHTTP(err) {
 		resp := c.server.conf.Refuse(c.remote, errkind.New(errkind.BadRequest, "plain HTTP on a port for TLS"))
 		head, body := encodeResponse(&Request{minor: 1}, resp)
 		defer releaseBuffer(head)
@@ -64,8 +64,9 @@
 	c.linger()
 }
 
-// speaksHTTP reports whether the first bytes were a request line.
-func speaksHTTP(err error) bool {
+// isPlainHTTP reports whether the handshake failed because the client sent an HTTP
+// request line instead of a TLS record.
+func isPlainHTTP(err error) bool {
 	var header tls.RecordHeaderError
 	if !errors.As(err, &header) {
 		return false
--- a/internal/httpwire/tls_bench_test.go
+++ b/internal/httpwire/tls_bench_test.go
@@ -16,22 +16,22 @@
 
 const benchRequest = "GET /catalogue/lots/42?full=1 HTTP/1.1\r\nHost: 127.0.0.1\r\nUser-Agent: bench\r\nAccept: */*\r\nX-Request-Id: 42\r\n\r\n"
 
-const benchAnswer = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
+const benchResponse = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
 
-// benchTarget is a way of serving, and how to connect to it.
+// benchTarget is a server to measure, and how to connect to it.
 type benchTarget struct {
 	name    string
 	address string
 	secure  *tls.Config // nil without TLS
 }
 
-// exchange sends one request over c and reads its answer.
+// exchange sends one request over c and reads its response.
 func exchange(c net.Conn) error {
 	if _, err := io.WriteString(c, benchRequest); err != nil {
 		return err
 	}
-	answer := make([]byte, len(benchAnswer))
-	_, err := io.ReadFull(c, answer)
+	response := make([]byte, len(benchResponse))
+	_, err := io.ReadFull(c, response)
 	return err
 }
 
@@ -51,12 +51,12 @@
 	return plain, wire
 }
 
-// benchTargets starts the server without and with TLS and, to compare, a
-// goroutine per connection that reads with crypto/tls and answers any request
-// without a guard or a parser.
+// benchTargets starts the server without and with TLS and, for comparison, a server
+// with one goroutine per connection that reads through crypto/tls and responds to
+// any request without a framing check or a parser.
 func benchTargets(b *testing.B) []benchTarget {
 	b.Helper()
-	sec := newSecured(b)
+	sec := newTLSSetup(b)
 	client := &tls.Config{RootCAs: sec.client.RootCAs, ServerName: "entry"}
 	handler := handlerFunc(func(context.Context, *Request) *Response {
 		return &Response{Status: http.StatusOK, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte("ok")}
@@ -96,7 +96,7 @@
 					if _, err := io.ReadFull(c, request); err != nil {
 						return
 					}
-					if _, err := io.WriteString(c, benchAnswer); err != nil {
+					if _, err := io.WriteString(c, benchResponse); err != nil {
 						return
 					}
 				}
@@ -106,8 +106,8 @@
 	return ln.Addr().String()
 }
 
-// BenchmarkLatency sends one request to each target in turn and reports the
-// quantiles of each. The caller's encryption is included.
+// BenchmarkLatency sends one request to each target in turn and reports latency
+// quantiles for each. The client's encryption is included.
 func BenchmarkLatency(b *testing.B) {
 	targets := benchTargets(b)
 	took := make([][]time.Duration, len(targets))
@@ -134,8 +134,8 @@
 	}
 }
 
-// BenchmarkHandshakes makes a connection and one request on it, from as many
-// callers as processors; callers and server share the processors.
+// BenchmarkHandshakes makes connections with one request each, from as many clients
+// as processors; clients and server share the processors.
 func BenchmarkHandshakes(b *testing.B) {
 	for _, t := range benchTargets(b) {
 		b.Run(t.name, func(b *testing.B) {
@@ -150,8 +150,8 @@
 	}
 }
 
-// BenchmarkIdleMemory reports what the server's side of an idle connection
-// takes after one request: the callers keep only their sockets.
+// BenchmarkIdleMemory reports the server's memory for an idle connection after one
+// request: the clients retain only their sockets.
 func BenchmarkIdleMemory(b *testing.B) {
 	const connections = 2000
 	targets := benchTargets(b)
@@ -177,7 +177,7 @@
 	}
 }
 
-// warm makes a connection, sends a request with a body if it is not empty, and
+// warm makes a connection, sends a request with a body if bodyBytes is not zero, and
 // returns the socket.
 func (t benchTarget) warm(b *testing.B, bodyBytes int) net.Conn {
 	c, wire := t.connect(b)
@@ -188,14 +188,14 @@
 	if _, err := io.WriteString(c, request); err != nil {
 		b.Fatal(err)
 	}
-	if _, err := io.ReadFull(c, make([]byte, len(benchAnswer))); err != nil {
+	if _, err := io.ReadFull(c, make([]byte, len(benchResponse))); err != nil {
 		b.Fatal(err)
 	}
 	return wire
 }
 
 func memoryInUse() int64 {
-	for range 3 { // pools keep what they hold for two collections
+	for range 3 { // a sync.Pool retains its items for two collections
 		runtime.GC()
 	}
 	var m runtime.MemStats
@@ -203,10 +203,10 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkBulkOverTLS sends a megabyte and takes it back.
+// BenchmarkBulkOverTLS sends a body of 1 MiB, which the server echoes.
 func BenchmarkBulkOverTLS(b *testing.B) {
 	const size = 1 << 20
-	sec := newSecured(b)
+	sec := newTLSSetup(b)
 	s := NewServer(ServerConfig{Address: "127.0.0.1:0", MaxBodyBytes: testMaxBody, TLS: sec.server,
 		Handler: handlerFunc(func(_ context.Context, r *Request) *Response { return &Response{Status: 200, Body: r.Body} })})
 	if err := s.Start(); err != nil {
--- a/internal/httpwire/tls_test.go
+++ b/internal/httpwire/tls_test.go
@@ -16,17 +16,17 @@
 	"github.com/matryer/is"
 )
 
-// secured is a server's TLS settings and the matching ones of its callers.
-type secured struct {
+// tlsSetup holds a server's TLS configuration and a matching client configuration.
+type tlsSetup struct {
 	authority *authority
 	server    *tls.Config
 	client    *tls.Config
 }
 
-func newSecured(t testing.TB) *secured {
+func newTLSSetup(t testing.TB) *tlsSetup {
 	t.Helper()
 	a := newAuthority(t)
-	return &secured{
+	return &tlsSetup{
 		authority: a,
 		server: &tls.Config{
 			MinVersion: tls.VersionTLS12, NextProtos: []string{"http/1.1"}, DynamicRecordSizingDisabled: true,
@@ -36,10 +36,10 @@
 	}
 }
 
-func (s *secured) set(c *ServerConfig) { c.TLS = s.server }
+func (s *tlsSetup) set(c *ServerConfig) { c.TLS = s.server }
 
-// dial makes a connection with its handshake.
-func (s *secured) dial(t *testing.T, server *Server) *caller {
+// dial makes a connection and completes the handshake.
+func (s *tlsSetup) dial(t *testing.T, server *Server) *testClient {
 	t.Helper()
 	conn, err := tls.Dial("tcp", server.Addr(), s.client)
 	if err != nil {
@@ -47,11 +47,11 @@
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(testWait))
-	return &caller{conn, bufio.NewReader(conn)}
+	return &testClient{conn, bufio.NewReader(conn)}
 }
 
 func TestRefusalsOverTLS(t *testing.T) {
-	sec := newSecured(t)
+	sec := newTLSSetup(t)
 	checkRefusals(t, sec.dial, sec.set)
 }
 
@@ -60,7 +60,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var served atomic.Int64
-			sec := newSecured(t)
+			sec := newTLSSetup(t)
 			sec.client.MaxVersion = version
 			c := sec.dial(t, startServer(t, echo(&served), sec.set))
 			is.Equal(c.Conn.(*tls.Conn).ConnectionState().NegotiatedProtocol, "http/1.1")
@@ -71,7 +71,7 @@
 					_, err := io.WriteString(c, "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: "+strconv.Itoa(size)+"\r\n\r\n"+string(body))
 					sent <- err
 				}()
-				resp, got := c.answer(t, "POST")
+				resp, got := c.readResponse(t, "POST")
 				is.NoErr(<-sent)
 				is.Equal(resp.StatusCode, http.StatusOK)
 				is.True(bytes.Equal(got, body))
@@ -81,90 +81,90 @@
 	}
 }
 
-func TestExpectationAndPipeliningOverTLS(t *testing.T) {
+func TestExpectContinueAndPipeliningOverTLS(t *testing.T) {
 	is := is.New(t)
 	var served atomic.Int64
-	sec := newSecured(t)
+	sec := newTLSSetup(t)
 	c := sec.dial(t, startServer(t, echo(&served), sec.set))
 	c.send(t, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n")
-	resp, _ := c.answer(t, "POST")
+	resp, _ := c.readResponse(t, "POST")
 	is.Equal(resp.StatusCode, http.StatusContinue)
 	c.send(t, "okGET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\n")
-	_, body := c.answer(t, "POST")
+	_, body := c.readResponse(t, "POST")
 	is.Equal(string(body), "ok")
 	for _, path := range []string{"/1", "/2"} {
-		resp, _ := c.answer(t, "GET")
+		resp, _ := c.readResponse(t, "GET")
 		is.Equal(resp.Header.Get("X-Path"), path)
 	}
 }
 
 func TestNextRequestBesideTheAnswerOverTLS(t *testing.T) {
 	var served atomic.Int64
-	sec := newSecured(t)
-	nextRequestBesideTheAnswer(t, startServer(t, echo(&served), sec.set), sec.dial)
+	sec := newTLSSetup(t)
+	testNextRequestDuringResponse(t, startServer(t, echo(&served), sec.set), sec.dial)
 }
 
 func TestDisconnectCancelsOverTLS(t *testing.T) {
 	is := is.New(t)
-	began, ended := make(chan struct{}), make(chan struct{})
-	sec := newSecured(t)
+	started, ended := make(chan struct{}), make(chan struct{})
+	sec := newTLSSetup(t)
 	s := startServer(t, handlerFunc(func(ctx context.Context, _ *Request) *Response {
-		close(began)
+		close(started)
 		<-ctx.Done()
 		close(ended)
 		return &Response{Status: http.StatusOK}
 	}), sec.set)
 	c := sec.dial(t, s)
 	c.send(t, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-	<-began
+	<-started
 	is.NoErr(c.Close())
 	select {
 	case <-ended:
 	case <-time.After(testWait):
-		t.Fatal("not cancelled")
+		t.Fatal("the context was not cancelled")
 	}
 }
 
-func TestPlannedStopOverTLS(t *testing.T) {
+func TestGracefulShutdownOverTLS(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
-	began := make(chan struct{})
-	sec := newSecured(t)
+	started := make(chan struct{})
+	sec := newTLSSetup(t)
 	s := startServer(t, handlerFunc(func(context.Context, *Request) *Response {
-		close(began)
+		close(started)
 		<-release
 		return &Response{Status: http.StatusOK, Body: bytes.Repeat([]byte("x"), 1<<20)}
 	}), sec.set)
 	idle, busy := sec.dial(t, s), sec.dial(t, s)
 	busy.send(t, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-	<-began
+	<-started
 	left := make(chan int64, 1)
 	go func() { left <- s.Shutdown(context.Background(), 0) }()
-	is.True(idle.atEnd())
+	is.True(idle.atEOF())
 	close(release)
-	resp, body := busy.answer(t, "GET")
+	resp, body := busy.readResponse(t, "GET")
 	is.True(resp.Close)
 	is.Equal(len(body), 1<<20)
-	is.True(busy.atEnd())
+	is.True(busy.atEOF())
 	is.Equal(<-left, int64(0))
 }
 
-func TestPlainHTTPOnAPortForTLS(t *testing.T) {
+func TestPlainHTTPOnTLSPort(t *testing.T) {
 	is := is.New(t)
 	var served atomic.Int64
-	sec := newSecured(t)
+	sec := newTLSSetup(t)
 	s := startServer(t, echo(&served), sec.set)
 	c := dial(t, s)
 	c.send(t, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-	resp, body := c.answer(t, "GET")
+	resp, body := c.readResponse(t, "GET")
 	is.Equal(resp.StatusCode, http.StatusBadRequest)
 	is.Equal(resp.Header.Get("Dapplespindle-Outcome"), "not-run")
 	is.True(strings.Contains(string(body), "plain HTTP"))
-	is.True(c.atEnd())
+	is.True(c.atEOF())
 
 	c = dial(t, s)
 	c.send(t, "SSH-2.0-neither\r\n")
-	_, err := io.ReadAll(c) // an alert, and the end
+	_, err := io.ReadAll(c) // an alert, then EOF
 	is.NoErr(err)
 	is.Equal(served.Load(), int64(0))
 }
@@ -174,7 +174,7 @@
 	for name, sent := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			sec := newSecured(t)
+			sec := newTLSSetup(t)
 			var served atomic.Int64
 			s := startServer(t, echo(&served), func(c *ServerConfig) {
 				sec.set(c)
@@ -182,7 +182,7 @@
 			})
 			c := dial(t, s)
 			c.send(t, sent)
-			is.True(c.atEnd())
+			is.True(c.atEOF())
 			for s.Connections() != 0 {
 				time.Sleep(time.Millisecond)
 			}
@@ -190,8 +190,8 @@
 	}
 }
 
-func TestHandshakesThatAreRefused(t *testing.T) {
-	sec := newSecured(t)
+func TestFailedHandshakes(t *testing.T) {
+	sec := newTLSSetup(t)
 	stranger := newAuthority(t)
 	mutual := sec.server.Clone()
 	mutual.ClientAuth, mutual.ClientCAs = tls.RequireAndVerifyClientCert, sec.authority.pool()
@@ -242,20 +242,20 @@
 	}
 }
 
-// TestBytesBehindTheHandshake sends a request with the handshake's last flight,
-// in small pieces, from several callers at once.
-func TestBytesBehindTheHandshake(t *testing.T) {
+// TestBytesAfterTheHandshake sends a request right after the client's last handshake
+// message, in many TLS records, from several clients at once.
+func TestBytesAfterTheHandshake(t *testing.T) {
 	var served atomic.Int64
-	sec := newSecured(t)
+	sec := newTLSSetup(t)
 	s := startServer(t, echo(&served), sec.set)
-	const callers, size = 16, 300 << 10
-	for range callers {
-		t.Run("caller", func(t *testing.T) {
+	const clients, size = 16, 300 << 10
+	for range clients {
+		t.Run("client", func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			c := sec.dial(t, s)
 			c.send(t, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: "+strconv.Itoa(size)+"\r\n\r\n"+strings.Repeat("z", size))
-			_, body := c.answer(t, "POST")
+			_, body := c.readResponse(t, "POST")
 			is.Equal(len(body), size)
 		})
 	}
--- a/internal/httpwire/workers.go
+++ b/internal/httpwire/workers.go
@@ -8,49 +8,49 @@
 	req  *Request
 }
 
-// maxParkedWorkers bounds the goroutines that wait for a request. Each holds a
-// stack of some kilobytes.
-const maxParkedWorkers = 256
+// maxIdleWorkers bounds the goroutines that wait for a request. Each holds a
+// stack of a few kilobytes.
+const maxIdleWorkers = 256
 
-// workers serves each request on a goroutine of its own, and takes one that
-// has served before where one is parked: its stack has already grown. Nothing
+// workerPool serves each request on a goroutine of its own. It prefers an idle
+// goroutine that has served before, whose stack has already grown. A request never
 // waits for a worker; more are started as needed.
-type workers struct {
+type workerPool struct {
 	serve func(*serverConn, *Request)
 
 	mu      sync.Mutex
-	parked  []chan job // the one parked last is taken first
+	idle    []chan job // used as a stack: last in, first out
 	stopped bool
 }
 
 // start serves the request on another goroutine.
-func (w *workers) start(j job) {
-	if parked := w.take(); parked != nil {
-		parked <- j
+func (w *workerPool) start(j job) {
+	if jobs := w.popIdle(); jobs != nil {
+		jobs <- j
 		return
 	}
-	go w.work(j)
+	go w.run(j)
 }
 
-// take returns the channel of a parked worker, or nil. It has room for a job.
-func (w *workers) take() chan job {
+// popIdle returns the channel of an idle worker, or nil. The channel has room for a job.
+func (w *workerPool) popIdle() chan job {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	last := len(w.parked) - 1
+	last := len(w.idle) - 1
 	if last < 0 {
 		return nil
 	}
-	jobs := w.parked[last]
-	w.parked[last] = nil
-	w.parked = w.parked[:last]
+	jobs := w.idle[last]
+	w.idle[last] = nil
+	w.idle = w.idle[:last]
 	return jobs
 }
 
-// work serves a request and then those that it is handed while parked.
-func (w *workers) work(j job) {
+// run serves a request, and then those that it receives while idle.
+func (w *workerPool) run(j job) {
 	w.serve(j.conn, j.req)
 	jobs := make(chan job, 1)
-	for w.park(jobs) {
+	for w.pushIdle(jobs) {
 		next, ok := <-jobs
 		if !ok {
 			return
@@ -59,24 +59,25 @@
 	}
 }
 
-// park offers a worker for the next request; false if there are enough.
-func (w *workers) park(jobs chan job) bool {
+// pushIdle makes a worker available for further requests. It returns false if there
+// are enough idle workers, or if the pool was stopped.
+func (w *workerPool) pushIdle(jobs chan job) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.stopped || len(w.parked) >= maxParkedWorkers {
+	if w.stopped || len(w.idle) >= maxIdleWorkers {
 		return false
 	}
-	w.parked = append(w.parked, jobs)
+	w.idle = append(w.idle, jobs)
 	return true
 }
 
-// stop ends the parked workers; the others end with their request.
-func (w *workers) stop() {
+// stop ends the idle workers; the others end when their request is served.
+func (w *workerPool) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopped = true
-	for _, jobs := range w.parked {
+	for _, jobs := range w.idle {
 		close(jobs)
 	}
-	w.parked = nil
+	w.idle = nil
 }
--- a/internal/httpwire/workers_test.go
+++ b/internal/httpwire/workers_test.go
@@ -10,27 +10,27 @@
 
 const workersTestWait = 5 * time.Second
 
-// parkedWorkers waits until n workers are parked.
-func parkedWorkers(t *testing.T, w *workers, n int) {
+// waitForIdleWorkers waits until n workers are idle.
+func waitForIdleWorkers(t *testing.T, w *workerPool, n int) {
 	t.Helper()
 	for end := time.Now().Add(workersTestWait); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		w.mu.Lock()
-		parked := len(w.parked)
+		idle := len(w.idle)
 		w.mu.Unlock()
-		if parked == n {
+		if idle == n {
 			return
 		}
 	}
-	t.Fatalf("not %d workers parked", n)
+	t.Fatalf("timed out waiting for %d idle workers", n)
 }
 
-func TestWorkersServeEachRequestOnceAndNoneWaits(t *testing.T) {
+func TestWorkersServeEachRequestOnceWithoutWaiting(t *testing.T) {
 	is := is.New(t)
-	const requests = 2 * maxParkedWorkers
+	const requests = 2 * maxIdleWorkers
 	var mu sync.Mutex
 	served := make(map[*Request]int)
 	var all sync.WaitGroup
-	w := &workers{}
+	w := &workerPool{}
 	for range 2 {
 		all.Add(requests)
 		release := make(chan struct{})
@@ -38,7 +38,7 @@
 		running.Add(requests)
 		w.serve = func(_ *serverConn, req *Request) {
 			running.Done()
-			<-release // all requests are served at the same time
+			<-release // all requests are served concurrently
 			mu.Lock()
 			served[req]++
 			mu.Unlock()
@@ -50,13 +50,13 @@
 		running.Wait()
 		close(release)
 		all.Wait()
-		parkedWorkers(t, w, maxParkedWorkers)
+		waitForIdleWorkers(t, w, maxIdleWorkers)
 	}
 	is.Equal(len(served), 2*requests)
 	for _, times := range served {
 		is.Equal(times, 1)
 	}
 	w.stop()
-	parkedWorkers(t, w, 0)
-	is.True(!w.park(make(chan job, 1))) // none is parked after the stop
+	waitForIdleWorkers(t, w, 0)
+	is.True(!w.pushIdle(make(chan job, 1))) // no worker is kept after the stop
 }
--- a/internal/httpwire/write.go
+++ b/internal/httpwire/write.go
@@ -16,9 +16,9 @@
 
 var bufferPool = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// maxJoined is the largest body that is copied behind its head, so that both
-// are written in one call, in bytes.
-const maxJoined = 32 << 10
+// maxCoalescedBody is the largest body that is copied after its head, so that both
+// are written in one system call, in bytes.
+const maxCoalescedBody = 32 << 10
 
 func newBuffer() *bytes.Buffer {
 	buf := bufferPool.Get().(*bytes.Buffer)
@@ -28,8 +28,8 @@
 
 func releaseBuffer(buf *bytes.Buffer) { bufferPool.Put(buf) }
 
-// encodeResponse returns the head of resp, with a small body behind it, and
-// the body if it is large.
+// encodeResponse returns a buffer with the head of resp, followed by the body if it
+// is small. A large body is returned separately.
 func encodeResponse(req *Request, resp *Response) (*bytes.Buffer, []byte) {
 	buf := newBuffer()
 	buf.WriteString("HTTP/1.1 ")
@@ -55,12 +55,12 @@
 	}
 	writeLength(buf, int64(len(resp.Body)))
 	buf.WriteString("\r\n")
-	return buf, joinBody(buf, resp.Body)
+	return buf, appendSmallBody(buf, resp.Body)
 }
 
-// joinBody appends a small body to buf; it returns a large one.
-func joinBody(buf *bytes.Buffer, body []byte) []byte {
-	if len(body) > maxJoined {
+// appendSmallBody appends body to buf if it is small, and returns it otherwise.
+func appendSmallBody(buf *bytes.Buffer, body []byte) []byte {
+	if len(body) > maxCoalescedBody {
 		return body
 	}
 	buf.Write(body)
@@ -76,8 +76,8 @@
 	buf.WriteString("\r\n")
 }
 
-// WriteRequest writes req towards an upstream, without hop-by-hop headers. It
-// returns the size of the head in bytes, also with an error.
+// WriteRequest writes req to an upstream connection, without hop-by-hop headers. It
+// returns the size of the head in bytes, also when it fails.
 func WriteRequest(w io.Writer, req *Request) (int, error) {
 	buf := newBuffer()
 	defer releaseBuffer(buf)
@@ -93,7 +93,7 @@
 	}
 	buf.WriteString("\r\n")
 	head := buf.Len()
-	rest := joinBody(buf, req.Body)
+	rest := appendSmallBody(buf, req.Body)
 	if _, err := w.Write(buf.Bytes()); err != nil || len(rest) == 0 {
 		return head, err
 	}
@@ -101,8 +101,8 @@
 	return head, err
 }
 
-// writeHeader writes h without the headers that the connection sets itself.
-// A value that would end its line is left out.
+// writeHeader writes h without the headers that the connection sets itself. Values
+// that contain a line break are left out, since they would inject further headers.
 func writeHeader(buf *bytes.Buffer, h http.Header) {
 	for key, values := range h {
 		switch key {
@@ -121,7 +121,7 @@
 	}
 }
 
-// writeResponse writes resp and waits until the kernel has taken all of it.
+// writeResponse writes resp and waits until the kernel has accepted all of it.
 func (c *serverConn) writeResponse(req *Request, resp *Response) error {
 	head, body := encodeResponse(req, resp)
 	defer releaseBuffer(head)
@@ -134,9 +134,9 @@
 	return c.flush()
 }
 
-// write sends b or queues it. The library's vectored write loses bytes on a
-// partial write (it queues only the buffer that was cut), so each buffer has
-// its own call.
+// write sends or queues b, encrypted if the connection uses TLS. Each buffer is
+// written by a separate call because the library's vectored write loses bytes on a
+// partial write: it queues only the buffer that was cut.
 func (c *serverConn) write(b []byte) error {
 	if len(b) == 0 {
 		return nil
@@ -147,7 +147,7 @@
 	return c.writeRaw(b)
 }
 
-// writeRaw sends or queues what goes over the wire.
+// writeRaw sends or queues b as it is.
 func (c *serverConn) writeRaw(b []byte) error {
 	queued := c.unwritten.Add(int64(len(b))) != int64(len(b))
 	return socket.Write(c.conn, b, queued, c)
@@ -164,10 +164,10 @@
 	}
 }
 
-var errWriteTimeout = errors.New("answer not taken in time")
+var errWriteTimeout = errors.New("response not written within the write timeout")
 
-// flush waits until every byte is with the kernel: a close before that would
-// cut the answer off.
+// flush waits until the kernel has accepted every byte; a close before that would
+// truncate the response.
 func (c *serverConn) flush() error {
 	if c.unwritten.Load() == 0 {
 		return nil
