--- a/internal/httpwire/framing/chars.go
+++ b/internal/httpwire/framing/chars.go
@@ -13,8 +13,8 @@
 	return &set
 }
 
-// holds reports whether every byte of b is in the set.
-func (set *charset) holds(b []byte) bool {
+// containsAll reports whether every byte of b is in the set.
+func (set *charset) containsAll(b []byte) bool {
 	for _, c := range b {
 		if !set[c] {
 			return false
@@ -30,13 +30,13 @@
 
 var (
 	digitChars = charsetOf(digits)
-	// tokenChars may stand in a header name.
+	// tokenChars are allowed in a header name.
 	tokenChars = charsetOf(digits + letters + "!#$%&'*+-.^_`|~")
-	// hostChars may stand in a Host header: names, IP literals and a port.
+	// hostChars are allowed in a Host header: names, IP literals and a port.
 	hostChars = charsetOf(digits + letters + "-._~!$&'()*+;=:[]%")
-	// valueChars may stand in a header value: no control character but tab.
+	// valueChars are allowed in a header value: no control character except tab.
 	valueChars = charsetOf("\t" + charRange(0x20, 0x7e) + charRange(0x80, 0xff))
-	// targetChars may stand in a request target.
+	// targetChars are allowed in a request target.
 	targetChars = charsetOf(strings.ReplaceAll(charRange(0x21, 0x7e), "#", ""))
 )
 
@@ -48,7 +48,7 @@
 	return string(b)
 }
 
-// equalFold reports whether b is s, which is in lower case, in any case.
+// equalFold reports whether b equals s, ignoring the case of b. s must be in lower case.
 func equalFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
--- a/internal/httpwire/framing/chunk.go
+++ b/internal/httpwire/framing/chunk.go
@@ -5,11 +5,11 @@
 const (
 	// maxChunkDigits bounds a chunk size, leading zeros included.
 	maxChunkDigits = 8
-	// maxChunkLine bounds a chunk size with its extensions, in bytes.
+	// maxChunkLine bounds a chunk size line, extensions included, in bytes.
 	maxChunkLine = 256
 )
 
-// chunkLine reads "size[;extensions]".
+// chunkLine examines a line "size[;extensions]".
 func (s *Scanner) chunkLine(buf []byte) (bool, *Error) {
 	start := s.pos
 	line, ok, err := s.line(buf)
@@ -25,7 +25,7 @@
 	if len(line) > maxChunkLine {
 		return false, malformed("chunk size line too long")
 	}
-	size, err := chunkSize(line)
+	size, err := parseChunkSize(line)
 	if err != nil {
 		return false, err
 	}
@@ -34,7 +34,7 @@
 
 func (s *Scanner) startChunk(size int) *Error {
 	if size == 0 {
-		s.trailer = s.pos
+		s.trailerStart = s.pos
 		s.stage = stageTrailer
 		return nil
 	}
@@ -42,16 +42,16 @@
 	if s.body+size > s.limits.BodyBytes || encoded > chunkedOverhead*s.limits.BodyBytes+maxChunkLine {
 		return &Error{BodyTooLarge, "chunked body over the limit"}
 	}
-	s.chunk = size
+	s.chunkSize = size
 	s.stage = stageChunkData
 	return nil
 }
 
-func chunkSize(line []byte) (int, *Error) {
+func parseChunkSize(line []byte) (int, *Error) {
 	hex := line
 	if i := bytes.IndexByte(line, ';'); i >= 0 {
 		hex = line[:i]
-		if !valueChars.holds(line[i:]) {
+		if !valueChars.containsAll(line[i:]) {
 			return 0, malformed("control character in a chunk extension")
 		}
 	}
@@ -81,9 +81,9 @@
 	return 0, false
 }
 
-// chunkData moves behind a chunk and the CRLF that ends it.
+// chunkData skips the data of a chunk and the CRLF that ends it.
 func (s *Scanner) chunkData(buf []byte) (bool, *Error) {
-	end := s.pos + s.chunk
+	end := s.pos + s.chunkSize
 	if len(buf) > end && buf[end] != '\r' {
 		return false, malformed("chunk without its end")
 	}
@@ -94,34 +94,34 @@
 		return false, malformed("chunk without its end")
 	}
 	s.pos = end + 2
-	s.body += s.chunk
+	s.body += s.chunkSize
 	s.stage = stageChunkSize
 	return true, nil
 }
 
-// trailerLine checks one trailer field. Trailers are dropped: the parser is
-// shown an empty trailer section.
+// trailerLine checks one line of the trailer section. Trailers are dropped: the
+// parser gets an empty trailer section.
 func (s *Scanner) trailerLine(buf []byte) (bool, *Error) {
 	start := s.pos
 	line, ok, err := s.line(buf)
 	if err != nil {
 		return false, err
 	}
-	if len(buf)-s.trailer > s.limits.HeadBytes && (!ok || s.pos-s.trailer > s.limits.HeadBytes) {
+	if len(buf)-s.trailerStart > s.limits.HeadBytes && (!ok || s.pos-s.trailerStart > s.limits.HeadBytes) {
 		return false, &Error{HeadTooLarge, "trailers over the limit"}
 	}
 	if !ok {
 		return false, nil
 	}
 	if len(line) == 0 {
-		if start > s.trailer {
-			s.hidden = append(s.hidden, span{s.trailer, start})
+		if start > s.trailerStart {
+			s.omitted = append(s.omitted, span{s.trailerStart, start})
 		}
 		s.stage = stageDone
 		return true, nil
 	}
 	colon := bytes.IndexByte(line, ':')
-	if colon <= 0 || !tokenChars.holds(line[:colon]) || !valueChars.holds(line[colon+1:]) {
+	if colon <= 0 || !tokenChars.containsAll(line[:colon]) || !valueChars.containsAll(line[colon+1:]) {
 		return false, malformed("malformed trailer")
 	}
 	return true, nil
--- a/internal/httpwire/framing/framing.go
+++ b/internal/httpwire/framing/framing.go
@@ -1,12 +1,13 @@
-// Package framing decides where an HTTP/1.x message ends, and refuses every
-// message on whose end two readers could disagree.
+// Package framing finds the end of HTTP/1.x messages, and refuses every message
+// whose end two implementations could see in different places, to prevent request
+// smuggling.
 //
-// It does no I/O and keeps no bytes: the caller collects them and asks a
-// Scanner, which remembers how far it has looked. A message that the Scanner
-// passes is then given to the HTTP library's parser whole, by Feed.
+// It does no I/O and stores no message bytes: the calling code buffers them and
+// passes the buffer to a Scanner, which remembers how far it has examined it. Feed
+// then gives a message that the Scanner accepts to the HTTP library's parser.
 package framing
 
-// Limits bounds one message.
+// Limits bounds the size of a message.
 type Limits struct {
 	// HeadBytes bounds the start line and the headers, in bytes.
 	HeadBytes int
@@ -15,19 +16,18 @@
 }
 
 // chunkedOverhead bounds the encoded size of a chunked body, as a multiple of
-// Limits.BodyBytes, so that one-byte chunks cannot multiply the memory held.
+// Limits.BodyBytes. Without it, one-byte chunks could use a multiple of that memory.
 const chunkedOverhead = 2
 
-// MessageBytes returns a size that no message within the limits exceeds, in
-// bytes: its head, its body in chunks, and trailers.
-func (l Limits) MessageBytes() int {
+// MaxMessageBytes returns an upper bound for the encoded size of a message within the
+// limits, in bytes: head, chunked body and trailers.
+func (l Limits) MaxMessageBytes() int {
 	return 2*l.HeadBytes + chunkedOverhead*l.BodyBytes + 2*maxChunkLine
 }
 
-// Fault says which rule a message broke.
+// Fault is the kind of rule that a message violates.
 type Fault uint8
 
-// The faults.
 const (
 	// Malformed is a message that breaks the syntax or the framing rules.
 	Malformed Fault = iota + 1
@@ -37,11 +37,11 @@
 	BodyTooLarge
 )
 
-// Error is a refused message.
+// Error describes why a message is refused.
 type Error struct {
-	// Fault is the rule that was broken.
+	// Fault is the rule that is violated.
 	Fault Fault
-	// Detail names the place, for logs and for the caller.
+	// Detail describes the violation, for logs and for the client.
 	Detail string
 }
 
@@ -50,7 +50,7 @@
 
 func malformed(detail string) *Error { return &Error{Fault: Malformed, Detail: detail} }
 
-// Head is what the head of a message says about its framing.
+// Head holds what the head of a message declares about its framing.
 type Head struct {
 	// Minor is the minor version, 0 or 1.
 	Minor int
@@ -62,17 +62,17 @@
 	ContentLength int64
 	// Chunked is true when the body is chunked.
 	Chunked bool
-	// UntilClose is true when the body of an answer ends with the connection.
+	// UntilClose is true when the body of a response ends with the connection.
 	UntilClose bool
-	// KeepAliveFor is the idle time that the other side announces, in seconds; 0
-	// if it announces none.
+	// KeepAliveFor is the idle timeout that the peer announces in Keep-Alive, in
+	// seconds; 0 if it announces none.
 	KeepAliveFor int
 	// Close and KeepAlive are the options of the Connection header.
 	Close, KeepAlive bool
 	// ExpectContinue is true when the sender waits for 100 Continue.
 	ExpectContinue bool
 
-	hosts int
+	hostCount int
 }
 
 // Persistent reports whether the connection may carry another message.
--- a/internal/httpwire/framing/header.go
+++ b/internal/httpwire/framing/header.go
@@ -5,14 +5,14 @@
 	"strconv"
 )
 
-// header checks one header line and notes what concerns framing.
+// header checks one header line and records what is relevant to framing.
 func (s *Scanner) header(line []byte, at span) *Error {
 	colon := bytes.IndexByte(line, ':')
-	if colon <= 0 || !tokenChars.holds(line[:colon]) {
+	if colon <= 0 || !tokenChars.containsAll(line[:colon]) {
 		return malformed("malformed header name")
 	}
 	value := line[colon+1:]
-	if !valueChars.holds(value) {
+	if !valueChars.containsAll(value) {
 		return malformed("control character in a header value")
 	}
 	value = bytes.Trim(value, " \t")
@@ -23,7 +23,7 @@
 	case equalFold(name, "transfer-encoding"):
 		return s.transferEncoding(value, at)
 	case equalFold(name, "trailer"):
-		s.hidden = append(s.hidden, at)
+		s.omitted = append(s.omitted, at)
 	case equalFold(name, "connection"):
 		s.connection(value)
 	case equalFold(name, "keep-alive"):
@@ -37,14 +37,14 @@
 	return nil
 }
 
-// maxLengthDigits keeps a Content-Length inside an int64.
-const maxLengthDigits = 18
+// maxContentLengthDigits ensures that a Content-Length fits an int64.
+const maxContentLengthDigits = 18
 
 func (s *Scanner) contentLength(value []byte, at span) *Error {
 	if s.head.ContentLength >= 0 {
 		return malformed("more than one Content-Length")
 	}
-	if len(value) == 0 || len(value) > maxLengthDigits || !digitChars.holds(value) {
+	if len(value) == 0 || len(value) > maxContentLengthDigits || !digitChars.containsAll(value) {
 		return malformed("malformed Content-Length")
 	}
 	n := int64(0)
@@ -52,7 +52,7 @@
 		n = n*10 + int64(c-'0')
 	}
 	s.head.ContentLength = n
-	s.hideIfBodyless(at)
+	s.omitIfNoBody(at)
 	return nil
 }
 
@@ -64,14 +64,15 @@
 		return malformed("unknown Transfer-Encoding")
 	}
 	s.head.Chunked = true
-	s.hideIfBodyless(at)
+	s.omitIfNoBody(at)
 	return nil
 }
 
-// hideIfBodyless keeps a length from the parser, which would wait for a body.
-func (s *Scanner) hideIfBodyless(at span) {
-	if s.bodyless() {
-		s.hidden = append(s.hidden, at)
+// omitIfNoBody hides the header line at the given span from the parser if the message
+// has no body: the parser would wait for one.
+func (s *Scanner) omitIfNoBody(at span) {
+	if s.hasNoBody() {
+		s.omitted = append(s.omitted, at)
 	}
 }
 
@@ -88,11 +89,11 @@
 }
 
 func (s *Scanner) host(value []byte) *Error {
-	s.head.hosts++
-	if s.head.hosts > 1 {
+	s.head.hostCount++
+	if s.head.hostCount > 1 {
 		return malformed("more than one Host header")
 	}
-	if len(value) == 0 || !hostChars.holds(value) {
+	if len(value) == 0 || !hostChars.containsAll(value) {
 		return malformed("malformed Host header")
 	}
 	return nil
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// keepAliveTimeout returns the whole seconds of "timeout=N", or 0. The value is
-// advice: what can't be read is ignored.
+// keepAliveTimeout returns the seconds of "timeout=N", or 0. The value is only a hint,
+// so malformed values are ignored.
 func keepAliveTimeout(value []byte) int {
 	for part := range bytes.SplitSeq(value, []byte(",")) {
 		name, number, ok := bytes.Cut(bytes.Trim(part, " \t"), []byte("="))
--- a/internal/httpwire/framing/scanner.go
+++ b/internal/httpwire/framing/scanner.go
@@ -2,13 +2,13 @@
 
 import "bytes"
 
-// stage is the part of a message that comes next.
+// stage is the part of a message that is expected next.
 type stage uint8
 
 const (
 	stageStartLine stage = iota
 	stageHeader
-	stageSized
+	stageFixedLength
 	stageChunkSize
 	stageChunkData
 	stageTrailer
@@ -16,46 +16,46 @@
 	stageDone
 )
 
-// Scanner looks for the end of one message. The zero value is not usable; it
-// is not safe for concurrent use.
+// Scanner finds the end of one message. The zero value is not usable; call
+// ResetRequest or ResetResponse first. A Scanner is not safe for concurrent use.
 type Scanner struct {
 	limits Limits
 	kind   kind
 	stage  stage
 	head   Head
-	// pos is the first byte that was not examined yet.
+	// pos is the offset of the first byte that has not been examined.
 	pos int
-	// seen is how far a line feed was looked for.
-	seen int
+	// searched is the offset up to which the buffer was searched for a line feed.
+	searched int
 	// body counts the decoded body bytes.
 	body int
-	// chunk is the size of the chunk at pos.
-	chunk int
-	// trailer is where the trailer section starts.
-	trailer int
-	// hidden are the parts that the parser must not see.
-	hidden []span
-	// statusLine replaces the status line that the parser would misread.
+	// chunkSize is the size of the chunk at pos.
+	chunkSize int
+	// trailerStart is the offset of the trailer section.
+	trailerStart int
+	// omitted are the parts that Feed does not give to the parser.
+	omitted []span
+	// statusLine replaces a status line that the parser would misread; nil otherwise.
 	statusLine []byte
 }
 
-// kind is what is being read.
+// kind is the kind of message being scanned.
 type kind uint8
 
 const (
 	kindRequest kind = iota
 	kindResponse
-	// kindHeadResponse is an answer to HEAD, which has no body.
+	// kindHeadResponse is a response to HEAD, which has no body.
 	kindHeadResponse
 )
 
-// span is a part of the message, in byte offsets.
+// span is a part of the message, as byte offsets.
 type span struct{ from, to int }
 
 // ResetRequest prepares s for a request.
 func (s *Scanner) ResetRequest(limits Limits) { s.reset(kindRequest, limits) }
 
-// ResetResponse prepares s for the answer to a request with the given method.
+// ResetResponse prepares s for the response to a request with the given method.
 func (s *Scanner) ResetResponse(method string, limits Limits) {
 	k := kindResponse
 	if method == "HEAD" {
@@ -68,24 +68,25 @@
 func (s *Scanner) Restart() { s.reset(s.kind, s.limits) }
 
 func (s *Scanner) reset(k kind, limits Limits) {
-	*s = Scanner{limits: limits, kind: k, hidden: s.hidden[:0]}
+	*s = Scanner{limits: limits, kind: k, omitted: s.omitted[:0]}
 	s.head.ContentLength = -1
 }
 
-// Head returns what the head says; it is complete once HeadDone is true.
+// Head returns what the head declares; it is complete once HeadDone returns true.
 func (s *Scanner) Head() *Head { return &s.head }
 
-// HeadDone reports whether the head is complete.
+// HeadDone reports whether the head has been received completely.
 func (s *Scanner) HeadDone() bool { return s.stage > stageHeader }
 
-// End returns the size of the message in bytes, once Scan has found it.
+// End returns the encoded size of the message in bytes, once Scan has found its end.
 func (s *Scanner) End() int { return s.pos }
 
-// BodyBytes returns the size of the decoded body, once Scan has found the end.
+// BodyBytes returns the size of the decoded body, once Scan has found the end of the
+// message.
 func (s *Scanner) BodyBytes() int { return s.body }
 
-// Scan examines buf, which holds the message from its first byte and may be
-// longer than at the last call. It reports whether the message is complete.
+// Scan examines buf, which must start with the first byte of the message and may have
+// grown since the last call. It reports whether the message is complete.
 func (s *Scanner) Scan(buf []byte) (bool, *Error) {
 	for s.stage != stageDone {
 		more, err := s.step(buf)
@@ -99,14 +100,14 @@
 	return true, nil
 }
 
-// step examines one line or one run of body bytes. It returns false when buf
-// ends before that.
+// step examines one line or one run of body bytes. It returns false when buf ends
+// before that is complete.
 func (s *Scanner) step(buf []byte) (bool, *Error) {
 	switch s.stage {
 	case stageStartLine, stageHeader:
 		return s.headLine(buf)
-	case stageSized:
-		return s.sizedBody(buf), nil
+	case stageFixedLength:
+		return s.fixedLengthBody(buf), nil
 	case stageChunkSize:
 		return s.chunkLine(buf)
 	case stageChunkData:
@@ -118,13 +119,13 @@
 	}
 }
 
-// line returns the line at pos without its CRLF and moves pos behind it.
+// line returns the line at pos without its CRLF and advances pos past it.
 func (s *Scanner) line(buf []byte) ([]byte, bool, *Error) {
 	start := s.pos
-	from := max(start, s.seen)
+	from := max(start, s.searched)
 	i := bytes.IndexByte(buf[from:], '\n')
 	if i < 0 {
-		s.seen = len(buf)
+		s.searched = len(buf)
 		return nil, false, nil
 	}
 	end := from + i
@@ -166,18 +167,18 @@
 	return s.responseLine(line)
 }
 
-// endOfHead decides how the body is framed.
+// endOfHead checks the complete head and determines how the body is framed.
 func (s *Scanner) endOfHead() *Error {
 	if err := s.checkHead(); err != nil {
 		return err
 	}
 	switch {
-	case s.bodyless():
+	case s.hasNoBody():
 		s.stage = stageDone
 	case s.head.Chunked:
 		s.stage = stageChunkSize
 	case s.head.ContentLength > 0:
-		s.stage = stageSized
+		s.stage = stageFixedLength
 	case s.head.ContentLength < 0 && s.kind != kindRequest:
 		if s.head.Minor == 1 && s.head.KeepAlive {
 			return malformed("answer whose end is not declared")
@@ -193,19 +194,19 @@
 func (s *Scanner) checkHead() *Error {
 	h := &s.head
 	switch {
-	case s.kind == kindRequest && h.Minor == 1 && h.hosts == 0:
+	case s.kind == kindRequest && h.Minor == 1 && h.hostCount == 0:
 		return malformed("no Host header")
 	case h.Chunked && h.ContentLength >= 0:
 		return malformed("Content-Length together with Transfer-Encoding")
 	case h.Chunked && h.Minor == 0:
 		return malformed("Transfer-Encoding in HTTP/1.0")
-	case !s.bodyless() && h.ContentLength > int64(s.limits.BodyBytes):
+	case !s.hasNoBody() && h.ContentLength > int64(s.limits.BodyBytes):
 		return &Error{BodyTooLarge, "declared body over the limit"}
 	}
 	return nil
 }
 
-// untilClose takes all that comes; Closed tells the end.
+// untilClose counts everything received as body; Closed ends the message.
 func (s *Scanner) untilClose(buf []byte) *Error {
 	s.pos = len(buf)
 	s.body = len(buf) - s.head.Bytes
@@ -215,7 +216,7 @@
 	return nil
 }
 
-// Closed tells s that the other side has ended the connection in order. It
+// Closed tells s that the peer has closed the connection in an orderly way. It
 // reports whether that completes the message.
 func (s *Scanner) Closed() bool {
 	if s.stage != stageUntilClose {
@@ -225,8 +226,8 @@
 	return true
 }
 
-// sizedBody moves to the end of a body of declared length.
-func (s *Scanner) sizedBody(buf []byte) bool {
+// fixedLengthBody skips a body of declared length.
+func (s *Scanner) fixedLengthBody(buf []byte) bool {
 	end := s.head.Bytes + int(s.head.ContentLength)
 	if len(buf) < end {
 		return false
@@ -237,8 +238,8 @@
 	return true
 }
 
-// Feed gives the message in buf to the HTTP library's parser, without the
-// parts that the parser misreads. It stops at the first error.
+// Feed gives the message in buf to parse, the HTTP library's parser, without the
+// parts that the parser would misread. It stops at the first error.
 func (s *Scanner) Feed(buf []byte, parse func([]byte) error) error {
 	from := 0
 	if s.statusLine != nil {
@@ -247,7 +248,7 @@
 		}
 		from = bytes.IndexByte(buf, '\n') + 1
 	}
-	for _, h := range s.hidden {
+	for _, h := range s.omitted {
 		if err := parse(buf[from:h.from]); err != nil {
 			return err
 		}
--- a/internal/httpwire/framing/scanner_test.go
+++ b/internal/httpwire/framing/scanner_test.go
@@ -15,9 +15,9 @@
 
 const host = "Host: a\r\n"
 
-// refused are requests that two readers could frame differently, or that are
-// over a limit.
-var refused = map[string]struct {
+// invalidRequests are requests that two implementations could frame differently, or
+// that exceed a limit.
+var invalidRequests = map[string]struct {
 	message string
 	fault   Fault
 }{
@@ -91,8 +91,8 @@
 
 const chunked = "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n"
 
-func TestRequestsRefused(t *testing.T) {
-	for name, test := range refused {
+func TestInvalidRequestsAreRefused(t *testing.T) {
+	for name, test := range invalidRequests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var whole, bytewise Scanner
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// passed are messages with a byte of the next one behind them.
-var passed = map[string]string{
+// validRequests are requests that must be accepted.
+var validRequests = map[string]string{
 	"no body":             "GET / HTTP/1.1\r\n" + host + "\r\n",
 	"version 1.0":         "GET / HTTP/1.0\r\n\r\n",
 	"options":             "OPTIONS * HTTP/1.1\r\n" + host + "\r\n",
@@ -132,8 +132,8 @@
 	"leading zeros chunk": chunked + "0001\r\nx\r\n000\r\n\r\n",
 }
 
-func TestRequestsPassed(t *testing.T) {
-	for name, message := range passed {
+func TestValidRequestsAreAccepted(t *testing.T) {
+	for name, message := range validRequests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var s Scanner
@@ -149,13 +149,13 @@
 	}
 }
 
-// FuzzRequest checks that what passes is one message to net/http too, with
-// the same end, body and framing.
+// FuzzRequest checks that net/http accepts every request that the Scanner accepts,
+// with the same end, body length and persistence.
 func FuzzRequest(f *testing.F) {
-	for _, message := range passed {
-		f.Add([]byte(message + passed["sized"]))
+	for _, message := range validRequests {
+		f.Add([]byte(message + validRequests["sized"]))
 	}
-	for _, test := range refused {
+	for _, test := range invalidRequests {
 		f.Add([]byte(test.message))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -187,9 +187,10 @@
 	is.Equal(req.Close, !s.Head().Persistent())
 }
 
-// FuzzResponse checks the same for answers.
+// FuzzResponse checks that net/http accepts every response that the Scanner accepts,
+// with the same end, body length and status.
 func FuzzResponse(f *testing.F) {
-	for _, message := range answers {
+	for _, message := range responses {
 		f.Add([]byte(message), false)
 		f.Add([]byte(message), true)
 	}
@@ -217,7 +218,7 @@
 	})
 }
 
-var answers = map[string]string{
+var responses = map[string]string{
 	"sized":           "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 	"no reason":       "HTTP/1.1 200 \r\nContent-Length: 2\r\n\r\nok",
 	"no space":        "HTTP/1.1 200\r\nContent-Length: 2\r\n\r\nok",
--- a/internal/httpwire/framing/startline.go
+++ b/internal/httpwire/framing/startline.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// methods are the methods that are served. CONNECT and TRACE are not: the
-// first asks for a tunnel, the second for an echo of the headers.
+// methods are the supported methods. CONNECT and TRACE are not supported: the first
+// requests a tunnel, the second an echo of the headers.
 var methods = map[string]bool{
 	"GET": true, "HEAD": true, "POST": true, "PUT": true,
 	"DELETE": true, "PATCH": true, "OPTIONS": true,
@@ -14,7 +14,7 @@
 
 const versionPrefix = "HTTP/1."
 
-func (s *Scanner) version(b []byte) *Error {
+func (s *Scanner) parseVersion(b []byte) *Error {
 	if len(b) != len(versionPrefix)+1 || string(b[:len(versionPrefix)]) != versionPrefix {
 		return malformed("unknown HTTP version")
 	}
@@ -37,49 +37,50 @@
 		return malformed("unknown method")
 	}
 	target := line[first+1 : last]
-	if !targetChars.holds(target) {
+	if !targetChars.containsAll(target) {
 		return malformed("malformed request target")
 	}
 	asterisk := string(target) == "*" && string(line[:first]) == "OPTIONS"
 	if !asterisk && (len(target) == 0 || target[0] != '/') {
 		return malformed("request target is not a path")
 	}
-	return s.version(line[last+1:])
+	return s.parseVersion(line[last+1:])
 }
 
 const (
-	statusDigits    = 3
-	statusOffset    = len("HTTP/1.1 ")
-	reasonOffset    = statusOffset + statusDigits
-	lowestStatus    = 100
-	highestStatus   = 599
-	statusSwitching = 101
+	statusDigits             = 3
+	statusOffset             = len("HTTP/1.1 ")
+	reasonOffset             = statusOffset + statusDigits
+	minStatus                = 100
+	maxStatus                = 599
+	statusSwitchingProtocols = 101
 )
 
 // responseLine checks "HTTP/1.x NNN reason".
 func (s *Scanner) responseLine(line []byte) *Error {
-	if len(line) < reasonOffset || line[statusOffset-1] != ' ' || !valueChars.holds(line) {
+	if len(line) < reasonOffset || line[statusOffset-1] != ' ' || !valueChars.containsAll(line) {
 		return malformed("malformed status line")
 	}
-	if err := s.version(line[:statusOffset-1]); err != nil {
+	if err := s.parseVersion(line[:statusOffset-1]); err != nil {
 		return err
 	}
 	code := line[statusOffset:reasonOffset]
-	if !digitChars.holds(code) || len(line) > reasonOffset && line[reasonOffset] != ' ' {
+	if !digitChars.containsAll(code) || len(line) > reasonOffset && line[reasonOffset] != ' ' {
 		return malformed("malformed status line")
 	}
 	for _, c := range code {
 		s.head.Status = s.head.Status*10 + int(c-'0')
 	}
-	if s.head.Status < lowestStatus || s.head.Status > highestStatus || s.head.Status == statusSwitching {
+	if s.head.Status < minStatus || s.head.Status > maxStatus || s.head.Status == statusSwitchingProtocols {
 		return malformed("status " + strconv.Itoa(s.head.Status) + " was not asked for")
 	}
 	s.replaceStatusLine(line)
 	return nil
 }
 
-// replaceStatusLine stands in for a reason phrase that the parser misreads:
-// it runs on into the headers when the phrase does not start with a letter.
+// replaceStatusLine sets a replacement for a status line that the parser would misread:
+// if the reason phrase does not start with a letter, the parser continues into the
+// headers.
 func (s *Scanner) replaceStatusLine(line []byte) {
 	if len(line) > reasonOffset+1 && isLetter(line[reasonOffset+1]) {
 		return
@@ -92,21 +93,22 @@
 	return 'a' <= c && c <= 'z'
 }
 
-// Statuses whose answers have no body.
+// Bounds and codes of the statuses without a body: interim responses, 204 and 304.
 const (
-	firstFinal        = 200
+	minFinalStatus    = 200
 	statusNoContent   = 204
 	statusNotModified = 304
 )
 
-// bodyless reports whether the answer ends with its head, whatever it declares.
-func (s *Scanner) bodyless() bool {
+// hasNoBody reports whether the message is a response that ends with its head,
+// whatever length it declares.
+func (s *Scanner) hasNoBody() bool {
 	switch s.kind {
 	case kindRequest:
 		return false
 	case kindHeadResponse:
 		return true
 	default:
-		return s.head.Status < firstFinal || s.head.Status == statusNoContent || s.head.Status == statusNotModified
+		return s.head.Status < minFinalStatus || s.head.Status == statusNoContent || s.head.Status == statusNotModified
 	}
 }
--- a/internal/httpwire/memory.go
+++ b/internal/httpwire/memory.go
@@ -2,15 +2,15 @@
 
 import "github.com/dapplespindle/dapplespindle/pkg/errkind"
 
-// This file bounds the memory used for bodies. Clients may send and read slowly, and a host
-// may have little memory: without a bound, buffered bodies could exhaust the memory and end
+// This file bounds the memory used for requests and responses. Clients may send and read slowly, and a host
+// may have little memory: without a bound, buffered bytes could exhaust the memory and end
 // the process, which would abort all other requests.
 
 // alwaysAcceptedBytes is how much of a request is received even when the memory limit is
 // exceeded, in bytes: enough for heads and for small bodies, which are complete soon.
 const alwaysAcceptedBytes = 16 << 10
 
-// memoryExceeded reports whether the buffered bodies exceed the memory limit.
+// memoryExceeded reports whether the buffered bytes exceed the memory limit.
 func (s *Server) memoryExceeded() bool {
 	limit := s.conf.MaxKeptBytes
 	return limit > 0 && s.buffered.Load() > limit
--- a/internal/httpwire/serverconn.go
+++ b/internal/httpwire/serverconn.go
@@ -188,7 +188,7 @@
 	if !c.responding {
 		return maxPipelinedBytes
 	}
-	return c.server.limits.Load().framing().MessageBytes() + maxPipelinedBytes
+	return c.server.limits.Load().framing().MaxMessageBytes() + maxPipelinedBytes
 }
 
 // awaitRequest starts the idle timeout.
