--- a/internal/httpwire/memory.go
+++ b/internal/httpwire/memory.go
@@ -2,9 +2,9 @@
 
 import "github.com/dapplespindle/dapplespindle/pkg/errkind"
 
-// This file bounds the memory used for requests and responses. Clients may send and read slowly, and a host
-// may have little memory: without a bound, buffered bytes could exhaust the memory and end
-// the process, which would abort all other requests.
+// This file bounds the memory used for requests and responses. Clients may send and read
+// slowly, and a host may have little memory: without a bound, buffered bytes could exhaust
+// the memory and end the process, which would abort all other requests.
 
 // alwaysAcceptedBytes is how much of a request is received even when the memory limit is
 // exceeded, in bytes: enough for heads and for small bodies, which are complete soon.
--- a/internal/httpwire/socket/engine_test.go
+++ b/internal/httpwire/socket/engine_test.go
@@ -6,7 +6,7 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// TestStopSoonAfterStart ends only if no loop loses the stop.
+// TestStopSoonAfterStart hangs if an event loop misses a stop that comes before it runs.
 func TestStopSoonAfterStart(t *testing.T) {
 	for range 5 {
 		e := Engine{Engine: nbhttp.NewEngine(nbhttp.Config{})}
--- a/internal/httpwire/socket/read.go
+++ b/internal/httpwire/socket/read.go
@@ -8,26 +8,27 @@
 	"github.com/lesismal/nbio"
 )
 
-// Ender is a session that wants to know whether its connection ended in order.
-// The loop alone does not say: it reports "end of file" for a reset too, when
-// that comes together with the last bytes or before anything was read.
+// Ender is a session that needs to know whether the peer closed its connection in an
+// orderly way. The event loop does not tell: it reports "end of file" also for a reset
+// that arrives together with the last bytes or before anything was read.
 type Ender interface {
-	// ReadsOn reports whether more must be read after a short read, to learn of
-	// an end that has already arrived.
+	// ReadsOn reports whether to read again after a short read, to detect an end of
+	// file that has already arrived.
 	ReadsOn() bool
-	// EndOfFile is called on the loop when the other side has ended in order.
+	// EndOfFile is called on the event loop when the peer has closed the connection in
+	// an orderly way.
 	EndOfFile()
 }
 
-// readBytes is the size of one read.
-const readBytes = 64 << 10
+// readBufferSize is the maximum size of one read, in bytes.
+const readBufferSize = 64 << 10
 
-var readBuffers = sync.Pool{New: func() any { return new([readBytes]byte) }}
+var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
 
-// OnRead reads what has arrived and tells an Ender of an end in order. It takes
-// the place of the loop's own reading: register it with nbio.Engine.OnRead.
+// OnRead reads what has arrived and notifies an Ender of an orderly end. It replaces
+// the event loop's own reading: register it with nbio.Engine.OnRead.
 func OnRead(nc *nbio.Conn) {
-	buf := readBuffers.Get().(*[readBytes]byte)
+	buf := readBuffers.Get().(*[readBufferSize]byte)
 	defer readBuffers.Put(buf)
 	for {
 		n, err := nc.Read(buf[:])
@@ -47,7 +48,7 @@
 				session.EndOfFile()
 			}
 			return // the loop closes it
-		case n < readBytes && (session == nil || !session.ReadsOn()):
+		case n < readBufferSize && (session == nil || !session.ReadsOn()):
 			return
 		}
 	}
--- a/internal/httpwire/socket/socket.go
+++ b/internal/httpwire/socket/socket.go
@@ -1,11 +1,11 @@
-// Package socket holds the operations on a connection of the event loop that
-// must not close its file descriptor outside the loop.
+// Package socket holds operations on connections of the nbio event loop that never
+// close a file descriptor outside the loop, and TLS on such connections.
 //
-// The loop handles events in batches, by descriptor. If another goroutine
-// closes a descriptor while its event waits in a batch, and a new connection
-// gets the same number, the loop ends the new one; the library then loses
-// that connection and spins on its events. So every end here is a shutdown:
-// the loop sees it and closes the descriptor itself.
+// The loop handles events in batches, by descriptor. If another goroutine closes a
+// descriptor while its event waits in a batch, and a new connection gets the same
+// number, the loop closes the new connection; the library then loses track of it and
+// spins on its events. So connections are only shut down here: the loop detects the
+// shutdown and closes the descriptor itself.
 package socket
 
 import (
@@ -16,31 +16,31 @@
 	"github.com/lesismal/nbio"
 )
 
-// Counter is told how many bytes the kernel took. Taken is called under the
-// connection's lock, before any byte that answers them can be read.
+// Counter counts the bytes that the kernel has accepted. Taken is called with the
+// connection's lock held, before any byte of a response to them can be read.
 type Counter interface {
 	Taken(n int)
 }
 
-// OnWritten passes the library's count of written bytes on to the session. It
-// is registered with nbio.Engine.OnWrittenSize.
+// OnWritten reports bytes written by the library to the session. Register it with
+// nbio.Engine.OnWrittenSize.
 func OnWritten(nc *nbio.Conn, _ []byte, n int) {
 	if c, ok := nc.Session().(Counter); ok {
 		c.Taken(n)
 	}
 }
 
-// SetSession makes session receive the connection's bytes. The lock orders
-// what was set in it before the loop's first call.
+// SetSession makes session receive the connection's bytes. Taking the lock ensures that
+// the loop's first call sees everything that was set in session before.
 func SetSession(nc *nbio.Conn, session Counter) {
 	nc.Lock()
 	defer nc.Unlock()
 	nc.SetSession(session)
 }
 
-// Write sends b, and leaves what the kernel does not take now to the loop.
-// One goroutine may write at a time. Queued is true when the loop still holds
-// bytes from earlier calls.
+// Write sends b, and queues what the kernel does not accept at once for the loop to
+// send. Only one goroutine may write at a time. queued must be true if the loop still
+// holds bytes from earlier calls.
 func Write(nc *nbio.Conn, b []byte, queued bool, counter Counter) error {
 	if !queued {
 		n, err := writeNow(nc, b, counter)
@@ -69,10 +69,10 @@
 	return n, err
 }
 
-// End ends the connection both ways. No byte is sent afterwards.
+// End shuts down the connection in both directions. No byte is sent afterwards.
 func End(nc *nbio.Conn) { shutdown(nc, syscall.SHUT_RDWR) }
 
-// ShutdownWrite ends our side of the connection; bytes can still be received.
+// ShutdownWrite shuts down the sending side; bytes can still be received.
 func ShutdownWrite(nc *nbio.Conn) { shutdown(nc, syscall.SHUT_WR) }
 
 func shutdown(nc *nbio.Conn, how int) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// Quiet reports whether the connection is open and the kernel holds neither a
-// byte nor an end from the other side that the loop has not read yet.
+// Quiet reports whether the connection is open and the kernel holds neither bytes nor
+// an end of file from the peer that the loop has not read yet.
 func Quiet(nc *nbio.Conn) bool {
 	nc.Lock()
 	defer nc.Unlock()
--- a/internal/httpwire/socket/tls.go
+++ b/internal/httpwire/socket/tls.go
@@ -10,121 +10,121 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TLS runs Go's crypto/tls over a connection of the event loop. The loop keeps
-// the descriptor; a goroutine lives only as long as the handshake. Afterwards
-// the loop decrypts what arrives and writes are encrypted by whoever writes.
+// TLS runs crypto/tls over a connection of the event loop, which continues to own the
+// descriptor. The handshake has its own goroutine, which ends with it. Afterwards,
+// received bytes are decrypted on the loop, and writes are encrypted by the goroutine
+// that writes.
 //
-// crypto/tls keeps a partial record over a read that timed out, and only such
-// a read is resumed here: a read without bytes ends with os.ErrDeadlineExceeded.
+// crypto/tls preserves a partial record when a read times out, and can only resume
+// reading after that error. So a read without available bytes returns
+// os.ErrDeadlineExceeded.
 type TLS struct {
-	conn *tls.Conn
-	pipe *pipe
-	// deliver takes decrypted bytes, which are only valid during the call.
+	conn      *tls.Conn
+	transport *tlsTransport
+	// deliver receives decrypted bytes, which are only valid during the call.
 	deliver func([]byte) error
 
-	// drive is held while the loop or the end of the handshake reads; phase is
-	// guarded by it.
-	drive sync.Mutex
-	phase phase
+	// readMu is held while the loop or the handshake's goroutine decrypts. It guards
+	// phase.
+	readMu sync.Mutex
+	phase  phase
 }
 
-// phase is how far a TLS connection is.
+// phase is the phase of a TLS connection.
 type phase uint8
 
 const (
-	// waiting has received nothing.
-	waiting phase = iota
-	// shaking is in its handshake.
-	shaking
-	// established carries records.
-	established
-	// failed has no session; what arrives is delivered as it is.
-	failed
+	// phaseInitial lasts until the first bytes arrive.
+	phaseInitial phase = iota
+	phaseHandshake
+	phaseEstablished
+	// phaseFailed follows a failed handshake; further bytes are delivered as they are.
+	phaseFailed
 )
 
-// plainBytes is the most that one record holds, in bytes.
-const plainBytes = 16 << 10
+// maxRecordPlaintext is the maximum plaintext of a TLS record, in bytes.
+const maxRecordPlaintext = 16 << 10
 
-var plainPool = sync.Pool{New: func() any { return new([plainBytes]byte) }}
+var plaintextPool = sync.Pool{New: func() any { return new([maxRecordPlaintext]byte) }}
 
-// NewServerTLS returns the server side of a connection. Write sends ciphertext
-// without blocking; deliver takes decrypted bytes.
+// NewServerTLS returns the server side of a connection. write sends ciphertext without
+// blocking; deliver receives decrypted bytes.
 func NewServerTLS(conf *tls.Config, remote net.Addr, write, deliver func([]byte) error) *TLS {
-	p := newPipe(remote, write)
-	return &TLS{conn: tls.Server(p, conf), pipe: p, deliver: deliver}
+	transport := newTLSTransport(remote, write)
+	return &TLS{conn: tls.Server(transport, conf), transport: transport, deliver: deliver}
 }
 
-// DialTLS makes the handshake as a client over nc, which is still a blocking
-// connection. Attach moves it to the event loop.
+// DialTLS performs a client handshake over nc, which is still a blocking connection.
+// Attach then moves it to the event loop.
 func DialTLS(ctx context.Context, nc net.Conn, conf *tls.Config) (*TLS, error) {
-	p := newPipe(nc.RemoteAddr(), nil)
-	p.blocking = nc
-	t := &TLS{conn: tls.Client(p, conf), pipe: p}
+	transport := newTLSTransport(nc.RemoteAddr(), nil)
+	transport.blocking = nc
+	t := &TLS{conn: tls.Client(transport, conf), transport: transport}
 	if err := t.conn.HandshakeContext(ctx); err != nil {
 		return nil, err
 	}
 	return t, nil
 }
 
-// Attach goes on over the event loop after DialTLS: ciphertext is sent by
-// write, and Feed delivers. Bytes that came behind the handshake are delivered
-// at once.
+// Attach moves the connection to the event loop after DialTLS: ciphertext is sent by
+// write, and Feed passes decrypted bytes to deliver. Bytes that followed the handshake
+// are delivered at once.
 func (t *TLS) Attach(write, deliver func([]byte) error) error {
-	t.drive.Lock()
-	defer t.drive.Unlock()
-	t.pipe.attach(write)
+	t.readMu.Lock()
+	defer t.readMu.Unlock()
+	t.transport.endBlockingPhase(write)
 	t.deliver = deliver
-	t.phase = established
-	return t.pump()
+	t.phase = phaseEstablished
+	return t.decrypt()
 }
 
-// Feed takes ciphertext that arrived; it is only valid during the call. One
-// goroutine may call it. Shaken is told the end of the handshake, on another
-// goroutine, and returns whether the connection goes on. It is told once more
-// if the bytes behind the handshake end the connection.
-func (t *TLS) Feed(data []byte, shaken func(error) bool) error {
-	if err := t.pipe.put(data); err != nil {
+// Feed handles received ciphertext, which is only valid during the call. Only one
+// goroutine may call it. onHandshake is called on another goroutine when the handshake
+// ends, and returns whether the connection stays open. It is called again if the bytes
+// that follow the handshake end the connection.
+func (t *TLS) Feed(data []byte, onHandshake func(error) bool) error {
+	if err := t.transport.push(data); err != nil {
 		return err
 	}
-	t.drive.Lock()
-	defer t.drive.Unlock()
+	t.readMu.Lock()
+	defer t.readMu.Unlock()
 	switch t.phase {
-	case waiting:
-		t.phase = shaking
-		go t.handshake(shaken)
+	case phaseInitial:
+		t.phase = phaseHandshake
+		go t.handshake(onHandshake)
 		return nil
-	case shaking:
+	case phaseHandshake:
 		return nil
-	case failed:
-		return t.deliver(t.pipe.drain())
+	case phaseFailed:
+		return t.deliver(t.transport.drain())
 	default:
-		return t.pump()
+		return t.decrypt()
 	}
 }
 
-// handshake runs on a goroutine of its own and ends with the handshake.
-func (t *TLS) handshake(shaken func(error) bool) {
+// handshake performs a server handshake. It runs on its own goroutine.
+func (t *TLS) handshake(onHandshake func(error) bool) {
 	err := t.conn.Handshake()
-	t.drive.Lock()
-	defer t.drive.Unlock()
-	if !shaken(err) {
-		t.phase = failed
-		t.pipe.noWait()
-		_ = t.pipe.drain()
+	t.readMu.Lock()
+	defer t.readMu.Unlock()
+	if !onHandshake(err) {
+		t.phase = phaseFailed
+		t.transport.setNonBlocking()
+		_ = t.transport.drain()
 		return
 	}
-	t.phase = established
-	t.pipe.noWait()
-	if err := t.pump(); err != nil {
-		t.pipe.fail(err)
-		shaken(err)
+	t.phase = phaseEstablished
+	t.transport.setNonBlocking()
+	if err := t.decrypt(); err != nil {
+		t.transport.fail(err)
+		onHandshake(err)
 	}
 }
 
-// pump decrypts and delivers until the bytes that arrived are used up.
-func (t *TLS) pump() error {
-	buf := plainPool.Get().(*[plainBytes]byte)
-	defer plainPool.Put(buf)
+// decrypt decrypts and delivers the received bytes until none are left.
+func (t *TLS) decrypt() error {
+	buf := plaintextPool.Get().(*[maxRecordPlaintext]byte)
+	defer plaintextPool.Put(buf)
 	for {
 		n, err := t.conn.Read(buf[:])
 		if n > 0 {
@@ -147,8 +147,8 @@
 	return err
 }
 
-// CloseWrite tells the other side that nothing follows.
+// CloseWrite sends a close_notify alert: nothing more follows.
 func (t *TLS) CloseWrite() { _ = t.conn.CloseWrite() }
 
-// Ended says that the connection has ended; a handshake then fails.
-func (t *TLS) Ended() { t.pipe.fail(net.ErrClosed) }
+// Ended must be called when the connection has ended; a handshake in progress fails.
+func (t *TLS) Ended() { t.transport.fail(net.ErrClosed) }
