--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -14,7 +14,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
 	"github.com/dapplespindle/dapplespindle/pkg/rest"
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // groupKey identifies a group over changes of configuration.
@@ -49,7 +49,7 @@
 }
 
 func newGroupStore(host, failureDomain string) *groupStore {
-	mine := turns.New(host)
+	mine := timeslot.New(host)
 	limits := ratelimit.NewBook(mine)
 	return &groupStore{
 		options: balancer.Options{FailureDomain: failureDomain, Turns: mine, Limits: limits},
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -15,7 +15,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 const (
@@ -146,7 +146,7 @@
 		}
 	}
 	f.inTurn.Store(&inTurn)
-	f.gateway.control.pools.options.Turns.Set(clock.Now(), turns.Place{Self: self, Hosts: len(s.Members)})
+	f.gateway.control.pools.options.Turns.Set(clock.Now(), timeslot.Position{Self: self, Hosts: len(s.Members)})
 }
 
 // settleAfter is how long after it found a first peer a host knows most others: of
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,7 +36,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 	"github.com/dapplespindle/dapplespindle/pkg/retry"
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // Gateway is one entry host. New builds its parts; Run starts and stops them.
@@ -241,7 +241,7 @@
 		FetchTimeout:       peerTimeout,
 	}
 	if fleet == nil {
-		g.control.pools.options.Turns.Set(clock.Now(), turns.Place{Hosts: 1})
+		g.control.pools.options.Turns.Set(clock.Now(), timeslot.Position{Hosts: 1})
 	} else {
 		g.fleet = fleet
 		fleet.quotaSeeds()
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -14,7 +14,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
 	"github.com/dapplespindle/dapplespindle/pkg/rest"
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // pool is what outlives snapshots of one registered service: the policy and
@@ -57,7 +57,7 @@
 func restKey(id string, start uint64) string { return id + "/" + strconv.FormatUint(start, 10) }
 
 func newPools(host, failureDomain string) *pools {
-	mine := turns.New(host)
+	mine := timeslot.New(host)
 	limits := ratelimit.NewBook(mine)
 	return &pools{
 		options:   balancer.Options{Host: host, FailureDomain: failureDomain, Turns: mine, Limits: limits},
--- a/internal/limitnews/limitnews_test.go
+++ b/internal/limitnews/limitnews_test.go
@@ -13,7 +13,7 @@
 	"github.com/dapplespindle/dapplespindle/internal/control"
 	"github.com/dapplespindle/dapplespindle/internal/peer"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // host is a teller with what it knows and was told.
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	_ = ln.Close()
-	h := &host{address: ln.Addr().String(), book: ratelimit.NewBook(turns.Alone()), heard: make(chan []*ratelimit.State, 16), loop: control.NewLoop()}
+	h := &host{address: ln.Addr().String(), book: ratelimit.NewBook(timeslot.Single()), heard: make(chan []*ratelimit.State, 16), loop: control.NewLoop()}
 	server := peer.NewServer(h.address, nil)
 	h.Teller = New(Config{
 		Loop:   h.loop,
--- a/internal/peertransport/transport_test.go
+++ b/internal/peertransport/transport_test.go
@@ -22,7 +22,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // host is a transport with what it heard and refused.
@@ -78,7 +78,7 @@
 func begin(t *testing.T) *host {
 	address := freeAddress(t)
 	h := &host{address: address, heard: make(chan *storewatch.PeerMessage, 8), poison: make(chan poisonHeard, 8),
-		limits: make(chan []ratelimit.News, 8), book: ratelimit.NewBook(turns.Alone())}
+		limits: make(chan []ratelimit.News, 8), book: ratelimit.NewBook(timeslot.Single())}
 	h.Transport = New(Config{
 		Address:   address,
 		OnMessage: func(told *storewatch.PeerMessage) { h.heard <- told },
--- a/internal/proxy/limiting_test.go
+++ b/internal/proxy/limiting_test.go
@@ -18,7 +18,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // This file has upstreams that name limits, and a fleet of hosts in front of them.
@@ -122,7 +122,7 @@
 	Upstreams // panics where a test meets what it does not expect
 	fleet     *limitFleet
 	proxy     *Proxy
-	turns     *turns.Turns
+	turns     *timeslot.Schedule
 	book      *ratelimit.Book
 	snapshot  *lifecycle.Snapshot
 	deaf      bool // hears nothing of other hosts, nor they of it
@@ -174,8 +174,8 @@
 		f.ids = append(f.ids, u.ID)
 	}
 	for i := range hosts {
-		h := &limitHost{fleet: f, turns: turns.New(strconv.Itoa(i)), snapshot: takesAll(upstreams)}
-		h.turns.Set(clock.Now(), turns.Place{Self: i, Hosts: hosts})
+		h := &limitHost{fleet: f, turns: timeslot.New(strconv.Itoa(i)), snapshot: takesAll(upstreams)}
+		h.turns.Set(clock.Now(), timeslot.Position{Self: i, Hosts: hosts})
 		h.book = ratelimit.NewBook(h.turns)
 		h.proxy = New("127.0.0.1", "test", f.upstreams, new(recorder), WithRandom(seeded(uint64(i+1))), WithUpstreams(h), WithLenders(h))
 		h.proxy.SetTable(routing.Compile(1, []*config.Service{document}, groupsFunc(h.group)))
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -25,7 +25,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // ErrNoUpstream means no upstream is eligible: the group is empty, or all are excluded.
@@ -143,7 +143,7 @@
 	// FailureDomain is where the entry host runs.
 	FailureDomain string
 	// Turns says when this host may send to cold upstreams; nil is any time.
-	Turns *turns.Turns
+	Turns *timeslot.Schedule
 	// Limits are those that upstreams name; nil is none.
 	Limits *ratelimit.Book
 	// SlowStart is the time over which a new upstream's share grows to full; 0 is off.
--- a/pkg/balancer/probefirst/cold_test.go
+++ b/pkg/balancer/probefirst/cold_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // The pattern: a failure domain of upstreams comes back cold at once, a quarter of a
@@ -26,8 +26,8 @@
 
 // hostOf returns a picker of a host that is one of many.
 func hostOf(self, hosts int, members ...*balancer.Upstream) *picker {
-	mine := turns.New("host")
-	mine.Set(start, turns.Place{Self: self, Hosts: hosts})
+	mine := timeslot.New("host")
+	mine.Set(start, timeslot.Position{Self: self, Hosts: hosts})
 	policy := Builder{}.Build(balancer.Options{FailureDomain: "here", Turns: mine})
 	return policy.Update(members).(*picker)
 }
@@ -36,8 +36,8 @@
 func turnOf(t *testing.T, u *balancer.Upstream, hosts int) int {
 	t.Helper()
 	for self := range hosts {
-		mine := turns.New("host")
-		mine.Set(start, turns.Place{Self: self, Hosts: hosts})
+		mine := timeslot.New("host")
+		mine.Set(start, timeslot.Position{Self: self, Hosts: hosts})
 		if u.Cold.Open(start, mine) {
 			return self
 		}
--- a/pkg/balancer/probefirst/probefirst.go
+++ b/pkg/balancer/probefirst/probefirst.go
@@ -12,7 +12,7 @@
 
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // Name is the name in configuration documents.
@@ -55,7 +55,7 @@
 func (Builder) Build(o balancer.Options) balancer.Policy {
 	mine := o.Turns
 	if mine == nil {
-		mine = turns.New(o.Host)
+		mine = timeslot.New(o.Host)
 	}
 	return &policy{host: o.Host, failureDomain: o.FailureDomain, crowding: new(crowding), idle: new(idleShare), turns: mine, limits: o.Limits}
 }
@@ -65,7 +65,7 @@
 	failureDomain string
 	crowding      *crowding
 	idle          *idleShare
-	turns         *turns.Turns
+	turns         *timeslot.Schedule
 	limits        *ratelimit.Book
 }
 
@@ -89,7 +89,7 @@
 	home, rest []*balancer.Upstream // near, those asked first and the others
 	crowding   *crowding
 	idle       *idleShare
-	turns      *turns.Turns
+	turns      *timeslot.Schedule
 	limits     *ratelimit.Book
 }
 
--- a/pkg/balancer/probefirst/turn_test.go
+++ b/pkg/balancer/probefirst/turn_test.go
@@ -8,15 +8,15 @@
 
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // limitingHost returns the picker of a host, one of some, and the first of its members, which
 // names a limit.
 func limitingHost(self, hosts int, id string, others ...*balancer.Upstream) (*picker, *balancer.Upstream) {
 	heard := start.Add(-time.Minute)
-	mine := turns.New("host")
-	mine.Set(heard, turns.Place{Self: self, Hosts: hosts})
+	mine := timeslot.New("host")
+	mine.Set(heard, timeslot.Position{Self: self, Hosts: hosts})
 	book := ratelimit.NewBook(mine)
 	u := member(id, "here")
 	u.Limit = book.Hold(id, 0)
--- a/pkg/coldstart/coldstart.go
+++ b/pkg/coldstart/coldstart.go
@@ -2,7 +2,7 @@
 // has started a moment ago, or has become cold again. Such an upstream bears a few
 // requests a second, and collapses under more.
 //
-// Hosts share nothing for this but the order of pkg/turns: there are as many slots a second
+// Hosts share nothing for this but the order of pkg/timeslot: there are as many slots a second
 // as the upstream bears requests, and a host sends one request in its turn at the most.
 //
 // In a second, an upstream that bears r requests a second gets at most r(1+2d)+1 where
@@ -22,7 +22,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // Upstream is what one host knows of how cold one upstream is. The zero value is warm,
@@ -71,7 +71,7 @@
 }
 
 // Open reports whether the host whose turns are given may send a request to u now.
-func (u *Upstream) Open(now time.Time, t *turns.Turns) bool {
+func (u *Upstream) Open(now time.Time, t *timeslot.Schedule) bool {
 	if !u.IsCold(now) {
 		return true
 	}
@@ -81,7 +81,7 @@
 
 // Take uses the host's turn at u for one request. It is false if there is none, or no
 // longer.
-func (u *Upstream) Take(now time.Time, t *turns.Turns) bool {
+func (u *Upstream) Take(now time.Time, t *timeslot.Schedule) bool {
 	if !u.IsCold(now) {
 		return true
 	}
--- a/pkg/coldstart/coldstart_test.go
+++ b/pkg/coldstart/coldstart_test.go
@@ -10,12 +10,12 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 func Example() {
 	now := time.Unix(1000, 0)
-	mine := turns.Alone()
+	mine := timeslot.Single()
 	var u Upstream
 	u.Bears("i-1", 2.5)
 	u.Told(now, 3*time.Second)
@@ -44,7 +44,7 @@
 // crowd is a fleet in virtual time whose hosts send all they may to one upstream.
 type crowd struct {
 	rate   float64
-	turns  []*turns.Turns
+	turns  []*timeslot.Schedule
 	clocks []time.Duration // how far each host's clock is off
 	knows  []Upstream      // what each host knows of the upstream
 }
@@ -52,8 +52,8 @@
 func newCrowd(hosts int, rate float64) *crowd {
 	c := &crowd{rate: rate, clocks: make([]time.Duration, hosts), knows: make([]Upstream, hosts)}
 	for i := range hosts {
-		t := turns.New(fmt.Sprint("host-", i))
-		t.Set(time.Time{}, turns.Place{Self: i, Hosts: hosts})
+		t := timeslot.New(fmt.Sprint("host-", i))
+		t.Set(time.Time{}, timeslot.Position{Self: i, Hosts: hosts})
 		c.turns = append(c.turns, t)
 		c.knows[i].Bears("i-1", rate)
 	}
@@ -105,7 +105,7 @@
 				c.clocks[i] = time.Duration(random.Int64N(int64(2*off))) - off
 			}
 			size := (hosts + groups - 1 - i%groups) / groups
-			c.turns[i].Set(time.Time{}, turns.Place{Self: i / groups, Hosts: size})
+			c.turns[i].Set(time.Time{}, timeslot.Position{Self: i / groups, Hosts: size})
 		}
 		bound := groups * int(math.Ceil(rate*(1+2*off.Seconds())+1))
 		if worst := worstSecond(c.sends(4*time.Second, 10*time.Millisecond)); worst > bound {
@@ -166,7 +166,7 @@
 // BenchmarkOpen is what a choice pays for each upstream that it looks at.
 func BenchmarkOpen(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
-	mine := turns.New("10.0.0.1")
+	mine := timeslot.New("10.0.0.1")
 	for name, left := range map[string]time.Duration{"warm": 0, "cold": time.Hour} {
 		b.Run(name, func(b *testing.B) {
 			var u Upstream
--- a/pkg/ratelimit/book.go
+++ b/pkg/ratelimit/book.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/cockroachdb/errors"
 
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 const (
@@ -68,7 +68,7 @@
 // Book holds the states of the upstreams that one host has records of. It is safe for
 // concurrent use.
 type Book struct {
-	turns *turns.Turns
+	turns *timeslot.Schedule
 
 	tally tally
 	mu    sync.Mutex
@@ -88,7 +88,7 @@
 }
 
 // NewBook returns an empty book of a host whose turns are given.
-func NewBook(t *turns.Turns) *Book { return &Book{turns: t, held: make(map[Server]*holding)} }
+func NewBook(t *timeslot.Schedule) *Book { return &Book{turns: t, held: make(map[Server]*holding)} }
 
 // Hold returns the state for a record of an upstream, the same for all records of an id and
 // a start.
--- a/pkg/ratelimit/fleet_test.go
+++ b/pkg/ratelimit/fleet_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // The load that these tests play: upstreams of a service name limits, and hosts get
@@ -58,7 +58,7 @@
 }
 
 type fleetHost struct {
-	turns   *turns.Turns
+	turns   *timeslot.Schedule
 	states  []*State
 	load    float64 // requests a second
 	clock   time.Duration
@@ -69,8 +69,8 @@
 	f := &fleet{perSecond: perSecond, arrivals: make([][]time.Time, len(perSecond)),
 		random: rand.New(rand.NewPCG(seed, 1)), waits: 100 * time.Millisecond}
 	for i := range hosts {
-		h := &fleetHost{turns: turns.New(fmt.Sprint(i)), load: loads[i%len(loads)]}
-		h.turns.Set(epoch, turns.Place{Self: i, Hosts: hosts})
+		h := &fleetHost{turns: timeslot.New(fmt.Sprint(i)), load: loads[i%len(loads)]}
+		h.turns.Set(epoch, timeslot.Position{Self: i, Hosts: hosts})
 		for u := range perSecond {
 			h.states = append(h.states, NewState(fmt.Sprint("u", u), 0, h.turns))
 		}
@@ -207,7 +207,7 @@
 				h.clock = time.Duration(f.random.Int64N(int64(2*off))) - off
 			}
 			size := (hosts + groups - 1 - i%groups) / groups
-			h.turns.Set(epoch.Add(h.clock), turns.Place{Self: i / groups, Hosts: size})
+			h.turns.Set(epoch.Add(h.clock), timeslot.Position{Self: i / groups, Hosts: size})
 		}
 		f.tell(epoch)
 		f.run(epoch.Add(idle), 10*time.Second)
--- a/pkg/ratelimit/ratelimit.go
+++ b/pkg/ratelimit/ratelimit.go
@@ -1,7 +1,7 @@
 // Package ratelimit keeps to the limits that upstreams in need name in their answers: how
 // many requests a second they take from all hosts together, for as long as they say so.
 //
-// The hosts share such a limit by the turns of pkg/turns: there are as many slots a second
+// The hosts share such a limit by the turns of pkg/timeslot: there are as many slots a second
 // as the upstream takes requests, each slot is the turn of one host, and a host may use its
 // turn for one request, up to SlotValidity later. They tell one another what upstreams say, so that
 // a host holds back before it was told itself, and knows of the end of a limit although its
@@ -21,7 +21,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 const (
@@ -68,7 +68,7 @@
 type State struct {
 	id     string
 	server Server
-	turns  *turns.Turns
+	turns  *timeslot.Schedule
 
 	current atomic.Pointer[naming] // nil while no limit is known
 	tally   *tally                 // of a book; nil outside one
@@ -92,7 +92,7 @@
 
 // NewState returns what a host whose turns are given knows at first of an upstream. Born is
 // the start that the upstream names itself, or 0.
-func NewState(id string, born int64, t *turns.Turns) *State {
+func NewState(id string, born int64, t *timeslot.Schedule) *State {
 	return &State{id: id, server: NameOf(id, born), turns: t}
 }
 
@@ -244,7 +244,7 @@
 	if begun <= 0 {
 		return 0, false
 	}
-	place, _ := s.turns.Place()
+	place, _ := s.turns.Position()
 	first := int64(random % uint64(begun))
 	for i := range min(begun, 2) { // two slots in a row are not both this host's
 		host = s.turns.Owner(from+(first+i)%begun, s.server.Name)
@@ -278,7 +278,7 @@
 	if n == nil {
 		return math.Inf(1)
 	}
-	place, _ := s.turns.Place()
+	place, _ := s.turns.Position()
 	return n.rate() / float64(place.Hosts)
 }
 
@@ -305,7 +305,7 @@
 	if from.Before(n.since) {
 		from = n.since
 	}
-	if _, placed := s.turns.Place(); from.Before(placed) {
+	if _, placed := s.turns.Position(); from.Before(placed) {
 		from = placed
 	}
 	return from
--- a/pkg/ratelimit/ratelimit_test.go
+++ b/pkg/ratelimit/ratelimit_test.go
@@ -8,12 +8,12 @@
 
 	"github.com/matryer/is"
 
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 func Example() {
 	now := time.Unix(1000, 0)
-	s := NewState("i-1", 0, turns.Alone())
+	s := NewState("i-1", 0, timeslot.Single())
 	word, err := Read("2")
 	if err != nil {
 		return
@@ -32,14 +32,14 @@
 
 // alone returns the state of a host without a fleet that has just heard a limit.
 func alone(perSecond float64) *State {
-	s := NewState("i-1", 0, turns.Alone())
+	s := NewState("i-1", 0, timeslot.Single())
 	s.Hear(epoch, epoch, named(perSecond), Answer)
 	return s
 }
 
 func TestNoStateIsNoLimit(t *testing.T) {
 	is := is.New(t)
-	for _, s := range []*State{nil, NewState("i-1", 0, turns.Alone())} {
+	for _, s := range []*State{nil, NewState("i-1", 0, timeslot.Single())} {
 		is.True(s.Open(epoch))
 		is.True(s.Take(epoch))
 		is.Equal(s.Delay(epoch), time.Duration(0))
@@ -73,7 +73,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := NewState("i-1", 0, turns.Alone())
+			s := NewState("i-1", 0, timeslot.Single())
 			for _, from := range test.heard {
 				if from == Peer {
 					s.ApplyPeerUpdate(epoch, News{PerSecond: 2})
@@ -91,7 +91,7 @@
 // TestSourcesOutliveChanges: who named a limit is known after it names another one.
 func TestSourcesOutliveChanges(t *testing.T) {
 	is := is.New(t)
-	s := NewState("i-1", 0, turns.Alone())
+	s := NewState("i-1", 0, timeslot.Single())
 	s.Hear(epoch, epoch, named(2), Probe)
 	is.True(s.Hear(epoch, epoch, named(3), Probe))
 	is.True(!s.Hear(epoch, epoch, unlimited, Answer))
@@ -154,7 +154,7 @@
 	is.True(s.Delay(at) < time.Second/7)
 
 	s = alone(10)
-	s.turns.Set(at, turns.Place{Self: 1, Hosts: 2})
+	s.turns.Set(at, timeslot.Position{Self: 1, Hosts: 2})
 	is.True(!s.Open(at))
 	is.True(s.Delay(at) <= 2*time.Second/10)
 }
@@ -202,7 +202,7 @@
 
 func TestBook(t *testing.T) {
 	is := is.New(t)
-	b := NewBook(turns.Alone())
+	b := NewBook(timeslot.Single())
 	s := b.Hold("i-1", 0)
 	is.Equal(b.Hold("i-1", 0), s)
 	is.True(b.Hold("i-1", 7) != s) // another start
@@ -239,8 +239,8 @@
 
 // BenchmarkOpen is what a choice pays for each upstream that it looks at.
 func BenchmarkOpen(b *testing.B) {
-	fleet := turns.New("10.0.0.1")
-	fleet.Set(epoch, turns.Place{Self: 3, Hosts: 18})
+	fleet := timeslot.New("10.0.0.1")
+	fleet.Set(epoch, timeslot.Position{Self: 3, Hosts: 18})
 	for name, s := range map[string]*State{"unlimited": NewState("i-1", 0, fleet), "limited": NewState("i-2", 0, fleet)} {
 		b.Run(name, func(b *testing.B) {
 			if name == "limited" {
--- a/pkg/turns/turns_test.go
+++ b/pkg/timeslot/timeslot_test.go
@@ -1,4 +1,4 @@
-package turns_test
+package timeslot_test
 
 import (
 	"fmt"
@@ -8,23 +8,23 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 func Example() {
-	t := turns.New("10.0.0.1")
-	t.Set(time.Now(), turns.Place{Self: 2, Hosts: 5})
+	t := timeslot.New("10.0.0.1")
+	t.Set(time.Now(), timeslot.Position{Self: 2, Hosts: 5})
 	fmt.Println(t.Next(0, 0), t.Next(3, 0), t.Owns(7, 0), t.Owns(7, 2))
 	// Output: 2 7 true false
 }
 
 func TestPlaceOutOfRangeIsIgnored(t *testing.T) {
 	is := is.New(t)
-	mine := turns.New("10.0.0.1")
-	before, since := mine.Place()
-	for _, p := range []turns.Place{{Self: -1, Hosts: 5}, {Self: 5, Hosts: 5}, {}} {
+	mine := timeslot.New("10.0.0.1")
+	before, since := mine.Position()
+	for _, p := range []timeslot.Position{{Self: -1, Hosts: 5}, {Self: 5, Hosts: 5}, {}} {
 		mine.Set(time.Now(), p)
-		after, still := mine.Place()
+		after, still := mine.Position()
 		is.Equal(after, before)
 		is.Equal(still, since)
 	}
@@ -33,10 +33,10 @@
 func TestPlaceHoldsSinceItChanged(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	mine := turns.New("10.0.0.1")
-	mine.Set(now, turns.Place{Self: 1, Hosts: 3})
-	mine.Set(now.Add(time.Second), turns.Place{Self: 1, Hosts: 3})
-	_, since := mine.Place()
+	mine := timeslot.New("10.0.0.1")
+	mine.Set(now, timeslot.Position{Self: 1, Hosts: 3})
+	mine.Set(now.Add(time.Second), timeslot.Position{Self: 1, Hosts: 3})
+	_, since := mine.Position()
 	is.Equal(since, now)
 }
 
@@ -48,8 +48,8 @@
 		shift := rapid.Uint64().Draw(t, "shift")
 		owners := 0
 		for self := range hosts {
-			mine := turns.New("host")
-			mine.Set(time.Now(), turns.Place{Self: self, Hosts: hosts})
+			mine := timeslot.New("host")
+			mine.Set(time.Now(), timeslot.Position{Self: self, Hosts: hosts})
 			if mine.Owns(slot, shift) {
 				owners++
 			}
