--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -6,13 +6,13 @@
 
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/internal/upstream"
+	"github.com/dapplespindle/dapplespindle/pkg/backoff"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/registry"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/spindle"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/rest"
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
@@ -43,7 +43,7 @@
 	lifecycle *lifecycle.Snapshot
 	groups    map[groupKey]*groupState
 	// rests are by "IP:port".
-	rests *rest.Book
+	rests *backoff.Registry
 	// limits are by "IP:port" too.
 	limits *ratelimit.Book
 }
@@ -54,14 +54,14 @@
 	return &groupStore{
 		options: balancer.Options{FailureDomain: failureDomain, Turns: mine, Limits: limits},
 		groups:  make(map[groupKey]*groupState),
-		rests:   rest.NewBook(),
+		rests:   backoff.NewRegistry(),
 		limits:  limits,
 	}
 }
 
 // rest takes in until when the server at an address wants nothing from this host.
 func (s *groupStore) rest(address string, until time.Time) {
-	s.rests.Asked(address, until)
+	s.rests.Extend(address, until)
 	for _, st := range s.groups {
 		for _, u := range st.upstreams {
 			if upstream.HostOf(u.Address) == address {
@@ -182,7 +182,7 @@
 		u := st.upstreams[cu.ID]
 		if u == nil || u.Address != upstream.Target(cu.Address, g.TLS) {
 			u = newUpstream(cu, g.TLS)
-			u.Rest.Extend(s.rests.Of(upstream.HostOf(u.Address)))
+			u.Rest.Extend(s.rests.Until(upstream.HostOf(u.Address)))
 			u.Limit = s.limits.Hold(upstream.HostOf(u.Address), 0)
 			if joined {
 				u.Added = now
--- a/internal/gateway/asker.go
+++ b/internal/gateway/asker.go
@@ -101,7 +101,7 @@
 		return false
 	}
 	a.events.Emit(event.Event{Code: event.RestAsked, Service: service, Upstream: u.ID, Reason: "probe", Value: d.Milliseconds()})
-	a.told.Rests(u, u.Rest.Ask(now, d, a.random()))
+	a.told.Rests(u, u.Rest.Begin(now, d, a.random()))
 	return true
 }
 
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -5,6 +5,7 @@
 
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/internal/upstream"
+	"github.com/dapplespindle/dapplespindle/pkg/backoff"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/probefirst"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/registry"
@@ -12,7 +13,6 @@
 	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/rest"
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
@@ -40,7 +40,7 @@
 	lifecycle *lifecycle.Snapshot
 	services  map[string]*pool
 	// rests are by restKey.
-	rests  *rest.Book
+	rests  *backoff.Registry
 	limits *ratelimit.Book
 	// grown is true when there are records of addresses that had none.
 	grown bool
@@ -63,7 +63,7 @@
 		options:   balancer.Options{Host: host, FailureDomain: failureDomain, Turns: mine, Limits: limits},
 		lifecycle: new(lifecycle.Snapshot),
 		services:  make(map[string]*pool),
-		rests:     rest.NewBook(),
+		rests:     backoff.NewRegistry(),
 		limits:    limits,
 	}
 }
@@ -135,7 +135,7 @@
 			u = newRecord(entry)
 			p.grown = true
 			u.Cold.Bears(u.ID, pl.coldRate)
-			u.Rest.Extend(p.rests.Of(restKey(entry.ID, entry.Start)))
+			u.Rest.Extend(p.rests.Until(restKey(entry.ID, entry.Start)))
 			u.Limit = p.limits.Hold(entry.ID, entry.Born)
 		}
 		if pl.entries[entry.ID] != entry.Revision {
--- a/internal/gateway/upstreams.go
+++ b/internal/gateway/upstreams.go
@@ -43,7 +43,7 @@
 
 // Rests implements proxy.Upstreams.
 func (c *controller) Rests(u *balancer.Upstream, until time.Time) {
-	c.gateway.loop.Post(func() { c.pools.rests.Asked(restKey(u.ID, u.Activation), until) })
+	c.gateway.loop.Post(func() { c.pools.rests.Extend(restKey(u.ID, u.Activation), until) })
 }
 
 // LimitHeard implements proxy.Upstreams.
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -269,7 +269,7 @@
 		return false
 	}
 	p.emit(event.Event{Code: event.RestAsked, Upstream: t.Upstream, Reason: "probe", Value: d.Milliseconds()})
-	p.conf.Rested(t.Address, t.rest.Ask(received, d, rand.Uint64()))
+	p.conf.Rested(t.Address, t.rest.Begin(received, d, rand.Uint64()))
 	return true
 }
 
--- a/internal/prober/scan.go
+++ b/internal/prober/scan.go
@@ -57,7 +57,7 @@
 // names no limit.
 func (p *Prober) wants(now time.Time, t *target) bool {
 	due, ok := p.budget.Due(t.Address)
-	if !ok || now.Before(due) || t.age(now) <= p.conf.FreshFor || t.rest.Left(now) > 0 {
+	if !ok || now.Before(due) || t.age(now) <= p.conf.FreshFor || t.rest.Delay(now) > 0 {
 		return false
 	}
 	return p.conf.Limited == nil || !p.conf.Limited(t.Address)
--- a/internal/prober/target.go
+++ b/internal/prober/target.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/dapplespindle/dapplespindle/pkg/backoff"
 	"github.com/dapplespindle/dapplespindle/pkg/probebudget"
-	"github.com/dapplespindle/dapplespindle/pkg/rest"
 )
 
 // Target is an upstream that may be probed, as one group lists it.
@@ -28,7 +28,7 @@
 	Target
 	ids      []string     // under which groups list it
 	reported atomic.Int64 // ns since the Unix epoch; 0: never
-	rest     rest.State
+	rest     backoff.State
 }
 
 // same reports whether o says the same of the server as t.
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"github.com/dapplespindle/dapplespindle/internal/httpwire"
+	"github.com/dapplespindle/dapplespindle/pkg/backoff"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/rest"
 )
 
 // Dialect is how requests and answers are spoken: the names of headers and the
@@ -85,9 +85,9 @@
 		return 0, nil
 	}
 	if ms := h.Get(HeaderRetryAfterMs); ms != "" {
-		return rest.Milliseconds(ms)
+		return backoff.ParseMilliseconds(ms)
 	}
-	return rest.Seconds(h.Get(HeaderRetryAfter))
+	return backoff.ParseSeconds(h.Get(HeaderRetryAfter))
 }
 
 // ownLimit reads the product's own word for a limit. An entry host below speaks for
--- a/internal/proxy/ratelimit.go
+++ b/internal/proxy/ratelimit.go
@@ -135,7 +135,7 @@
 		switch {
 		case u.Limit.Limited():
 			perSecond += u.Limit.HostRate()
-		case u.Rest.Left(now) == 0:
+		case u.Rest.Delay(now) == 0:
 			return math.Inf(1)
 		}
 	}
--- a/internal/proxy/rest.go
+++ b/internal/proxy/rest.go
@@ -10,10 +10,10 @@
 
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/internal/httpwire"
+	"github.com/dapplespindle/dapplespindle/pkg/backoff"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
-	"github.com/dapplespindle/dapplespindle/pkg/rest"
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
@@ -33,7 +33,7 @@
 	d, err := read(resp.Status, resp.Header)
 	if d > 0 {
 		x.emit(event.Event{Code: event.RestAsked, Upstream: b.upstream.ID, Attempt: b.number, Value: d.Milliseconds()})
-		until := b.upstream.Rest.Ask(now, d, x.proxy.random())
+		until := b.upstream.Rest.Begin(now, d, x.proxy.random())
 		if x.proxy.upstreams != nil {
 			x.proxy.upstreams.Rests(b.upstream, until)
 		}
@@ -94,7 +94,7 @@
 	switch {
 	case left == 0 || info.Waited == 0 && x.crowded():
 		return false
-	case left <= rest.TrialTimeout:
+	case left <= backoff.TrialTimeout:
 		return left+info.ExpectedLatency <= info.DeadlineLeft
 	case x.rule.Config.TargetLatency == 0:
 		return false
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -12,12 +12,12 @@
 	"github.com/matryer/is"
 
 	"github.com/dapplespindle/dapplespindle/internal/clock"
+	"github.com/dapplespindle/dapplespindle/pkg/backoff"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/registry"
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
-	"github.com/dapplespindle/dapplespindle/pkg/rest"
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
@@ -66,7 +66,7 @@
 							turned++
 						}
 					}
-					is.True(turned >= int(10*time.Second/(d+rest.ResumeJitter)))
+					is.True(turned >= int(10*time.Second/(d+backoff.ResumeJitter)))
 					from := start.Add(10*time.Second + d + 500*time.Millisecond)
 					back := 0
 					for _, at := range upstreams.at("up-1") {
@@ -95,8 +95,8 @@
 			}
 			picker := b.Build(balancer.Options{}).Update(members)
 			now := clock.Now()
-			members[0].Rest.Ask(now, time.Minute, 0)
-			members[1].Rest.Ask(now, time.Minute, 0)
+			members[0].Rest.Begin(now, time.Minute, 0)
+			members[1].Rest.Begin(now, time.Minute, 0)
 			random := seeded(3)
 			for range 200 {
 				now = now.Add(10 * time.Millisecond)
@@ -112,7 +112,7 @@
 					}
 				}
 			}
-			members[2].Rest.Ask(now, time.Minute, 0)
+			members[2].Rest.Begin(now, time.Minute, 0)
 			_, err = picker.Pick(balancer.PickInfo{Now: now})
 			is.Equal(err, balancer.ErrNoUpstream)
 		})
@@ -198,10 +198,10 @@
 		once := lookup()
 		once.Retry.MaxAttempts = 1
 		p := newProxy(service(2, once), leastOutstanding, upstreams, new(recorder))
-		until := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0].Rest.Ask(clock.Now(), time.Second, 0)
+		until := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0].Rest.Begin(clock.Now(), time.Second, 0)
 		crowd(p, "GET", 400, 5*time.Millisecond)
 		first := upstreams.at("up-1")[0]
-		is.True(!first.Before(until.Add(rest.RetryableOnlyPeriod)))
+		is.True(!first.Before(until.Add(backoff.RetryableOnlyPeriod)))
 		is.True(first.Before(until.Add(500 * time.Millisecond)))
 	})
 }
@@ -218,8 +218,8 @@
 		"soon":                          {0, 1},
 		"-3":                            {0, 1},
 		"Fri, 31 Dec 2027 23:59:59 GMT": {0, 1},
-		"86400":                         {rest.MaxDuration, 0},
-		"1e18":                          {rest.MaxDuration, 0},
+		"86400":                         {backoff.MaxDuration, 0},
+		"1e18":                          {backoff.MaxDuration, 0},
 	} {
 		t.Run(word, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -232,8 +232,8 @@
 				is.Equal(events.count(event.RestUnreadable), test.unreadable)
 				is.Equal(events.count(event.RestAsked) == 1, test.rests > 0)
 				u := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0]
-				left := u.Rest.Left(clock.Now())
-				is.True(left <= test.rests+rest.ResumeJitter && left >= test.rests-time.Millisecond)
+				left := u.Rest.Delay(clock.Now())
+				is.True(left <= test.rests+backoff.ResumeJitter && left >= test.rests-time.Millisecond)
 				if test.rests == 0 {
 					is.Equal(left, time.Duration(0))
 				}
@@ -274,8 +274,8 @@
 				undo := clock.Skip(test.suspended)
 				defer undo()
 				u := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0]
-				left := u.Rest.Left(clock.Now())
-				is.True(left <= test.left+rest.ResumeJitter && left >= test.left-2*time.Millisecond)
+				left := u.Rest.Delay(clock.Now())
+				is.True(left <= test.left+backoff.ResumeJitter && left >= test.left-2*time.Millisecond)
 			})
 		})
 	}
--- a/pkg/rest/rest.go
+++ b/pkg/backoff/backoff.go
@@ -1,11 +1,11 @@
-// Package rest keeps the times of rest that upstreams ask one entry host for when they
+// Package backoff keeps the times of rest that upstreams ask one entry host for when they
 // turn its requests away: 503 with a time in which they want nothing more from it. An
 // upstream that rests often reports itself idle meanwhile, so that no load report replaces
 // what it asked for.
 //
 // The package does no I/O, reads no clock and draws no randomness. Times are the caller's,
 // of one clock; a step of the time of day changes nothing where they carry the steady one.
-package rest
+package backoff
 
 import (
 	"sync/atomic"
@@ -39,9 +39,9 @@
 	tried atomic.Int64
 }
 
-// Ask takes in that the upstream wants nothing from now on for a time, and returns until
+// Begin takes in that the upstream wants nothing from now on for a time, and returns until
 // when it gets nothing. Random is a uniformly distributed number; it spreads the hosts.
-func (s *State) Ask(now time.Time, d time.Duration, random uint64) time.Time {
+func (s *State) Begin(now time.Time, d time.Duration, random uint64) time.Time {
 	width := min(d, ResumeJitter)
 	late := time.Duration(float64(random>>11) / (1 << 53) * float64(width))
 	return s.Extend(now.Add(d + late))
@@ -113,9 +113,9 @@
 	}
 }
 
-// Left returns how much longer no request may be sent: until the end of the rest, or until
+// Delay returns how much longer no request may be sent: until the end of the rest, or until
 // the first request after it may have been turned away. It is 0 if one may be sent now.
-func (s *State) Left(now time.Time) time.Duration {
+func (s *State) Delay(now time.Time) time.Duration {
 	i := s.newest.Load()
 	if i == nil {
 		return 0
--- a/pkg/rest/rest_test.go
+++ b/pkg/backoff/backoff_test.go
@@ -1,4 +1,4 @@
-package rest_test
+package backoff_test
 
 import (
 	"fmt"
@@ -8,24 +8,24 @@
 
 	"github.com/matryer/is"
 
-	"github.com/dapplespindle/dapplespindle/pkg/rest"
+	"github.com/dapplespindle/dapplespindle/pkg/backoff"
 )
 
 var start = time.Now()
 
 func TestStateRests(t *testing.T) {
 	is := is.New(t)
-	var s rest.State
+	var s backoff.State
 	is.True(s.Open(start, true))
 	is.True(s.Try(start))
-	is.Equal(s.Left(start), time.Duration(0))
-	until := s.Ask(start, 3*time.Second, 0)
+	is.Equal(s.Delay(start), time.Duration(0))
+	until := s.Begin(start, 3*time.Second, 0)
 	is.Equal(until, start.Add(3*time.Second))
 	for _, at := range []time.Duration{0, time.Second, 3*time.Second - 1} {
 		now := start.Add(at)
 		is.True(!s.Open(now, false))
 		is.True(!s.Try(now))
-		is.Equal(s.Left(now), 3*time.Second-at)
+		is.Equal(s.Delay(now), 3*time.Second-at)
 		s.Answered(now) // of a request that was sent before: the upstream still rests
 		is.True(!s.Open(now, false))
 	}
@@ -36,10 +36,10 @@
 // times, in any order.
 func TestLongestRestCounts(t *testing.T) {
 	is := is.New(t)
-	var s rest.State
-	s.Ask(start, 3*time.Second, 0)
-	is.Equal(s.Ask(start.Add(time.Second), time.Second, 0), start.Add(3*time.Second))
-	is.Equal(s.Ask(start.Add(2*time.Second), 2*time.Second, 0), start.Add(4*time.Second))
+	var s backoff.State
+	s.Begin(start, 3*time.Second, 0)
+	is.Equal(s.Begin(start.Add(time.Second), time.Second, 0), start.Add(3*time.Second))
+	is.Equal(s.Begin(start.Add(2*time.Second), 2*time.Second, 0), start.Add(4*time.Second))
 	s.Extend(time.Time{})
 	is.True(!s.Open(start.Add(3500*time.Millisecond), false))
 }
@@ -48,24 +48,24 @@
 // follow when it was answered, or when a refusal would be back.
 func TestOneGoesFirst(t *testing.T) {
 	is := is.New(t)
-	var s rest.State
-	until := s.Ask(start, time.Second, 0)
+	var s backoff.State
+	until := s.Begin(start, time.Second, 0)
 	is.True(!s.Open(until, true)) // one that could not be sent again waits
-	is.True(s.Open(until.Add(rest.RetryableOnlyPeriod), true))
+	is.True(s.Open(until.Add(backoff.RetryableOnlyPeriod), true))
 	is.True(s.Try(until))
 	is.True(!s.Open(until, false))
 	is.True(!s.Try(until))
-	is.Equal(s.Left(until), rest.TrialTimeout+1)
-	after := until.Add(rest.TrialTimeout + 1)
+	is.Equal(s.Delay(until), backoff.TrialTimeout+1)
+	after := until.Add(backoff.TrialTimeout + 1)
 	is.True(s.Open(after, true))
 	is.True(s.Try(after))
 	is.True(s.Try(after))
 
 	s.Answered(until.Add(time.Millisecond))
 	is.True(s.Open(until.Add(time.Millisecond), true))
-	is.Equal(s.Left(until.Add(time.Millisecond)), time.Duration(0))
+	is.Equal(s.Delay(until.Add(time.Millisecond)), time.Duration(0))
 
-	again := s.Ask(after, time.Second, 0) // turned away once more
+	again := s.Begin(after, time.Second, 0) // turned away once more
 	is.True(!s.Open(again.Add(-1), false))
 	is.True(s.Try(again))
 	is.True(!s.Try(again))
@@ -82,9 +82,9 @@
 		random := rand.New(rand.NewPCG(seed, 1))
 		arrivals := make(map[int]int)
 		for range hosts {
-			var s rest.State
+			var s backoff.State
 			turned := start.Add(time.Duration(random.Int64N(int64(100 * time.Millisecond))))
-			s.Ask(turned, 3*time.Second, random.Uint64())
+			s.Begin(turned, 3*time.Second, random.Uint64())
 			now := turned
 			for !s.Try(now) {
 				now = now.Add(time.Millisecond)
@@ -105,8 +105,8 @@
 // TestConcurrentUse: of many goroutines that try at the same time after a rest, one goes.
 func TestConcurrentUse(t *testing.T) {
 	is := is.New(t)
-	var s rest.State
-	until := s.Ask(start, time.Second, 0)
+	var s backoff.State
+	until := s.Begin(start, time.Second, 0)
 	went := make(chan bool)
 	const goroutines = 32
 	for range goroutines {
@@ -123,12 +123,12 @@
 
 func TestBook(t *testing.T) {
 	is := is.New(t)
-	b := rest.NewBook()
-	b.Asked("a", start.Add(2*time.Second))
-	b.Asked("a", start.Add(time.Second))
-	b.Asked("b", start.Add(time.Second))
-	is.Equal(b.Of("a"), start.Add(2*time.Second))
-	is.True(b.Of("c").IsZero())
+	b := backoff.NewRegistry()
+	b.Extend("a", start.Add(2*time.Second))
+	b.Extend("a", start.Add(time.Second))
+	b.Extend("b", start.Add(time.Second))
+	is.Equal(b.Until("a"), start.Add(2*time.Second))
+	is.True(b.Until("c").IsZero())
 	b.Tick(start.Add(time.Second))
 	is.Equal(b.Len(), 1)
 	b.Tick(start.Add(2 * time.Second))
@@ -137,30 +137,30 @@
 
 func TestInherit(t *testing.T) {
 	is := is.New(t)
-	var old, next rest.State
+	var old, next backoff.State
 	next.Merge(&old)
 	is.True(next.Open(start, false))
-	until := old.Ask(start, time.Second, 0)
+	until := old.Begin(start, time.Second, 0)
 	next.Merge(&old)
-	is.Equal(next.Left(start), until.Sub(start))
+	is.Equal(next.Delay(start), until.Sub(start))
 }
 
 func ExampleState() {
-	var s rest.State
+	var s backoff.State
 	now := time.Now()
-	asked, err := rest.Seconds("3")
+	asked, err := backoff.ParseSeconds("3")
 	if err != nil {
 		return
 	}
-	s.Ask(now, asked, 0)
+	s.Begin(now, asked, 0)
 	fmt.Println(s.Open(now.Add(time.Second), false), s.Open(now.Add(3*time.Second), false))
 	// Output: false true
 }
 
 func BenchmarkOpen(b *testing.B) {
-	var none, asked rest.State
-	asked.Ask(start, time.Hour, 0)
-	for name, s := range map[string]*rest.State{"none": &none, "resting": &asked} {
+	var none, asked backoff.State
+	asked.Begin(start, time.Hour, 0)
+	for name, s := range map[string]*backoff.State{"none": &none, "resting": &asked} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/pkg/rest/header.go
+++ b/pkg/backoff/header.go
@@ -1,4 +1,4 @@
-package rest
+package backoff
 
 import (
 	"math"
@@ -16,12 +16,12 @@
 // ErrInvalidDuration means that a time of rest is no number of seconds.
 var ErrInvalidDuration = errors.New("time of rest is no number of seconds")
 
-// Seconds reads a time of rest in seconds, fractions included, of at most MaxDuration. An empty
+// ParseSeconds reads a time of rest in seconds, fractions included, of at most MaxDuration. An empty
 // value asks for none; any other that is not a number from 0 on is ErrInvalidDuration.
-func Seconds(value string) (time.Duration, error) { return read(value, time.Second) }
+func ParseSeconds(value string) (time.Duration, error) { return read(value, time.Second) }
 
-// Milliseconds is Seconds for a value in milliseconds.
-func Milliseconds(value string) (time.Duration, error) { return read(value, time.Millisecond) }
+// ParseMilliseconds is ParseSeconds for a value in milliseconds.
+func ParseMilliseconds(value string) (time.Duration, error) { return read(value, time.Millisecond) }
 
 func read(value string, unit time.Duration) (time.Duration, error) {
 	value = strings.TrimSpace(value)
--- a/pkg/rest/header_test.go
+++ b/pkg/backoff/header_test.go
@@ -1,4 +1,4 @@
-package rest_test
+package backoff_test
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/dapplespindle/dapplespindle/pkg/rest"
+	"github.com/dapplespindle/dapplespindle/pkg/backoff"
 )
 
 func TestSeconds(t *testing.T) {
@@ -21,22 +21,22 @@
 		"2.5":          2500 * time.Millisecond,
 		"0.0000000001": 0,
 		"3600":         time.Hour,
-		"86400":        rest.MaxDuration,
-		"1e300":        rest.MaxDuration,
+		"86400":        backoff.MaxDuration,
+		"1e300":        backoff.MaxDuration,
 	} {
-		got, err := rest.Seconds(value)
+		got, err := backoff.ParseSeconds(value)
 		is.NoErr(err)
 		is.Equal(got, want)
 	}
 	for _, value := range []string{"-1", "soon", "NaN", "inf", "1e999", "3 s", "1,5", "Fri, 31 Dec 2027 23:59:59 GMT"} {
-		_, err := rest.Seconds(value)
-		is.True(errors.Is(err, rest.ErrInvalidDuration))
+		_, err := backoff.ParseSeconds(value)
+		is.True(errors.Is(err, backoff.ErrInvalidDuration))
 	}
 }
 
 func TestMilliseconds(t *testing.T) {
 	is := is.New(t)
-	got, err := rest.Milliseconds("1500")
+	got, err := backoff.ParseMilliseconds("1500")
 	is.NoErr(err)
 	is.Equal(got, 1500*time.Millisecond)
 }
--- a/pkg/balancer/probefirst/cold_test.go
+++ b/pkg/balancer/probefirst/cold_test.go
@@ -92,12 +92,12 @@
 	turn := turnOf(t, cold, hosts)
 	p := hostOf(turn, hosts, cold, warm)
 	info := balancer.PickInfo{Now: start}
-	cold.Rest.Ask(start, time.Minute, 0)
+	cold.Rest.Begin(start, time.Minute, 0)
 	is.Equal(p.QueryTargets(info, 0), []*balancer.Upstream{warm})
 	tell(cold, start, 0, 1)
 	tell(warm, start, 2, 1.5)
 	is.Equal(chosen(t, p, info), "i-warm")
-	warm.Rest.Ask(start, time.Minute, 0)
+	warm.Rest.Begin(start, time.Minute, 0)
 	_, err := p.Pick(info)
 	is.True(errors.Is(err, balancer.ErrNoUpstream))
 
--- a/pkg/balancer/upstream.go
+++ b/pkg/balancer/upstream.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/dapplespindle/dapplespindle/pkg/backoff"
 	"github.com/dapplespindle/dapplespindle/pkg/coldstart"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/rest"
 )
 
 const (
@@ -45,7 +45,7 @@
 	// Cold is how cold it is, and what it bears meanwhile.
 	Cold coldstart.Upstream
 	// Rest is the rest that it asked this host for.
-	Rest rest.State
+	Rest backoff.State
 	// Limit is the limit that it names for all hosts together, and this host's turns; nil
 	// is none.
 	Limit *ratelimit.State
@@ -127,7 +127,7 @@
 // SendDelay returns how much longer u gets nothing from this host: it rests, or this host has
 // its next turn only then. It is 0 if a request may be sent now.
 func (u *Upstream) SendDelay(now time.Time) time.Duration {
-	return max(u.Rest.Left(now), u.Limit.Delay(now))
+	return max(u.Rest.Delay(now), u.Limit.Delay(now))
 }
 
 // HasTimeSlot reports whether u names a limit and this host may send it a request now.
