--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -54,7 +54,7 @@
 // heardLimits reports what a peer's news have changed.
 func (e *Entry) heardLimits(changed []*ratelimit.State) {
 	for _, s := range changed {
-		e.emit(proxy.LimitEvent(s.ID(), s.Word(), ratelimit.Peer))
+		e.emit(proxy.LimitEvent(s.ID(), s.Limit(), ratelimit.Peer))
 	}
 }
 
--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -45,12 +45,12 @@
 	// rests are by "IP:port".
 	rests *backoff.Registry
 	// limits are by "IP:port" too.
-	limits *ratelimit.Book
+	limits *ratelimit.Registry
 }
 
 func newGroupStore(host, failureDomain string) *groupStore {
 	mine := timeslot.New(host)
-	limits := ratelimit.NewBook(mine)
+	limits := ratelimit.NewRegistry(mine)
 	return &groupStore{
 		options: balancer.Options{FailureDomain: failureDomain, Turns: mine, Limits: limits},
 		groups:  make(map[groupKey]*groupState),
@@ -183,7 +183,7 @@
 		if u == nil || u.Address != upstream.Target(cu.Address, g.TLS) {
 			u = newUpstream(cu, g.TLS)
 			u.Rest.Extend(s.rests.Until(upstream.HostOf(u.Address)))
-			u.Limit = s.limits.Hold(upstream.HostOf(u.Address), 0)
+			u.Limit = s.limits.Acquire(upstream.HostOf(u.Address), 0)
 			if joined {
 				u.Added = now
 			}
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -86,7 +86,7 @@
 	list(entry)
 	now := time.Now()
 	known := pl.records["u"].Limit
-	known.Hear(now, now, ratelimit.Word{Kind: ratelimit.Limited, PerSecond: 2}, ratelimit.Answer)
+	known.Observe(now, now, ratelimit.Limit{Kind: ratelimit.Limited, PerSecond: 2}, ratelimit.Answer)
 	list()
 	list(entry)
 	is.Equal(pl.records["u"].Limit, known)
@@ -96,8 +96,8 @@
 	is.True(!pl.records["u"].Limit.Limited())
 
 	// What hosts tell of the earlier start does not touch the next one.
-	told, ok := known.News(now)
+	told, ok := known.Update(now)
 	is.True(ok)
-	is.Equal(len(p.limits.Hear(now.Add(time.Second), []ratelimit.News{told})), 0)
+	is.Equal(len(p.limits.ApplyPeerUpdates(now.Add(time.Second), []ratelimit.Update{told})), 0)
 	is.True(!pl.records["u"].Limit.Limited())
 }
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -41,7 +41,7 @@
 	services  map[string]*pool
 	// rests are by restKey.
 	rests  *backoff.Registry
-	limits *ratelimit.Book
+	limits *ratelimit.Registry
 	// grown is true when there are records of addresses that had none.
 	grown bool
 }
@@ -58,7 +58,7 @@
 
 func newPools(host, failureDomain string) *pools {
 	mine := timeslot.New(host)
-	limits := ratelimit.NewBook(mine)
+	limits := ratelimit.NewRegistry(mine)
 	return &pools{
 		options:   balancer.Options{Host: host, FailureDomain: failureDomain, Turns: mine, Limits: limits},
 		lifecycle: new(lifecycle.Snapshot),
@@ -136,7 +136,7 @@
 			p.grown = true
 			u.Cold.Bears(u.ID, pl.coldRate)
 			u.Rest.Extend(p.rests.Until(restKey(entry.ID, entry.Start)))
-			u.Limit = p.limits.Hold(entry.ID, entry.Born)
+			u.Limit = p.limits.Acquire(entry.ID, entry.Born)
 		}
 		if pl.entries[entry.ID] != entry.Revision {
 			u.Cold.Heard(now, entry.ColdFor)
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -21,8 +21,8 @@
 	if g.fleet == nil {
 		return
 	}
-	if told, ok := s.News(clock.Now()); ok {
-		g.fleet.news.SendLimits(*g.fleet.others.Load(), []ratelimit.News{told})
+	if told, ok := s.Update(clock.Now()); ok {
+		g.fleet.news.SendLimits(*g.fleet.others.Load(), []ratelimit.Update{told})
 	}
 }
 
@@ -31,7 +31,7 @@
 	if g.fleet == nil {
 		return
 	}
-	known := g.control.pools.limits.News(now)
+	known := g.control.pools.limits.Updates(now)
 	if len(known) == 0 {
 		return
 	}
@@ -40,10 +40,10 @@
 }
 
 // heardLimits takes in what another host tells.
-func (g *Gateway) heardLimits(told []ratelimit.News) {
+func (g *Gateway) heardLimits(told []ratelimit.Update) {
 	now := clock.Now()
-	for _, s := range g.control.pools.limits.Hear(now, told) {
-		g.emit(proxy.LimitEvent(s.ID(), s.Word(), ratelimit.Peer))
+	for _, s := range g.control.pools.limits.ApplyPeerUpdates(now, told) {
+		g.emit(proxy.LimitEvent(s.ID(), s.Limit(), ratelimit.Peer))
 	}
 }
 
--- a/internal/limitnews/limitnews.go
+++ b/internal/limitnews/limitnews.go
@@ -43,7 +43,7 @@
 	// that is not to be asked. It runs on any goroutine.
 	InTurn func() []string
 	// Book holds what this host knows.
-	Book *ratelimit.Book
+	Book *ratelimit.Registry
 	// Heard is told which upstreams' limits a peer's news have changed. It runs on any
 	// goroutine.
 	Heard func([]*ratelimit.State)
@@ -70,14 +70,14 @@
 
 // Changed tells all hosts what is now known of a limit.
 func (t *Teller) Changed(s *ratelimit.State) {
-	if news, ok := s.News(clock.Now()); ok {
-		t.tell(t.conf.Peers(), []ratelimit.News{news})
+	if news, ok := s.Update(clock.Now()); ok {
+		t.tell(t.conf.Peers(), []ratelimit.Update{news})
 	}
 }
 
 // repeat tells a few hosts what they may have missed.
 func (t *Teller) repeat(now time.Time) {
-	known := t.conf.Book.News(now)
+	known := t.conf.Book.Updates(now)
 	if len(known) == 0 {
 		return
 	}
@@ -86,7 +86,7 @@
 
 // tell sends a message to each of the hosts, beside the caller. One that is not reached
 // hears it again.
-func (t *Teller) tell(peers []string, news []ratelimit.News) {
+func (t *Teller) tell(peers []string, news []ratelimit.Update) {
 	req := &limitsv1.TellRequest{Limits: encode(news)}
 	t.conf.Pool.CallAll(peers, callTimeout, func(ctx context.Context, c *grpc.ClientConn) error {
 		_, err := limitsv1.NewLimitsClient(c).Tell(ctx, req)
@@ -102,7 +102,7 @@
 			return nil, status.Error(codes.InvalidArgument, err.Error())
 		}
 	}
-	if changed := s.teller.conf.Book.Hear(clock.Now(), news); len(changed) > 0 {
+	if changed := s.teller.conf.Book.ApplyPeerUpdates(clock.Now(), news); len(changed) > 0 {
 		s.teller.conf.Heard(changed)
 	}
 	return new(limitsv1.TellResponse), nil
@@ -120,22 +120,22 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
-	resp, err := limitsv1.NewLimitsClient(conn).Borrow(ctx, &limitsv1.BorrowRequest{Upstream: server.Name, Born: server.Born})
+	resp, err := limitsv1.NewLimitsClient(conn).Borrow(ctx, &limitsv1.BorrowRequest{Upstream: server.IDHash, Born: server.StartedAt})
 	return err == nil && resp.GetLent()
 }
 
 // Borrow lends a turn of this host; it is the server's part of a peer's Borrow.
 func (s server) Borrow(_ context.Context, req *limitsv1.BorrowRequest) (*limitsv1.BorrowResponse, error) {
-	asked := ratelimit.Server{Name: req.GetUpstream(), Born: req.GetBorn()}
+	asked := ratelimit.Server{IDHash: req.GetUpstream(), StartedAt: req.GetBorn()}
 	return &limitsv1.BorrowResponse{Lent: s.teller.conf.Book.Lend(clock.Now(), asked)}, nil
 }
 
-func encode(news []ratelimit.News) []*limitsv1.Limit {
+func encode(news []ratelimit.Update) []*limitsv1.Limit {
 	var out []*limitsv1.Limit
 	for _, n := range news {
 		out = append(out, &limitsv1.Limit{
-			Upstream:  n.Server.Name,
-			Born:      n.Server.Born,
+			Upstream:  n.Server.IDHash,
+			Born:      n.Server.StartedAt,
 			PerSecond: n.PerSecond,
 			Ended:     n.Ended,
 			AgeUs:     n.Age.Microseconds(),
@@ -144,14 +144,14 @@
 	return out
 }
 
-func decode(limits []*limitsv1.Limit) []ratelimit.News {
-	var out []ratelimit.News
+func decode(limits []*limitsv1.Limit) []ratelimit.Update {
+	var out []ratelimit.Update
 	for _, m := range limits {
-		out = append(out, ratelimit.News{
-			Server:    ratelimit.Server{Name: m.GetUpstream(), Born: m.GetBorn()},
+		out = append(out, ratelimit.Update{
+			Server:    ratelimit.Server{IDHash: m.GetUpstream(), StartedAt: m.GetBorn()},
 			PerSecond: m.GetPerSecond(),
 			Ended:     m.GetEnded(),
-			Age:       ratelimit.AgeOf(m.GetAgeUs()),
+			Age:       ratelimit.ParseAge(m.GetAgeUs()),
 		})
 	}
 	return out
--- a/internal/limitnews/limitnews_test.go
+++ b/internal/limitnews/limitnews_test.go
@@ -20,7 +20,7 @@
 type host struct {
 	*Teller
 	address string
-	book    *ratelimit.Book
+	book    *ratelimit.Registry
 	heard   chan []*ratelimit.State
 	loop    *control.Loop
 }
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	_ = ln.Close()
-	h := &host{address: ln.Addr().String(), book: ratelimit.NewBook(timeslot.Single()), heard: make(chan []*ratelimit.State, 16), loop: control.NewLoop()}
+	h := &host{address: ln.Addr().String(), book: ratelimit.NewRegistry(timeslot.Single()), heard: make(chan []*ratelimit.State, 16), loop: control.NewLoop()}
 	server := peer.NewServer(h.address, nil)
 	h.Teller = New(Config{
 		Loop:   h.loop,
@@ -53,9 +53,9 @@
 
 // limit makes an upstream name a limit to a host.
 func (h *host) limit(id string, perSecond float64) *ratelimit.State {
-	s := h.book.Hold(id, 0)
+	s := h.book.Acquire(id, 0)
 	now := time.Now()
-	s.Hear(now, now, ratelimit.Word{Kind: ratelimit.Limited, PerSecond: perSecond}, ratelimit.Answer)
+	s.Observe(now, now, ratelimit.Limit{Kind: ratelimit.Limited, PerSecond: perSecond}, ratelimit.Answer)
 	return s
 }
 
@@ -63,18 +63,18 @@
 func TestTold(t *testing.T) {
 	is := is.New(t)
 	a := begin(t)
-	known := a.book.Hold("i-1", 0)
-	other := a.book.Hold("i-2", 0)
+	known := a.book.Acquire("i-1", 0)
+	other := a.book.Acquire("i-2", 0)
 	b := begin(t, a.address)
 	s := b.limit("i-1", 1.2)
 	b.Changed(s)
 	is.Equal(<-a.heard, []*ratelimit.State{known})
-	is.Equal(known.Word(), s.Word())
+	is.Equal(known.Limit(), s.Limit())
 	b.limit("i-2", 3)
 	go b.loop.Run(t.Context())
 	is.Equal(<-a.heard, []*ratelimit.State{other})
 	now := time.Now()
-	s.Hear(now, now, ratelimit.Word{Kind: ratelimit.Unlimited}, ratelimit.Answer)
+	s.Observe(now, now, ratelimit.Limit{Kind: ratelimit.Unlimited}, ratelimit.Answer)
 	b.Changed(s)
 	is.Equal(<-a.heard, []*ratelimit.State{known})
 	is.True(!known.Limited())
--- a/internal/peertransport/limits.go
+++ b/internal/peertransport/limits.go
@@ -27,13 +27,13 @@
 
 // SendLimits sends what is known of limits to each of the hosts, in as many messages as it
 // takes.
-func (t *Transport) SendLimits(to []netip.AddrPort, told []ratelimit.News) {
+func (t *Transport) SendLimits(to []netip.AddrPort, told []ratelimit.Update) {
 	for part := range slices.Chunk(told, LimitsPerMessage) {
 		var messages []limitMessage
 		for _, n := range part {
 			messages = append(messages, limitMessage{
-				Upstream:  n.Server.Name,
-				Born:      n.Server.Born,
+				Upstream:  n.Server.IDHash,
+				Born:      n.Server.StartedAt,
 				PerSecond: n.PerSecond,
 				Ended:     n.Ended,
 				AgeUs:     n.Age.Microseconds(),
@@ -49,13 +49,13 @@
 	if err := json.Unmarshal(text, &messages); err != nil {
 		return errors.Wrap(err, "message of limits")
 	}
-	var told []ratelimit.News
+	var told []ratelimit.Update
 	for _, m := range messages {
-		n := ratelimit.News{
-			Server:    ratelimit.Server{Name: m.Upstream, Born: m.Born},
+		n := ratelimit.Update{
+			Server:    ratelimit.Server{IDHash: m.Upstream, StartedAt: m.Born},
 			PerSecond: m.PerSecond,
 			Ended:     m.Ended,
-			Age:       ratelimit.AgeOf(m.AgeUs),
+			Age:       ratelimit.ParseAge(m.AgeUs),
 		}
 		if err := n.Validate(); err != nil {
 			return err
--- a/internal/peertransport/limits_test.go
+++ b/internal/peertransport/limits_test.go
@@ -16,10 +16,10 @@
 func TestLimitsAreTold(t *testing.T) {
 	is := is.New(t)
 	a, b := begin(t), begin(t)
-	var told []ratelimit.News
+	var told []ratelimit.Update
 	for i := range LimitsPerMessage + 1 {
-		told = append(told, ratelimit.News{
-			Server:    ratelimit.Server{Name: 1<<64 - 1 - uint64(i), Born: 1_700_000_000_000 + int64(i)},
+		told = append(told, ratelimit.Update{
+			Server:    ratelimit.Server{IDHash: 1<<64 - 1 - uint64(i), StartedAt: 1_700_000_000_000 + int64(i)},
 			PerSecond: 123456.78901234567,
 			Ended:     i%2 == 0,
 			Age:       4999999 * time.Microsecond,
@@ -38,17 +38,17 @@
 func TestBorrow(t *testing.T) {
 	is := is.New(t)
 	a, b := begin(t), begin(t)
-	state := b.book.Hold("i-1", 7)
+	state := b.book.Acquire("i-1", 7)
 	server := state.Server()
 	is.True(!a.Borrow(t.Context(), b.address, server)) // no limit is known there
 	now := time.Now()
-	state.Hear(now, now, ratelimit.Word{Kind: ratelimit.Limited, PerSecond: 0.5}, ratelimit.Answer)
+	state.Observe(now, now, ratelimit.Limit{Kind: ratelimit.Limited, PerSecond: 0.5}, ratelimit.Answer)
 	for !state.Open(time.Now()) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	is.True(a.Borrow(t.Context(), b.address, server))
 	is.True(!a.Borrow(t.Context(), b.address, server))
-	is.True(!a.Borrow(t.Context(), b.address, ratelimit.NameOf("i-1", 8)))
+	is.True(!a.Borrow(t.Context(), b.address, ratelimit.ServerOf("i-1", 8)))
 
 	b.Stop()
 	began := time.Now()
--- a/internal/peertransport/transport.go
+++ b/internal/peertransport/transport.go
@@ -54,7 +54,7 @@
 	// OnPoison takes in what a peer tells of ends of upstreams.
 	OnPoison func(died []poison.Death, answered []poison.Fingerprint)
 	// OnLimits takes in what a peer tells of the limits of upstreams.
-	OnLimits func([]ratelimit.News)
+	OnLimits func([]ratelimit.Update)
 	// LendTimeSlot uses a turn of this host at an upstream for another host. It reports whether
 	// there was one.
 	LendTimeSlot func(ratelimit.Server) bool
--- a/internal/peertransport/transport_test.go
+++ b/internal/peertransport/transport_test.go
@@ -34,8 +34,8 @@
 	events  []event.Event
 	told    *storewatch.PeerMessage // its answer; nil knows nothing
 	poison  chan poisonHeard
-	limits  chan []ratelimit.News
-	book    *ratelimit.Book
+	limits  chan []ratelimit.Update
+	book    *ratelimit.Registry
 }
 
 // poisonHeard is one message on ends of upstreams.
@@ -78,7 +78,7 @@
 func begin(t *testing.T) *host {
 	address := freeAddress(t)
 	h := &host{address: address, heard: make(chan *storewatch.PeerMessage, 8), poison: make(chan poisonHeard, 8),
-		limits: make(chan []ratelimit.News, 8), book: ratelimit.NewBook(timeslot.Single())}
+		limits: make(chan []ratelimit.Update, 8), book: ratelimit.NewRegistry(timeslot.Single())}
 	h.Transport = New(Config{
 		Address:   address,
 		OnMessage: func(told *storewatch.PeerMessage) { h.heard <- told },
@@ -90,7 +90,7 @@
 		},
 		Events: h,
 
-		OnLimits:     func(told []ratelimit.News) { h.limits <- told },
+		OnLimits:     func(told []ratelimit.Update) { h.limits <- told },
 		LendTimeSlot: func(s ratelimit.Server) bool { return h.book.Lend(time.Now(), s) },
 		OnPoison: func(died []poison.Death, answered []poison.Fingerprint) {
 			h.poison <- poisonHeard{died, answered}
--- a/internal/peertransport/turns.go
+++ b/internal/peertransport/turns.go
@@ -39,7 +39,7 @@
 func (t *Transport) Borrow(ctx context.Context, lender netip.AddrPort, server ratelimit.Server) bool {
 	number, answer := t.borrowing.ask()
 	defer t.borrowing.take(number)
-	t.tellKind([]netip.AddrPort{lender}, borrowKind, borrowMessage{number, server.Name, server.Born})
+	t.tellKind([]netip.AddrPort{lender}, borrowKind, borrowMessage{number, server.IDHash, server.StartedAt})
 	late := time.NewTimer(borrowTimeout)
 	defer late.Stop()
 	select {
@@ -58,7 +58,7 @@
 	if err := json.Unmarshal(text, &m); err != nil {
 		return errors.Wrap(err, "question for a turn")
 	}
-	lent := t.conf.LendTimeSlot(ratelimit.Server{Name: m.Upstream, Born: m.Born})
+	lent := t.conf.LendTimeSlot(ratelimit.Server{IDHash: m.Upstream, StartedAt: m.Born})
 	t.tellKind([]netip.AddrPort{from}, lentKind, lentMessage{m.Question, lent})
 	return nil
 }
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -55,7 +55,7 @@
 	Rest func(status int, h http.Header) (time.Duration, error)
 	// Limit reads what an answer says of the requests a second that the upstream takes from
 	// all hosts together; an error if its word can't be read. Nil reads nothing.
-	Limit func(status int, h http.Header) (ratelimit.Word, error)
+	Limit func(status int, h http.Header) (ratelimit.Limit, error)
 }
 
 // OwnDialect is the product's own: docs/OVERLOAD.md.
@@ -92,12 +92,12 @@
 
 // ownLimit reads the product's own word for a limit. An entry host below speaks for
 // itself where it gives no upstream's answer; a refusal that names none says nothing.
-func ownLimit(status int, h http.Header) (ratelimit.Word, error) {
+func ownLimit(status int, h http.Header) (ratelimit.Limit, error) {
 	value := h.Get(HeaderLimit)
 	if value == "" && (h.Get(HeaderError) != "" || status == http.StatusServiceUnavailable) {
-		return ratelimit.Word{}, nil
+		return ratelimit.Limit{}, nil
 	}
-	return ratelimit.Read(value)
+	return ratelimit.Parse(value)
 }
 
 // WithDialect speaks d instead of the product's own dialect.
--- a/internal/proxy/limiting_test.go
+++ b/internal/proxy/limiting_test.go
@@ -123,7 +123,7 @@
 	fleet     *limitFleet
 	proxy     *Proxy
 	turns     *timeslot.Schedule
-	book      *ratelimit.Book
+	book      *ratelimit.Registry
 	snapshot  *lifecycle.Snapshot
 	deaf      bool // hears nothing of other hosts, nor they of it
 }
@@ -137,13 +137,13 @@
 
 // LimitHeard tells the other hosts.
 func (h *limitHost) LimitHeard(u *balancer.Upstream) {
-	news, known := u.Limit.News(clock.Now())
+	news, known := u.Limit.Update(clock.Now())
 	if !known || h.deaf {
 		return
 	}
 	for _, other := range h.fleet.hosts {
 		if other != h && !other.deaf {
-			time.AfterFunc(newsTakes, func() { other.book.Hear(clock.Now(), []ratelimit.News{news}) })
+			time.AfterFunc(newsTakes, func() { other.book.ApplyPeerUpdates(clock.Now(), []ratelimit.Update{news}) })
 		}
 	}
 }
@@ -176,7 +176,7 @@
 	for i := range hosts {
 		h := &limitHost{fleet: f, turns: timeslot.New(strconv.Itoa(i)), snapshot: takesAll(upstreams)}
 		h.turns.Set(clock.Now(), timeslot.Position{Self: i, Hosts: hosts})
-		h.book = ratelimit.NewBook(h.turns)
+		h.book = ratelimit.NewRegistry(h.turns)
 		h.proxy = New("127.0.0.1", "test", f.upstreams, new(recorder), WithRandom(seeded(uint64(i+1))), WithUpstreams(h), WithLenders(h))
 		h.proxy.SetTable(routing.Compile(1, []*config.Service{document}, groupsFunc(h.group)))
 		f.hosts = append(f.hosts, h)
@@ -188,7 +188,7 @@
 func (h *limitHost) group(_ *config.Service, g *config.Group) *routing.Group {
 	members := records(g)
 	for _, u := range members {
-		u.Limit = h.book.Hold(u.ID, 0)
+		u.Limit = h.book.Acquire(u.ID, 0)
 	}
 	b, err := registry.Lookup(g.Policy)
 	if err != nil {
--- a/internal/proxy/ratelimit.go
+++ b/internal/proxy/ratelimit.go
@@ -31,11 +31,11 @@
 	if err != nil {
 		return event.Event{Code: event.LimitUnreadable, Upstream: u.ID, Reason: from.String(), Detail: err.Error()}, true
 	}
-	return LimitEvent(u.ID, word, from), u.Limit.Hear(now, sent, word, from)
+	return LimitEvent(u.ID, word, from), u.Limit.Observe(now, sent, word, from)
 }
 
 // LimitEvent says what is now known of an upstream's limit.
-func LimitEvent(upstream string, w ratelimit.Word, from ratelimit.Source) event.Event {
+func LimitEvent(upstream string, w ratelimit.Limit, from ratelimit.Source) event.Event {
 	const perEvent = 1000 // seconds
 	if w.Kind != ratelimit.Limited {
 		return event.Event{Code: event.LimitEnded, Upstream: upstream, Reason: from.String()}
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -145,7 +145,7 @@
 	// Turns says when this host may send to cold upstreams; nil is any time.
 	Turns *timeslot.Schedule
 	// Limits are those that upstreams name; nil is none.
-	Limits *ratelimit.Book
+	Limits *ratelimit.Registry
 	// SlowStart is the time over which a new upstream's share grows to full; 0 is off.
 	SlowStart time.Duration
 }
--- a/pkg/balancer/probefirst/probefirst.go
+++ b/pkg/balancer/probefirst/probefirst.go
@@ -66,7 +66,7 @@
 	crowding      *crowding
 	idle          *idleShare
 	turns         *timeslot.Schedule
-	limits        *ratelimit.Book
+	limits        *ratelimit.Registry
 }
 
 // Update implements balancer.Policy.
@@ -90,7 +90,7 @@
 	crowding   *crowding
 	idle       *idleShare
 	turns      *timeslot.Schedule
-	limits     *ratelimit.Book
+	limits     *ratelimit.Registry
 }
 
 // eligible reports whether a request may go to u now.
--- a/pkg/balancer/probefirst/turn_test.go
+++ b/pkg/balancer/probefirst/turn_test.go
@@ -17,10 +17,10 @@
 	heard := start.Add(-time.Minute)
 	mine := timeslot.New("host")
 	mine.Set(heard, timeslot.Position{Self: self, Hosts: hosts})
-	book := ratelimit.NewBook(mine)
+	book := ratelimit.NewRegistry(mine)
 	u := member(id, "here")
-	u.Limit = book.Hold(id, 0)
-	u.Limit.Hear(heard, heard, ratelimit.Word{Kind: ratelimit.Limited, PerSecond: 2}, ratelimit.Answer)
+	u.Limit = book.Acquire(id, 0)
+	u.Limit.Observe(heard, heard, ratelimit.Limit{Kind: ratelimit.Limited, PerSecond: 2}, ratelimit.Answer)
 	policy := Builder{}.Build(balancer.Options{FailureDomain: "here", Turns: mine, Limits: book})
 	return policy.Update(append([]*balancer.Upstream{u}, others...)).(*picker), u
 }
--- a/pkg/ratelimit/book.go
+++ b/pkg/ratelimit/book.go
@@ -21,17 +21,17 @@
 
 // Server names one start of an upstream among all hosts.
 type Server struct {
-	// Name is a hash of its id.
-	Name uint64
-	// Born is its start as it says itself; 0 if it does not.
-	Born int64
+	// IDHash is a hash of its id.
+	IDHash uint64
+	// StartedAt is its start as it says itself; 0 if it does not.
+	StartedAt int64
 }
 
-// NameOf returns the server of an id and a start.
-func NameOf(id string, born int64) Server { return Server{xxhash.Sum64String(id), born} }
+// ServerOf returns the server of an id and a start.
+func ServerOf(id string, born int64) Server { return Server{xxhash.Sum64String(id), born} }
 
-// News is what a host knows of the limit of one upstream, as it tells others.
-type News struct {
+// Update is what a host knows of the limit of one upstream, as it tells others.
+type Update struct {
 	Server Server
 	// PerSecond is the limit in force.
 	PerSecond float64
@@ -49,25 +49,25 @@
 var ErrInvalidUpdate = errors.New("news of a limit that can't be true")
 
 // Validate checks news of another host.
-func (n *News) Validate() error {
+func (n *Update) Validate() error {
 	if !(n.PerSecond >= 0 && n.PerSecond <= MaxPerSecond) || n.Age < 0 || n.Age > maxAge {
 		return errors.Wrapf(ErrInvalidUpdate, "%v a second, %v ago", n.PerSecond, n.Age)
 	}
 	return nil
 }
 
-// AgeOf converts an age in microseconds, as hosts tell it; one that can't be true is
+// ParseAge converts an age in microseconds, as hosts tell it; one that can't be true is
 // negative.
-func AgeOf(microseconds int64) time.Duration {
+func ParseAge(microseconds int64) time.Duration {
 	if microseconds < 0 || microseconds > maxAge.Microseconds() {
 		return -1
 	}
 	return time.Duration(microseconds) * time.Microsecond
 }
 
-// Book holds the states of the upstreams that one host has records of. It is safe for
+// Registry holds the states of the upstreams that one host has records of. It is safe for
 // concurrent use.
-type Book struct {
+type Registry struct {
 	turns *timeslot.Schedule
 
 	tally tally
@@ -87,13 +87,15 @@
 	released time.Time // when the last record was given up
 }
 
-// NewBook returns an empty book of a host whose turns are given.
-func NewBook(t *timeslot.Schedule) *Book { return &Book{turns: t, held: make(map[Server]*holding)} }
+// NewRegistry returns an empty book of a host whose turns are given.
+func NewRegistry(t *timeslot.Schedule) *Registry {
+	return &Registry{turns: t, held: make(map[Server]*holding)}
+}
 
-// Hold returns the state for a record of an upstream, the same for all records of an id and
+// Acquire returns the state for a record of an upstream, the same for all records of an id and
 // a start.
-func (b *Book) Hold(id string, born int64) *State {
-	server := NameOf(id, born)
+func (b *Registry) Acquire(id string, born int64) *State {
+	server := ServerOf(id, born)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.held[server]
@@ -107,7 +109,7 @@
 }
 
 // Release states that a record whose state is s is given up.
-func (b *Book) Release(now time.Time, s *State) {
+func (b *Registry) Release(now time.Time, s *State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if h := b.held[s.server]; h != nil && h.state == s {
@@ -117,7 +119,7 @@
 }
 
 // Tick forgets the upstreams that have had no record for a while.
-func (b *Book) Tick(now time.Time) {
+func (b *Registry) Tick(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for server, h := range b.held {
@@ -128,52 +130,52 @@
 	}
 }
 
-// AnyLimited reports whether any upstream names a limit. A nil Book knows of none.
-func (b *Book) AnyLimited() bool { return b != nil && b.tally.inForce.Load() > 0 }
+// AnyLimited reports whether any upstream names a limit. A nil Registry knows of none.
+func (b *Registry) AnyLimited() bool { return b != nil && b.tally.inForce.Load() > 0 }
 
 // Len returns the number of states held.
-func (b *Book) Len() int {
+func (b *Registry) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.held)
 }
 
 // Limited reports whether the upstream with an id, which names no start, names a limit.
-func (b *Book) Limited(id string) bool {
+func (b *Registry) Limited(id string) bool {
 	b.mu.Lock()
-	h := b.held[NameOf(id, 0)]
+	h := b.held[ServerOf(id, 0)]
 	b.mu.Unlock()
 	return h != nil && h.state.Limited()
 }
 
 // Lend uses a turn of this host at an upstream for a request of another host. It is false if
 // there is none.
-func (b *Book) Lend(now time.Time, server Server) bool {
+func (b *Registry) Lend(now time.Time, server Server) bool {
 	b.mu.Lock()
 	h := b.held[server]
 	b.mu.Unlock()
 	return h != nil && h.state.Lend(now)
 }
 
-// News returns what other hosts should hear: the limits in force, and those that ended
+// Updates returns what other hosts should hear: the limits in force, and those that ended
 // lately.
-func (b *Book) News(now time.Time) []News {
+func (b *Registry) Updates(now time.Time) []Update {
 	if !b.AnyLimited() && now.UnixNano()-b.tally.ended.Load() >= int64(EndAnnouncePeriod) {
 		return nil
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var out []News
+	var out []Update
 	for _, h := range b.held {
-		if n, ok := h.state.News(now); ok {
+		if n, ok := h.state.Update(now); ok {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// Hear takes in what another host tells, and returns the states that this changes.
-func (b *Book) Hear(now time.Time, news []News) []*State {
+// ApplyPeerUpdates takes in what another host tells, and returns the states that this changes.
+func (b *Registry) ApplyPeerUpdates(now time.Time, news []Update) []*State {
 	var changed []*State
 	for _, n := range news {
 		b.mu.Lock()
@@ -193,21 +195,21 @@
 	s.end(now)
 }
 
-// News returns what other hosts should hear; false if there is nothing to say.
-func (s *State) News(now time.Time) (News, bool) {
+// Update returns what other hosts should hear; false if there is nothing to say.
+func (s *State) Update(now time.Time) (Update, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n := s.current.Load(); n != nil {
 		heard := time.Unix(0, n.heard.Load())
-		return News{Server: s.server, PerSecond: n.perSecond, Age: max(now.Sub(heard), 0)}, true
+		return Update{Server: s.server, PerSecond: n.perSecond, Age: max(now.Sub(heard), 0)}, true
 	}
 	since := now.Sub(s.ended)
-	return News{Server: s.server, Ended: true, Age: since}, !s.ended.IsZero() && since < EndAnnouncePeriod
+	return Update{Server: s.server, Ended: true, Age: since}, !s.ended.IsZero() && since < EndAnnouncePeriod
 }
 
 // ApplyPeerUpdate takes in what another host tells. It reports whether that changes what is known:
 // the newest word counts.
-func (s *State) ApplyPeerUpdate(now time.Time, news News) bool {
+func (s *State) ApplyPeerUpdate(now time.Time, news Update) bool {
 	said := now.Add(-max(news.Age, 0))
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/ratelimit/fleet_test.go
+++ b/pkg/ratelimit/fleet_test.go
@@ -83,7 +83,7 @@
 func (f *fleet) tell(at time.Time) {
 	for _, h := range f.hosts {
 		for u, s := range h.states {
-			s.Hear(at.Add(h.clock), at.Add(h.clock), Word{Limited, f.perSecond[u]}, Answer)
+			s.Observe(at.Add(h.clock), at.Add(h.clock), Limit{Limited, f.perSecond[u]}, Answer)
 		}
 	}
 }
--- a/pkg/ratelimit/ratelimit.go
+++ b/pkg/ratelimit/ratelimit.go
@@ -93,7 +93,7 @@
 // NewState returns what a host whose turns are given knows at first of an upstream. Born is
 // the start that the upstream names itself, or 0.
 func NewState(id string, born int64, t *timeslot.Schedule) *State {
-	return &State{id: id, server: NameOf(id, born), turns: t}
+	return &State{id: id, server: ServerOf(id, born), turns: t}
 }
 
 // ID is the upstream's id.
@@ -102,17 +102,17 @@
 // Server names the upstream among hosts.
 func (s *State) Server() Server { return s.server }
 
-// Word returns what is known.
-func (s *State) Word() Word {
+// Limit returns what is known.
+func (s *State) Limit() Limit {
 	if n := s.current.Load(); n != nil {
-		return Word{Kind: Limited, PerSecond: n.perSecond}
+		return Limit{Kind: Limited, PerSecond: n.perSecond}
 	}
-	return Word{Kind: Unlimited}
+	return Limit{Kind: Unlimited}
 }
 
-// Hear takes in what an answer says that came now, to a request or a probe that was sent at
+// Observe takes in what an answer says that came now, to a request or a probe that was sent at
 // a time. It reports whether that changes what is known.
-func (s *State) Hear(now, sent time.Time, w Word, from Source) bool {
+func (s *State) Observe(now, sent time.Time, w Limit, from Source) bool {
 	if s == nil || w.Kind == Unspecified || w.Kind == Unlimited && s.current.Load() == nil {
 		return false
 	}
@@ -247,7 +247,7 @@
 	place, _ := s.turns.Position()
 	first := int64(random % uint64(begun))
 	for i := range min(begun, 2) { // two slots in a row are not both this host's
-		host = s.turns.Owner(from+(first+i)%begun, s.server.Name)
+		host = s.turns.Owner(from+(first+i)%begun, s.server.IDHash)
 		if host != place.Self {
 			return host, true
 		}
@@ -293,7 +293,7 @@
 
 // nextAfter is next with the last slot that is used.
 func (s *State) nextAfter(now time.Time, n *naming, used int64) turn {
-	slot := s.turns.Next(max(n.slotFrom(s.validFrom(now, n)), used+1), s.server.Name)
+	slot := s.turns.Next(max(n.slotFrom(s.validFrom(now, n)), used+1), s.server.IDHash)
 	return turn{slot, n.begins(slot)}
 }
 
--- a/pkg/ratelimit/ratelimit_test.go
+++ b/pkg/ratelimit/ratelimit_test.go
@@ -14,11 +14,11 @@
 func Example() {
 	now := time.Unix(1000, 0)
 	s := NewState("i-1", 0, timeslot.Single())
-	word, err := Read("2")
+	word, err := Parse("2")
 	if err != nil {
 		return
 	}
-	s.Hear(now, now, word, Answer)
+	s.Observe(now, now, word, Answer)
 	fmt.Println(s.Take(now), s.Take(now), s.Delay(now))
 	fmt.Println(s.Take(now.Add(500 * time.Millisecond)))
 	// Output:
@@ -26,14 +26,14 @@
 	// true
 }
 
-func named(perSecond float64) Word { return Word{Limited, perSecond} }
+func named(perSecond float64) Limit { return Limit{Limited, perSecond} }
 
-var unlimited = Word{Kind: Unlimited}
+var unlimited = Limit{Kind: Unlimited}
 
 // alone returns the state of a host without a fleet that has just heard a limit.
 func alone(perSecond float64) *State {
 	s := NewState("i-1", 0, timeslot.Single())
-	s.Hear(epoch, epoch, named(perSecond), Answer)
+	s.Observe(epoch, epoch, named(perSecond), Answer)
 	return s
 }
 
@@ -46,7 +46,7 @@
 		is.True(!s.Limited())
 		is.True(!s.Unconfirmed(epoch))
 		is.True(math.IsInf(s.HostRate(), 1))
-		is.True(!s.Hear(epoch, epoch, unlimited, Answer))
+		is.True(!s.Observe(epoch, epoch, unlimited, Answer))
 	}
 }
 
@@ -57,13 +57,13 @@
 	for name, test := range map[string]struct {
 		heard []Source
 		sent  time.Time
-		word  Word
+		word  Limit
 		from  Source
 		ends  bool
 	}{
 		"answer":                           {[]Source{Answer}, epoch, unlimited, Answer, true},
 		"answer to an earlier request":     {[]Source{Answer}, epoch.Add(-1), unlimited, Answer, false},
-		"says nothing":                     {[]Source{Answer}, epoch, Word{}, Answer, false},
+		"says nothing":                     {[]Source{Answer}, epoch, Limit{}, Answer, false},
 		"probes never named it":            {[]Source{Answer}, epoch, unlimited, Probe, false},
 		"a probe named it too":             {[]Source{Answer, Probe}, epoch, unlimited, Probe, true},
 		"answers never named it":           {[]Source{Probe}, epoch, unlimited, Answer, false},
@@ -76,13 +76,13 @@
 			s := NewState("i-1", 0, timeslot.Single())
 			for _, from := range test.heard {
 				if from == Peer {
-					s.ApplyPeerUpdate(epoch, News{PerSecond: 2})
+					s.ApplyPeerUpdate(epoch, Update{PerSecond: 2})
 					continue
 				}
-				s.Hear(epoch, epoch, named(2), from)
+				s.Observe(epoch, epoch, named(2), from)
 			}
 			is.True(s.Limited())
-			is.Equal(s.Hear(later, test.sent, test.word, test.from), test.ends)
+			is.Equal(s.Observe(later, test.sent, test.word, test.from), test.ends)
 			is.Equal(s.Limited(), !test.ends)
 		})
 	}
@@ -92,36 +92,36 @@
 func TestSourcesOutliveChanges(t *testing.T) {
 	is := is.New(t)
 	s := NewState("i-1", 0, timeslot.Single())
-	s.Hear(epoch, epoch, named(2), Probe)
-	is.True(s.Hear(epoch, epoch, named(3), Probe))
-	is.True(!s.Hear(epoch, epoch, unlimited, Answer))
-	is.True(s.Hear(epoch, epoch, unlimited, Probe))
+	s.Observe(epoch, epoch, named(2), Probe)
+	is.True(s.Observe(epoch, epoch, named(3), Probe))
+	is.True(!s.Observe(epoch, epoch, unlimited, Answer))
+	is.True(s.Observe(epoch, epoch, unlimited, Probe))
 }
 
 func TestNewestWordCounts(t *testing.T) {
 	is := is.New(t)
 	s := alone(2)
-	is.True(!s.ApplyPeerUpdate(epoch.Add(time.Second), News{Ended: true, Age: 1500 * time.Millisecond})) // older
-	is.True(!s.ApplyPeerUpdate(epoch.Add(time.Second), News{PerSecond: 5, Age: time.Second}))            // as old
-	is.True(s.ApplyPeerUpdate(epoch.Add(time.Second), News{PerSecond: 5, Age: 900 * time.Millisecond}))
-	is.Equal(s.Word(), named(5))
-	is.True(s.ApplyPeerUpdate(epoch.Add(2*time.Second), News{Ended: true}))
-	is.True(!s.ApplyPeerUpdate(epoch.Add(3*time.Second), News{PerSecond: 5, Age: 1500 * time.Millisecond})) // before the end
+	is.True(!s.ApplyPeerUpdate(epoch.Add(time.Second), Update{Ended: true, Age: 1500 * time.Millisecond})) // older
+	is.True(!s.ApplyPeerUpdate(epoch.Add(time.Second), Update{PerSecond: 5, Age: time.Second}))            // as old
+	is.True(s.ApplyPeerUpdate(epoch.Add(time.Second), Update{PerSecond: 5, Age: 900 * time.Millisecond}))
+	is.Equal(s.Limit(), named(5))
+	is.True(s.ApplyPeerUpdate(epoch.Add(2*time.Second), Update{Ended: true}))
+	is.True(!s.ApplyPeerUpdate(epoch.Add(3*time.Second), Update{PerSecond: 5, Age: 1500 * time.Millisecond})) // before the end
 	is.True(!s.Limited())
-	is.True(s.ApplyPeerUpdate(epoch.Add(3*time.Second), News{PerSecond: 5, Age: 500 * time.Millisecond}))
+	is.True(s.ApplyPeerUpdate(epoch.Add(3*time.Second), Update{PerSecond: 5, Age: 500 * time.Millisecond}))
 }
 
 func TestNewsAreToldForAWhile(t *testing.T) {
 	is := is.New(t)
 	s := alone(2)
-	news, ok := s.News(epoch.Add(time.Second))
+	news, ok := s.Update(epoch.Add(time.Second))
 	is.True(ok)
-	is.Equal(news, News{Server: NameOf("i-1", 0), PerSecond: 2, Age: time.Second})
-	s.Hear(epoch.Add(2*time.Second), epoch.Add(time.Second), unlimited, Answer)
-	news, ok = s.News(epoch.Add(3 * time.Second))
+	is.Equal(news, Update{Server: ServerOf("i-1", 0), PerSecond: 2, Age: time.Second})
+	s.Observe(epoch.Add(2*time.Second), epoch.Add(time.Second), unlimited, Answer)
+	news, ok = s.Update(epoch.Add(3 * time.Second))
 	is.True(ok)
-	is.Equal(news, News{Server: NameOf("i-1", 0), Ended: true, Age: time.Second})
-	_, ok = s.News(epoch.Add(2*time.Second + EndAnnouncePeriod))
+	is.Equal(news, Update{Server: ServerOf("i-1", 0), Ended: true, Age: time.Second})
+	_, ok = s.Update(epoch.Add(2*time.Second + EndAnnouncePeriod))
 	is.True(!ok)
 }
 
@@ -149,7 +149,7 @@
 	s := alone(10)
 	at := epoch.Add(time.Minute + 10*time.Millisecond)
 	is.True(s.Open(at))
-	s.Hear(at, at, named(7.5), Answer)
+	s.Observe(at, at, named(7.5), Answer)
 	is.True(!s.Open(at))
 	is.True(s.Delay(at) < time.Second/7)
 
@@ -177,7 +177,7 @@
 	s := alone(2)
 	is.True(!s.Unconfirmed(epoch.Add(ConfirmInterval)))
 	is.True(s.Unconfirmed(epoch.Add(ConfirmInterval + 1)))
-	s.Hear(epoch.Add(ConfirmInterval), epoch, named(2), Answer)
+	s.Observe(epoch.Add(ConfirmInterval), epoch, named(2), Answer)
 	is.True(!s.Unconfirmed(epoch.Add(ConfirmInterval + 1)))
 }
 
@@ -202,25 +202,25 @@
 
 func TestBook(t *testing.T) {
 	is := is.New(t)
-	b := NewBook(timeslot.Single())
-	s := b.Hold("i-1", 0)
-	is.Equal(b.Hold("i-1", 0), s)
-	is.True(b.Hold("i-1", 7) != s) // another start
+	b := NewRegistry(timeslot.Single())
+	s := b.Acquire("i-1", 0)
+	is.Equal(b.Acquire("i-1", 0), s)
+	is.True(b.Acquire("i-1", 7) != s) // another start
 	is.True(!b.Limited("i-1"))
-	changed := b.Hear(epoch, []News{{Server: NameOf("i-1", 0), PerSecond: 2}, {Server: NameOf("i-2", 0), PerSecond: 2}})
+	changed := b.ApplyPeerUpdates(epoch, []Update{{Server: ServerOf("i-1", 0), PerSecond: 2}, {Server: ServerOf("i-2", 0), PerSecond: 2}})
 	is.Equal(changed, []*State{s})
 	is.True(b.Limited("i-1"))
-	is.Equal(len(b.News(epoch)), 1)
-	s.Hear(epoch.Add(time.Second), epoch, unlimited, Answer)
-	is.Equal(len(b.News(epoch.Add(2*time.Second))), 1) // the end
-	is.Equal(len(b.News(epoch.Add(time.Second+EndAnnouncePeriod))), 0)
-	s.Hear(epoch.Add(time.Second), epoch, named(2), Answer)
+	is.Equal(len(b.Updates(epoch)), 1)
+	s.Observe(epoch.Add(time.Second), epoch, unlimited, Answer)
+	is.Equal(len(b.Updates(epoch.Add(2*time.Second))), 1) // the end
+	is.Equal(len(b.Updates(epoch.Add(time.Second+EndAnnouncePeriod))), 0)
+	s.Observe(epoch.Add(time.Second), epoch, named(2), Answer)
 	b.Release(epoch, s)
 	b.Tick(epoch.Add(keepReleased))
 	is.Equal(b.Len(), 2) // one record is left
 	b.Release(epoch, s)
 	b.Tick(epoch.Add(keepReleased - 1))
-	is.Equal(b.Hold("i-1", 0), s)
+	is.Equal(b.Acquire("i-1", 0), s)
 	is.True(b.AnyLimited())
 	b.Release(epoch, s)
 	b.Tick(epoch.Add(keepReleased))
@@ -230,10 +230,10 @@
 
 func TestValidate(t *testing.T) {
 	is := is.New(t)
-	for _, n := range []News{{PerSecond: -1}, {PerSecond: math.NaN()}, {PerSecond: math.Inf(1)}, {Age: -1}, {Age: maxAge + 1}} {
+	for _, n := range []Update{{PerSecond: -1}, {PerSecond: math.NaN()}, {PerSecond: math.Inf(1)}, {Age: -1}, {Age: maxAge + 1}} {
 		is.True(n.Validate() != nil)
 	}
-	ok := News{PerSecond: 1.2, Age: time.Second}
+	ok := Update{PerSecond: 1.2, Age: time.Second}
 	is.NoErr(ok.Validate())
 }
 
@@ -244,7 +244,7 @@
 	for name, s := range map[string]*State{"unlimited": NewState("i-1", 0, fleet), "limited": NewState("i-2", 0, fleet)} {
 		b.Run(name, func(b *testing.B) {
 			if name == "limited" {
-				s.Hear(epoch, epoch, named(1.2), Answer)
+				s.Observe(epoch, epoch, named(1.2), Answer)
 			}
 			now := epoch.Add(time.Second)
 			b.ReportAllocs()
--- a/pkg/ratelimit/word.go
+++ b/pkg/ratelimit/word.go
@@ -23,8 +23,8 @@
 	Limited
 )
 
-// Word is what one answer says of the limit of the upstream that gave it.
-type Word struct {
+// Limit is what one answer says of the limit of the upstream that gave it.
+type Limit struct {
 	// Kind is what it says.
 	Kind Kind
 	// PerSecond is the limit, in requests a second of all hosts together.
@@ -34,17 +34,17 @@
 // MaxPerSecond bounds a limit; upstreams that take more are as good as unlimited.
 const MaxPerSecond = 1e6
 
-// Read reads a limit as upstreams write it, a decimal number of requests a second. An
+// Parse reads a limit as upstreams write it, a decimal number of requests a second. An
 // empty value names none; one that is not a number from 0 on is ErrInvalidLimit, and says
 // nothing.
-func Read(value string) (Word, error) {
+func Parse(value string) (Limit, error) {
 	value = strings.TrimSpace(value)
 	if value == "" {
-		return Word{Kind: Unlimited}, nil
+		return Limit{Kind: Unlimited}, nil
 	}
 	n, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) || n < 0 {
-		return Word{}, ErrInvalidLimit
+		return Limit{}, ErrInvalidLimit
 	}
-	return Word{Kind: Limited, PerSecond: min(n, MaxPerSecond)}, nil
+	return Limit{Kind: Limited, PerSecond: min(n, MaxPerSecond)}, nil
 }
--- a/pkg/ratelimit/word_test.go
+++ b/pkg/ratelimit/word_test.go
@@ -11,7 +11,7 @@
 
 func TestRead(t *testing.T) {
 	is := is.New(t)
-	for value, want := range map[string]ratelimit.Word{
+	for value, want := range map[string]ratelimit.Limit{
 		"":      {Kind: ratelimit.Unlimited},
 		" ":     {Kind: ratelimit.Unlimited},
 		"0":     {Kind: ratelimit.Limited},
@@ -21,13 +21,13 @@
 		"2e2":   {Kind: ratelimit.Limited, PerSecond: 200},
 		"1e300": {Kind: ratelimit.Limited, PerSecond: ratelimit.MaxPerSecond},
 	} {
-		got, err := ratelimit.Read(value)
+		got, err := ratelimit.Parse(value)
 		is.NoErr(err)
 		is.Equal(got, want)
 	}
 	for _, value := range []string{"-1", "few", "NaN", "inf", "1e999", "3/s", "1,5", "2 3"} {
-		got, err := ratelimit.Read(value)
+		got, err := ratelimit.Parse(value)
 		is.True(errors.Is(err, ratelimit.ErrInvalidLimit))
-		is.Equal(got, ratelimit.Word{})
+		is.Equal(got, ratelimit.Limit{})
 	}
 }
