--- a/internal/gateway/asker.go
+++ b/internal/gateway/asker.go
@@ -73,7 +73,7 @@
 		feedback.Report = a.dialect.Load(resp.Header)
 		a.limited(group, u, now, sent, resp)
 		if left, ok := a.dialect.Cold(resp.Header); ok {
-			u.Cold.Told(now, left)
+			u.Cold.SetCold(now, left)
 		}
 	}
 	balancer.FinishProbe(group.Picker, u, feedback)
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -134,12 +134,12 @@
 		if u == nil || u.Activation != entry.Start || u.Address != upstream.InstanceTarget(entry.ID, entry.Address) {
 			u = newRecord(entry)
 			p.grown = true
-			u.Cold.Bears(u.ID, pl.coldRate)
+			u.Cold.SetRate(u.ID, pl.coldRate)
 			u.Rest.Extend(p.rests.Until(restKey(entry.ID, entry.Start)))
 			u.Limit = p.limits.Acquire(entry.ID, entry.Born)
 		}
 		if pl.entries[entry.ID] != entry.Revision {
-			u.Cold.Heard(now, entry.ColdFor)
+			u.Cold.ExtendCold(now, entry.ColdFor)
 		}
 		known[entry.ID], entries[entry.ID] = u, entry.Revision
 	}
@@ -159,7 +159,7 @@
 	}
 	pl.coldRate = coldRate
 	for _, u := range pl.records {
-		u.Cold.Bears(u.ID, coldRate)
+		u.Cold.SetRate(u.ID, coldRate)
 	}
 }
 
--- a/pkg/balancer/probefirst/cold_test.go
+++ b/pkg/balancer/probefirst/cold_test.go
@@ -19,8 +19,8 @@
 // coldMember is an upstream that is cold for some seconds.
 func coldMember(id string) *balancer.Upstream {
 	u := member(id, "here")
-	u.Cold.Bears(id, 2.5)
-	u.Cold.Told(start, 3*time.Second)
+	u.Cold.SetRate(id, 2.5)
+	u.Cold.SetCold(start, 3*time.Second)
 	return u
 }
 
--- a/pkg/balancer/probefirst/turn_test.go
+++ b/pkg/balancer/probefirst/turn_test.go
@@ -61,8 +61,8 @@
 	both := 0
 	for self := range hosts {
 		p, u := limitingHost(self, hosts, "i-1")
-		u.Cold.Bears(u.ID, 2.5)
-		u.Cold.Told(start, time.Minute)
+		u.Cold.SetRate(u.ID, 2.5)
+		u.Cold.SetCold(start, time.Minute)
 		tell(u, start, 0, 1)
 		cold := u.Cold.Open(start, p.turns)
 		_, err := p.Pick(balancer.PickInfo{Now: start})
--- a/pkg/coldstart/coldstart.go
+++ b/pkg/coldstart/coldstart.go
@@ -34,22 +34,22 @@
 	used  atomic.Int64  // slot of the last turn that was used, plus one
 }
 
-// Bears sets how many requests a second an upstream bears over all hosts while it is
+// SetRate sets how many requests a second an upstream bears over all hosts while it is
 // cold; 0 sets no bound. The id shifts its order of turns.
-func (u *Upstream) Bears(id string, perSecond float64) {
+func (u *Upstream) SetRate(id string, perSecond float64) {
 	u.shift.Store(xxhash.Sum64String(id))
 	u.rate.Store(math.Float64bits(max(perSecond, 0)))
 }
 
-// Told takes in the upstream's own answer that it is cold for a time from now on; 0 or
+// SetCold takes in the upstream's own answer that it is cold for a time from now on; 0 or
 // less says that it is warm.
-func (u *Upstream) Told(now time.Time, left time.Duration) {
+func (u *Upstream) SetCold(now time.Time, left time.Duration) {
 	u.until.Store(now.Add(left).UnixNano())
 }
 
-// Heard takes in news that the upstream was cold for a time when the news was written,
+// ExtendCold takes in news that the upstream was cold for a time when the news was written,
 // which may be a while ago: it never makes the upstream warm.
-func (u *Upstream) Heard(now time.Time, left time.Duration) {
+func (u *Upstream) ExtendCold(now time.Time, left time.Duration) {
 	until := now.Add(left).UnixNano()
 	for {
 		known := u.until.Load()
--- a/pkg/coldstart/coldstart_test.go
+++ b/pkg/coldstart/coldstart_test.go
@@ -17,8 +17,8 @@
 	now := time.Unix(1000, 0)
 	mine := timeslot.Single()
 	var u Upstream
-	u.Bears("i-1", 2.5)
-	u.Told(now, 3*time.Second)
+	u.SetRate("i-1", 2.5)
+	u.SetCold(now, 3*time.Second)
 	fmt.Println(u.Take(now, mine), u.Take(now, mine), u.Take(now.Add(400*time.Millisecond), mine))
 	fmt.Println(u.IsCold(now.Add(3 * time.Second)))
 	// Output:
@@ -30,14 +30,14 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	var u Upstream
-	u.Told(now, time.Minute)
+	u.SetCold(now, time.Minute)
 	is.True(!u.IsCold(now)) // bears anything
-	u.Bears("i-1", 2.5)
-	u.Heard(now, 0)
+	u.SetRate("i-1", 2.5)
+	u.ExtendCold(now, 0)
 	is.True(u.IsCold(now))
-	u.Heard(now, 2*time.Minute)
+	u.ExtendCold(now, 2*time.Minute)
 	is.True(u.IsCold(now.Add(time.Minute)))
-	u.Told(now, 0)
+	u.SetCold(now, 0)
 	is.True(!u.IsCold(now))
 }
 
@@ -55,7 +55,7 @@
 		t := timeslot.New(fmt.Sprint("host-", i))
 		t.Set(time.Time{}, timeslot.Position{Self: i, Hosts: hosts})
 		c.turns = append(c.turns, t)
-		c.knows[i].Bears("i-1", rate)
+		c.knows[i].SetRate("i-1", rate)
 	}
 	return c
 }
@@ -66,7 +66,7 @@
 	start := time.Unix(1_700_000_000, 0)
 	var out []time.Duration
 	for i := range c.knows {
-		c.knows[i].Told(start, over+time.Hour)
+		c.knows[i].SetCold(start, over+time.Hour)
 	}
 	for at := time.Duration(0); at < over; at += step {
 		for i, t := range c.turns {
@@ -170,8 +170,8 @@
 	for name, left := range map[string]time.Duration{"warm": 0, "cold": time.Hour} {
 		b.Run(name, func(b *testing.B) {
 			var u Upstream
-			u.Bears("i-1", 2.5)
-			u.Told(now, left)
+			u.SetRate("i-1", 2.5)
+			u.SetCold(now, left)
 			b.ReportAllocs()
 			for b.Loop() {
 				u.Open(now, mine)
