--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -216,7 +216,7 @@
 	}
 	c.placed = s.Version
 	self := slices.IndexFunc(s.Members, func(m membership.Member) bool { return m.Address == s.Self.Address })
-	c.groups.options.Turns.Set(now, timeslot.Position{Self: self, Hosts: len(s.Members)})
+	c.groups.options.Schedule.Set(now, timeslot.Position{Self: self, Hosts: len(s.Members)})
 }
 
 // rank returns this host's place among the usable members, and their number.
--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -52,7 +52,7 @@
 	mine := timeslot.New(host)
 	limits := ratelimit.NewRegistry(mine)
 	return &groupStore{
-		options: balancer.Options{FailureDomain: failureDomain, Turns: mine, Limits: limits},
+		options: balancer.Options{FailureDomain: failureDomain, Schedule: mine, Limits: limits},
 		groups:  make(map[groupKey]*groupState),
 		rests:   backoff.NewRegistry(),
 		limits:  limits,
@@ -65,7 +65,7 @@
 	for _, st := range s.groups {
 		for _, u := range st.upstreams {
 			if upstream.HostOf(u.Address) == address {
-				u.Rest.Extend(until)
+				u.Backoff.Extend(until)
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 		u := st.upstreams[cu.ID]
 		if u == nil || u.Address != upstream.Target(cu.Address, g.TLS) {
 			u = newUpstream(cu, g.TLS)
-			u.Rest.Extend(s.rests.Until(upstream.HostOf(u.Address)))
+			u.Backoff.Extend(s.rests.Until(upstream.HostOf(u.Address)))
 			u.Limit = s.limits.Acquire(upstream.HostOf(u.Address), 0)
 			if joined {
 				u.Added = now
--- a/internal/entry/groups_test.go
+++ b/internal/entry/groups_test.go
@@ -134,7 +134,7 @@
 	f.store.Group(&late, groupOf("random", "10.0.0.1:80"))
 	for _, service := range []string{"catalogue", "ledger", "photos"} {
 		u := f.store.groups[groupKey{service, "main"}].upstreams["10.0.0.1:80"]
-		is.Equal(u.Rest.Delay(now), until.Sub(now))
+		is.Equal(u.Backoff.Delay(now), until.Sub(now))
 	}
-	is.Equal(f.state().upstreams["10.0.0.2:80"].Rest.Delay(now), time.Duration(0))
+	is.Equal(f.state().upstreams["10.0.0.2:80"].Backoff.Delay(now), time.Duration(0))
 }
--- a/internal/gateway/asker.go
+++ b/internal/gateway/asker.go
@@ -53,7 +53,7 @@
 		resp, err = a.question(ctx, group, u)
 	}
 	now := clock.Now()
-	feedback := balancer.Feedback{Now: now, Latency: now.Sub(sent), Asked: mark}
+	feedback := balancer.Feedback{Now: now, Latency: now.Sub(sent), ProbeSentAt: mark}
 	switch {
 	case err != nil:
 		feedback.Outcome = balancer.Failed
@@ -101,7 +101,7 @@
 		return false
 	}
 	a.events.Emit(event.Event{Code: event.RestAsked, Service: service, Upstream: u.ID, Reason: "probe", Value: d.Milliseconds()})
-	a.told.Rests(u, u.Rest.Begin(now, d, a.random()))
+	a.told.Rests(u, u.Backoff.Begin(now, d, a.random()))
 	return true
 }
 
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -146,7 +146,7 @@
 		}
 	}
 	f.inTurn.Store(&inTurn)
-	f.gateway.control.pools.options.Turns.Set(clock.Now(), timeslot.Position{Self: self, Hosts: len(s.Members)})
+	f.gateway.control.pools.options.Schedule.Set(clock.Now(), timeslot.Position{Self: self, Hosts: len(s.Members)})
 }
 
 // settleAfter is how long after it found a first peer a host knows most others: of
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -241,7 +241,7 @@
 		FetchTimeout:       peerTimeout,
 	}
 	if fleet == nil {
-		g.control.pools.options.Turns.Set(clock.Now(), timeslot.Position{Hosts: 1})
+		g.control.pools.options.Schedule.Set(clock.Now(), timeslot.Position{Hosts: 1})
 	} else {
 		g.fleet = fleet
 		fleet.quotaSeeds()
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -65,14 +65,14 @@
 	forget := func(string) {}
 	p.refreshPool(pl, []discovery.Upstream{entry}, forget)
 	now := time.Now()
-	until := pl.records["u"].Rest.Begin(now, time.Minute, 0)
+	until := pl.records["u"].Backoff.Begin(now, time.Minute, 0)
 	p.rests.Extend(restKey("u", 1), until)
 	p.refreshPool(pl, nil, forget)
 	p.refreshPool(pl, []discovery.Upstream{entry}, forget)
-	is.Equal(pl.records["u"].Rest.Delay(now), until.Sub(now))
+	is.Equal(pl.records["u"].Backoff.Delay(now), until.Sub(now))
 	entry.Start = 2
 	p.refreshPool(pl, []discovery.Upstream{entry}, forget)
-	is.Equal(pl.records["u"].Rest.Delay(now), time.Duration(0))
+	is.Equal(pl.records["u"].Backoff.Delay(now), time.Duration(0))
 }
 
 // TestLimitOutlivesRecords: what an upstream names, and the turns that are used, hold when
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -60,7 +60,7 @@
 	mine := timeslot.New(host)
 	limits := ratelimit.NewRegistry(mine)
 	return &pools{
-		options:   balancer.Options{Host: host, FailureDomain: failureDomain, Turns: mine, Limits: limits},
+		options:   balancer.Options{Host: host, FailureDomain: failureDomain, Schedule: mine, Limits: limits},
 		lifecycle: new(lifecycle.Snapshot),
 		services:  make(map[string]*pool),
 		rests:     backoff.NewRegistry(),
@@ -135,7 +135,7 @@
 			u = newRecord(entry)
 			p.grown = true
 			u.Cold.SetRate(u.ID, pl.coldRate)
-			u.Rest.Extend(p.rests.Until(restKey(entry.ID, entry.Start)))
+			u.Backoff.Extend(p.rests.Until(restKey(entry.ID, entry.Start)))
 			u.Limit = p.limits.Acquire(entry.ID, entry.Born)
 		}
 		if pl.entries[entry.ID] != entry.Revision {
--- a/internal/proxy/limiting_test.go
+++ b/internal/proxy/limiting_test.go
@@ -194,7 +194,7 @@
 	if err != nil {
 		panic(err)
 	}
-	picker := b.Build(balancer.Options{Turns: h.turns, Limits: h.book}).Update(members)
+	picker := b.Build(balancer.Options{Schedule: h.turns, Limits: h.book}).Update(members)
 	return &routing.Group{Config: g, Picker: picker, Upstreams: members}
 }
 
--- a/internal/proxy/ratelimit.go
+++ b/internal/proxy/ratelimit.go
@@ -69,7 +69,7 @@
 		return balancer.Result{}, false
 	}
 	for _, u := range group.Upstreams {
-		if u.Limit.Unconfirmed(info.Now) && !info.Excludes(u) && !u.Cold.IsCold(info.Now) && u.Limit.Take(info.Now) && u.Rest.Try(info.Now) {
+		if u.Limit.Unconfirmed(info.Now) && !info.Excludes(u) && !u.Cold.IsCold(info.Now) && u.Limit.Take(info.Now) && u.Backoff.Try(info.Now) {
 			return balancer.Result{Upstream: u, Reason: "limit-unconfirmed"}, true
 		}
 	}
@@ -104,7 +104,7 @@
 			return balancer.Result{}, false
 		}
 		host, ok := u.Limit.Lender(info.Now, x.proxy.random())
-		if ok && x.proxy.lenders.Borrow(ctx, host, u.Limit.Server()) && u.Rest.Try(clock.Now()) {
+		if ok && x.proxy.lenders.Borrow(ctx, host, u.Limit.Server()) && u.Backoff.Try(clock.Now()) {
 			x.state.group.turns.RecordBorrowed(clock.Now())
 			return balancer.Result{Upstream: u, Reason: "borrowed-turn"}, true
 		}
@@ -119,7 +119,7 @@
 	first := x.proxy.random()
 	for i := range n {
 		u := group.Upstreams[(first%n+i)%n]
-		if u.Limit.Limited() && u.Rest.Open(info.Now, info.FinalAttempt) && !u.Cold.IsCold(info.Now) && !slices.Contains(info.Exclude, u) {
+		if u.Limit.Limited() && u.Backoff.Open(info.Now, info.FinalAttempt) && !u.Cold.IsCold(info.Now) && !slices.Contains(info.Exclude, u) {
 			return u
 		}
 	}
@@ -135,7 +135,7 @@
 		switch {
 		case u.Limit.Limited():
 			perSecond += u.Limit.HostRate()
-		case u.Rest.Delay(now) == 0:
+		case u.Backoff.Delay(now) == 0:
 			return math.Inf(1)
 		}
 	}
--- a/internal/proxy/rest.go
+++ b/internal/proxy/rest.go
@@ -33,7 +33,7 @@
 	d, err := read(resp.Status, resp.Header)
 	if d > 0 {
 		x.emit(event.Event{Code: event.RestAsked, Upstream: b.upstream.ID, Attempt: b.number, Value: d.Milliseconds()})
-		until := b.upstream.Rest.Begin(now, d, x.proxy.random())
+		until := b.upstream.Backoff.Begin(now, d, x.proxy.random())
 		if x.proxy.upstreams != nil {
 			x.proxy.upstreams.Rests(b.upstream, until)
 		}
@@ -42,7 +42,7 @@
 	if err != nil {
 		x.emit(event.Event{Code: event.RestUnreadable, Upstream: b.upstream.ID, Attempt: b.number, Detail: err.Error()})
 	}
-	b.upstream.Rest.Answered(now)
+	b.upstream.Backoff.Answered(now)
 }
 
 // last reports whether the request could not be sent again if send number n were turned
@@ -65,7 +65,7 @@
 	for range maxChoices {
 		choice, err := group.Picker.Pick(info)
 		switch {
-		case err == nil && choice.Upstream.Limit.Take(info.Now) && choice.Upstream.Rest.Try(info.Now):
+		case err == nil && choice.Upstream.Limit.Take(info.Now) && choice.Upstream.Backoff.Try(info.Now):
 			return choice, nil
 		case err == nil:
 			continue
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -95,8 +95,8 @@
 			}
 			picker := b.Build(balancer.Options{}).Update(members)
 			now := clock.Now()
-			members[0].Rest.Begin(now, time.Minute, 0)
-			members[1].Rest.Begin(now, time.Minute, 0)
+			members[0].Backoff.Begin(now, time.Minute, 0)
+			members[1].Backoff.Begin(now, time.Minute, 0)
 			random := seeded(3)
 			for range 200 {
 				now = now.Add(10 * time.Millisecond)
@@ -112,7 +112,7 @@
 					}
 				}
 			}
-			members[2].Rest.Begin(now, time.Minute, 0)
+			members[2].Backoff.Begin(now, time.Minute, 0)
 			_, err = picker.Pick(balancer.PickInfo{Now: now})
 			is.Equal(err, balancer.ErrNoUpstream)
 		})
@@ -198,7 +198,7 @@
 		once := lookup()
 		once.Retry.MaxAttempts = 1
 		p := newProxy(service(2, once), leastOutstanding, upstreams, new(recorder))
-		until := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0].Rest.Begin(clock.Now(), time.Second, 0)
+		until := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0].Backoff.Begin(clock.Now(), time.Second, 0)
 		crowd(p, "GET", 400, 5*time.Millisecond)
 		first := upstreams.at("up-1")[0]
 		is.True(!first.Before(until.Add(backoff.RetryableOnlyPeriod)))
@@ -232,7 +232,7 @@
 				is.Equal(events.count(event.RestUnreadable), test.unreadable)
 				is.Equal(events.count(event.RestAsked) == 1, test.rests > 0)
 				u := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0]
-				left := u.Rest.Delay(clock.Now())
+				left := u.Backoff.Delay(clock.Now())
 				is.True(left <= test.rests+backoff.ResumeJitter && left >= test.rests-time.Millisecond)
 				if test.rests == 0 {
 					is.Equal(left, time.Duration(0))
@@ -274,7 +274,7 @@
 				undo := clock.Skip(test.suspended)
 				defer undo()
 				u := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0]
-				left := u.Rest.Delay(clock.Now())
+				left := u.Backoff.Delay(clock.Now())
 				is.True(left <= test.left+backoff.ResumeJitter && left >= test.left-2*time.Millisecond)
 			})
 		})
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -72,7 +72,7 @@
 	if u.Limit.Limited() && (i.Hedge || u.Limit.Delay(i.Now) > 0) {
 		return true
 	}
-	return !u.Rest.Open(i.Now, i.FinalAttempt)
+	return !u.Backoff.Open(i.Now, i.FinalAttempt)
 }
 
 // Result is a choice and its ground.
@@ -142,8 +142,8 @@
 	Host string
 	// FailureDomain is where the entry host runs.
 	FailureDomain string
-	// Turns says when this host may send to cold upstreams; nil is any time.
-	Turns *timeslot.Schedule
+	// Schedule says when this host may send to cold upstreams; nil is any time.
+	Schedule *timeslot.Schedule
 	// Limits are those that upstreams name; nil is none.
 	Limits *ratelimit.Registry
 	// SlowStart is the time over which a new upstream's share grows to full; 0 is off.
--- a/pkg/balancer/feedback.go
+++ b/pkg/balancer/feedback.go
@@ -42,8 +42,8 @@
 	Outcome Outcome
 	// Report is the load report that came with the answer.
 	Report Report
-	// Asked is when a probe was sent; zero for the answer to a request.
-	Asked Mark
+	// ProbeSentAt is when a probe was sent; zero for the answer to a request.
+	ProbeSentAt SendMark
 	// Target is the time within which an answer has its full worth; 0 if unknown.
 	Target time.Duration
 	// Sent is what was known of the upstream's load at the send, that request
@@ -52,7 +52,7 @@
 }
 
 // IsAnswerToProbe reports whether f is an upstream's answer to a probe, with its load.
-func (f *Feedback) IsAnswerToProbe() bool { return f.Asked.set && f.Report.Valid }
+func (f *Feedback) IsAnswerToProbe() bool { return f.ProbeSentAt.set && f.Report.Valid }
 
 // Call is one request in flight. It belongs to the goroutine that sent it.
 type Call struct {
--- a/pkg/balancer/probefirst/cold_test.go
+++ b/pkg/balancer/probefirst/cold_test.go
@@ -28,7 +28,7 @@
 func hostOf(self, hosts int, members ...*balancer.Upstream) *picker {
 	mine := timeslot.New("host")
 	mine.Set(start, timeslot.Position{Self: self, Hosts: hosts})
-	policy := Builder{}.Build(balancer.Options{FailureDomain: "here", Turns: mine})
+	policy := Builder{}.Build(balancer.Options{FailureDomain: "here", Schedule: mine})
 	return policy.Update(members).(*picker)
 }
 
@@ -92,12 +92,12 @@
 	turn := turnOf(t, cold, hosts)
 	p := hostOf(turn, hosts, cold, warm)
 	info := balancer.PickInfo{Now: start}
-	cold.Rest.Begin(start, time.Minute, 0)
+	cold.Backoff.Begin(start, time.Minute, 0)
 	is.Equal(p.QueryTargets(info, 0), []*balancer.Upstream{warm})
 	tell(cold, start, 0, 1)
 	tell(warm, start, 2, 1.5)
 	is.Equal(chosen(t, p, info), "i-warm")
-	warm.Rest.Begin(start, time.Minute, 0)
+	warm.Backoff.Begin(start, time.Minute, 0)
 	_, err := p.Pick(info)
 	is.True(errors.Is(err, balancer.ErrNoUpstream))
 
--- a/pkg/balancer/probefirst/idle_test.go
+++ b/pkg/balancer/probefirst/idle_test.go
@@ -27,7 +27,7 @@
 
 // answers lets an upstream answer a question.
 func answers(p *picker, u *balancer.Upstream, info balancer.PickInfo, inFlight int) {
-	balancer.FinishProbe(p, u, balancer.Feedback{Now: info.Now, Asked: u.Mark(),
+	balancer.FinishProbe(p, u, balancer.Feedback{Now: info.Now, ProbeSentAt: u.Mark(),
 		Report: balancer.Report{Valid: true, InFlight: inFlight, Slots: 2, Slowdown: 1}})
 }
 
--- a/pkg/balancer/probefirst/probefirst.go
+++ b/pkg/balancer/probefirst/probefirst.go
@@ -53,7 +53,7 @@
 
 // Build implements balancer.Builder.
 func (Builder) Build(o balancer.Options) balancer.Policy {
-	mine := o.Turns
+	mine := o.Schedule
 	if mine == nil {
 		mine = timeslot.New(o.Host)
 	}
--- a/pkg/balancer/probefirst/probefirst_test.go
+++ b/pkg/balancer/probefirst/probefirst_test.go
@@ -110,9 +110,9 @@
 	a := member("a", "here")
 	first, second := a.Mark(), a.Mark()
 	report := balancer.Report{Valid: true, Slots: slots, Slowdown: 1}
-	balancer.FinishProbe(nil, a, balancer.Feedback{Now: start, Report: report, Asked: first})
+	balancer.FinishProbe(nil, a, balancer.Feedback{Now: start, Report: report, ProbeSentAt: first})
 	call := a.Begin(start)
-	balancer.FinishProbe(nil, a, balancer.Feedback{Now: start, Report: report, Asked: second})
+	balancer.FinishProbe(nil, a, balancer.Feedback{Now: start, Report: report, ProbeSentAt: second})
 	is.Equal(a.Load().InFlight, 1)
 	balancer.Finish(nil, call, balancer.Feedback{Now: start})
 	is.Equal(a.Load().InFlight, 0)
--- a/pkg/balancer/probefirst/turn_test.go
+++ b/pkg/balancer/probefirst/turn_test.go
@@ -21,7 +21,7 @@
 	u := member(id, "here")
 	u.Limit = book.Acquire(id, 0)
 	u.Limit.Observe(heard, heard, ratelimit.Limit{Kind: ratelimit.Limited, PerSecond: 2}, ratelimit.Answer)
-	policy := Builder{}.Build(balancer.Options{FailureDomain: "here", Turns: mine, Limits: book})
+	policy := Builder{}.Build(balancer.Options{FailureDomain: "here", Schedule: mine, Limits: book})
 	return policy.Update(append([]*balancer.Upstream{u}, others...)).(*picker), u
 }
 
--- a/pkg/balancer/upstream.go
+++ b/pkg/balancer/upstream.go
@@ -44,8 +44,8 @@
 	MaxConnections int
 	// Cold is how cold it is, and what it bears meanwhile.
 	Cold coldstart.Upstream
-	// Rest is the rest that it asked this host for.
-	Rest backoff.State
+	// Backoff is the rest that it asked this host for.
+	Backoff backoff.State
 	// Limit is the limit that it names for all hosts together, and this host's turns; nil
 	// is none.
 	Limit *ratelimit.State
@@ -79,15 +79,15 @@
 	begun, ended int64
 }
 
-// Mark is a moment in the sends of one entry host to one upstream.
-type Mark struct {
+// SendMark is a moment in the sends of one entry host to one upstream.
+type SendMark struct {
 	begun int64
 	set   bool
 }
 
 // Mark returns the present moment. What is sent after it may be missing in a
 // report that is asked for now.
-func (u *Upstream) Mark() Mark { return Mark{u.begun.Load(), true} }
+func (u *Upstream) Mark() SendMark { return SendMark{u.begun.Load(), true} }
 
 // Load returns the newest whole load report, or nil. InFlight counts what this
 // entry host has sent since it asked, and seen end since the answer came: where
@@ -111,8 +111,8 @@
 	}
 	begun := u.begun.Load()
 	ended := begun - u.outstanding.Load()
-	if f.Asked.set {
-		begun = f.Asked.begun
+	if f.ProbeSentAt.set {
+		begun = f.ProbeSentAt.begun
 	}
 	u.load.Store(&Load{
 		InFlight: f.Report.InFlight,
@@ -127,7 +127,7 @@
 // SendDelay returns how much longer u gets nothing from this host: it rests, or this host has
 // its next turn only then. It is 0 if a request may be sent now.
 func (u *Upstream) SendDelay(now time.Time) time.Duration {
-	return max(u.Rest.Delay(now), u.Limit.Delay(now))
+	return max(u.Backoff.Delay(now), u.Limit.Delay(now))
 }
 
 // HasTimeSlot reports whether u names a limit and this host may send it a request now.
