--- a/internal/lab/proxyhost.go
+++ b/internal/lab/proxyhost.go
@@ -91,7 +91,7 @@
 	if evicted != nil {
 		h.reject(evicted.Value)
 	}
-	if reason != queue.Kept {
+	if reason != queue.Queued {
 		h.reject(r)
 		return
 	}
@@ -138,7 +138,7 @@
 // allows. It first rejects those that can no longer be served in time.
 func (h *proxyHost) wakeQueue(n int) {
 	h.lastWake = h.now()
-	for _, expired := range h.queue.GiveUp(h.now(), h.pace()) {
+	for _, expired := range h.queue.DropExpired(h.now(), h.pace()) {
 		h.reject(expired.Entry.Value)
 	}
 	var taken []*queue.Entry[*Request]
--- a/internal/proxy/group.go
+++ b/internal/proxy/group.go
@@ -98,7 +98,7 @@
 	return 1
 }
 
-// push lets w wait. It returns queue.Kept or why it was refused.
+// push lets w wait. It returns queue.Queued or why it was refused.
 func (g *groupState) push(now time.Time, w *waiter) queue.Reason {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -134,7 +134,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.lastWake.Store(now.UnixNano())
-	for _, given := range g.queue.GiveUp(now, g.pace()) {
+	for _, given := range g.queue.DropExpired(now, g.pace()) {
 		given.Entry.Value.signal <- given.Reason
 	}
 	for range n {
@@ -146,7 +146,7 @@
 			g.queue.Return(e)
 			break
 		}
-		e.Value.signal <- queue.Kept
+		e.Value.signal <- queue.Queued
 	}
 	g.waiting.Store(int64(g.queue.Len()))
 }
--- a/internal/proxy/wait.go
+++ b/internal/proxy/wait.go
@@ -24,7 +24,7 @@
 const askInterval = 25 * time.Millisecond
 
 // waiter is a request in its group's queue. Exactly one signal follows each
-// time that the queue takes the entry out: Kept hands over a place in the
+// time that the queue takes the entry out: Queued hands over a place in the
 // limit, any other reason gives the request up.
 type waiter struct {
 	entry  queue.Entry[*waiter]
@@ -57,7 +57,7 @@
 	g := x.state.group
 	w := x.newWaiter()
 	start := clock.Now()
-	if reason := g.push(start, w); reason != queue.Kept {
+	if reason := g.push(start, w); reason != queue.Queued {
 		return binding{}, x.shed(reason)
 	}
 	x.emit(event.Event{Code: event.RequestQueued, Attempt: x.sent + 1, Reason: full.Error(), Value: g.waiting.Load()})
@@ -83,7 +83,7 @@
 	for {
 		select {
 		case reason := <-w.signal:
-			if reason != queue.Kept {
+			if reason != queue.Queued {
 				return binding{}, x.shed(reason)
 			}
 		case <-tick.C:
@@ -126,7 +126,7 @@
 	if g.remove(w) {
 		return
 	}
-	if <-w.signal == queue.Kept {
+	if <-w.signal == queue.Queued {
 		g.release(clock.Now(), feedback{outcome: limit.Ignored})
 	}
 }
--- a/pkg/balancer/embedding_example_test.go
+++ b/pkg/balancer/embedding_example_test.go
@@ -53,7 +53,7 @@
 	g.limiter.Release(limit.Sample{Outcome: limit.Ignored})
 	e := &queue.Entry[string]{Value: "lookup", Priority: queue.Normal, Deadline: deadline}
 	reason, _ := g.waiting.Push(now, e, queue.Pace{Service: exchangeTime, Parallel: 6})
-	fmt.Println("waits:", reason == queue.Kept)
+	fmt.Println("waits:", reason == queue.Queued)
 }
 
 // run serves one request that may run twice.
--- a/pkg/queue/queue.go
+++ b/pkg/queue/queue.go
@@ -39,8 +39,8 @@
 
 // The reasons for giving an entry up.
 const (
-	// Kept means that the entry waits.
-	Kept Reason = ""
+	// Queued means that the entry waits.
+	Queued Reason = ""
 	// Full is a queue full of entries of the same or a higher priority.
 	Full Reason = "queue-full"
 	// Evicted is an entry that made room for a higher priority.
@@ -94,7 +94,7 @@
 // Len returns the number of entries that wait.
 func (q *Queue[T]) Len() int { return len(q.entries) }
 
-// Push adds e at now. It returns Kept, or the reason why e was refused. In a
+// Push adds e at now. It returns Queued, or the reason why e was refused. In a
 // full queue, the entry that e pushed out is returned too; otherwise nil.
 func (q *Queue[T]) Push(now time.Time, e *Entry[T], p Pace) (Reason, *Entry[T]) {
 	q.seq++
@@ -104,7 +104,7 @@
 		e.Target = e.Deadline
 	}
 	at := q.place(e)
-	if reason := e.reject(now, at, p); reason != Kept {
+	if reason := e.reject(now, at, p); reason != Queued {
 		return reason, nil
 	}
 	var out *Entry[T]
@@ -117,7 +117,7 @@
 		q.entries = slices.Delete(q.entries, last, last+1)
 	}
 	q.entries = slices.Insert(q.entries, at, e)
-	return Kept, out
+	return Queued, out
 }
 
 // Return puts back an entry that was taken but found no slot. It keeps its
@@ -153,13 +153,13 @@
 	return true
 }
 
-// GiveUp removes and returns the entries that can't be served in time any
+// DropExpired removes and returns the entries that can't be served in time any
 // more, in queue order.
-func (q *Queue[T]) GiveUp(now time.Time, p Pace) []Dropped[T] {
+func (q *Queue[T]) DropExpired(now time.Time, p Pace) []Dropped[T] {
 	var out []Dropped[T]
 	kept := q.entries[:0]
 	for _, e := range q.entries {
-		if reason := e.reject(now, len(kept), p); reason != Kept {
+		if reason := e.reject(now, len(kept), p); reason != Queued {
 			out = append(out, Dropped[T]{e, reason})
 			continue
 		}
@@ -209,5 +209,5 @@
 	if now.Add(wait).After(e.giveUp) {
 		return WaitLimitReached
 	}
-	return Kept
+	return Queued
 }
--- a/pkg/queue/queue_test.go
+++ b/pkg/queue/queue_test.go
@@ -50,7 +50,7 @@
 		entry("normal", queue.Normal, time.Second),
 	} {
 		reason, _ := q.Push(start, e, queue.Pace{})
-		is.Equal(reason, queue.Kept)
+		is.Equal(reason, queue.Queued)
 	}
 	for _, want := range []string{"first", "second", "late", "normal", "low"} {
 		is.Equal(q.Take().Value, want)
@@ -65,10 +65,10 @@
 	reason, _ := q.Push(start, entry("", queue.High, 15*time.Millisecond), pace)
 	is.Equal(reason, queue.DeadlineUnreachable)
 	reason, _ = q.Push(start, entry("", queue.High, time.Second), pace)
-	is.Equal(reason, queue.Kept)
+	is.Equal(reason, queue.Queued)
 	reason, _ = q.Push(start, entry("", queue.High, time.Second), pace)
 	is.Equal(reason, queue.Full)
-	given := q.GiveUp(start.Add(500*time.Millisecond), pace)
+	given := q.DropExpired(start.Add(500*time.Millisecond), pace)
 	is.Equal(len(given), 1)
 	is.Equal(given[0].Reason, queue.WaitLimitReached)
 }
@@ -86,12 +86,12 @@
 		reason, _ := q.Push(start, e, pace)
 		return reason
 	}
-	is.Equal(push("later", 600*ms, 0), queue.Kept)
-	is.Equal(push("sooner", 400*ms, 0), queue.Kept)
+	is.Equal(push("later", 600*ms, 0), queue.Queued)
+	is.Equal(push("sooner", 400*ms, 0), queue.Queued)
 	is.Equal(push("too long", 400*ms, 380*ms), queue.DeadlineUnreachable)
-	is.Equal(push("short", 150*ms, 20*ms), queue.Kept)
+	is.Equal(push("short", 150*ms, 20*ms), queue.Queued)
 	is.Equal(push("no time", 150*ms, 0), queue.DeadlineUnreachable)
-	given := q.GiveUp(start.Add(200*ms), pace)
+	given := q.DropExpired(start.Add(200*ms), pace)
 	is.Equal(len(given), 2) // 200 and 150 ms from now are too little after a wait
 	is.Equal(given[0].Entry.Value, "short")
 	is.Equal(given[1].Entry.Value, "sooner")
@@ -141,7 +141,7 @@
 				e.Target = now.Add(e.Deadline.Sub(now) / time.Duration(rapid.IntRange(1, 4).Draw(t, "share")))
 			}
 			reason, out := q.Push(now, e, pace)
-			if reason == queue.Kept {
+			if reason == queue.Queued {
 				waiting[e] = now.Add(e.Deadline.Sub(now) / 2)
 			}
 			if out != nil {
@@ -176,7 +176,7 @@
 			},
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 100).Draw(t, "ms")) * time.Millisecond)
-				for _, g := range q.GiveUp(now, pace) {
+				for _, g := range q.DropExpired(now, pace) {
 					leave(g.Entry)
 				}
 				for e, until := range waiting {
@@ -228,6 +228,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		q.GiveUp(start, queue.Pace{})
+		q.DropExpired(start, queue.Pace{})
 	}
 }
