--- a/internal/peertransport/quotas.go
+++ b/internal/peertransport/quotas.go
@@ -52,7 +52,7 @@
 	defer t.rooms.take(number)
 	m := roomMessage{
 		Question: number, Customer: q.Customer, PerSecond: q.Limit.PerSecond, Burst: q.Limit.Burst,
-		Must: q.Must, Ahead: q.Ahead, Used: q.Used, Role: q.Role, Charged: q.Charged, Sure: q.Sure,
+		Must: q.Required, Ahead: q.Prefetch, Used: q.Used, Role: q.Role, Charged: q.Charged, Sure: q.Sure,
 	}
 	t.tellKind([]netip.AddrPort{host}, roomKind, &m)
 	again := time.NewTimer(askRoomAgain)
@@ -76,10 +76,10 @@
 		return errors.Wrap(err, "question for room")
 	}
 	q := &quotas.Question{
-		Ask: quota.Ask{
+		Request: quota.Request{
 			Customer: m.Customer,
 			Limit:    quota.Limit{PerSecond: m.PerSecond, Burst: m.Burst},
-			Must:     m.Must, Ahead: m.Ahead, Used: m.Used,
+			Required: m.Must, Prefetch: m.Ahead, Used: m.Used,
 		},
 		Role: m.Role, Charged: m.Charged, Sure: m.Sure,
 	}
@@ -99,7 +99,7 @@
 }
 
 func (t *Transport) grant(question uint64, to netip.AddrPort, a quota.Answer) {
-	m := grantMessage{Question: question, Granted: a.Granted, WaitUs: a.Wait.Microseconds(), Nobody: a.Nobody}
+	m := grantMessage{Question: question, Granted: a.Granted, WaitUs: a.Wait.Microseconds(), Nobody: a.Unavailable}
 	t.tellKind([]netip.AddrPort{to}, grantKind, &m)
 }
 
@@ -109,7 +109,7 @@
 	if err := json.Unmarshal(text, &m); err != nil {
 		return errors.Wrap(err, "answer to a question for room")
 	}
-	a := quota.Answer{Granted: m.Granted, Wait: time.Duration(m.WaitUs) * time.Microsecond, Nobody: m.Nobody}
+	a := quota.Answer{Granted: m.Granted, Wait: time.Duration(m.WaitUs) * time.Microsecond, Unavailable: m.Nobody}
 	if err := a.Validate(); err != nil {
 		return err
 	}
--- a/internal/quotas/charge.go
+++ b/internal/quotas/charge.go
@@ -32,7 +32,7 @@
 )
 
 // room asks the host in charge, or its deputy. It is false if neither answers.
-func (k *Keeper) room(ask *quota.Ask) (quota.Answer, bool) {
+func (k *Keeper) room(ask *quota.Request) (quota.Answer, bool) {
 	f := k.fleet.Load()
 	first, second := quota.SelectCoordinator(ask.Customer, f.all)
 	charged := f.all[first].Address
@@ -40,7 +40,7 @@
 		return k.ledger.Grant(k.now(), f.Self.Address, ask, k.terms(f, false)), true
 	}
 	if !k.silent.is(k.now(), charged) {
-		if a, ok := k.ask(charged, Question{Ask: *ask, Sure: f.Settled}, askWithin); ok {
+		if a, ok := k.ask(charged, Question{Request: *ask, Sure: f.Settled}, askWithin); ok {
 			return a, true
 		}
 	}
@@ -48,7 +48,7 @@
 		return quota.Answer{}, false
 	}
 	deputy := f.all[second].Address
-	q := Question{Ask: *ask, Role: RoleBackup, Charged: charged, Sure: f.Settled}
+	q := Question{Request: *ask, Role: RoleBackup, Charged: charged, Sure: f.Settled}
 	if deputy == f.Self.Address {
 		return k.deputize(f, f.Self.Address, &q), true
 	}
@@ -84,16 +84,16 @@
 	switch q.Role {
 	case RoleCoordinator:
 		if charged, other := k.otherInCharge(f, q.Customer); other {
-			return k.deputize(f, from, &Question{Ask: q.Ask, Charged: charged, Sure: q.Sure})
+			return k.deputize(f, from, &Question{Request: q.Request, Charged: charged, Sure: q.Sure})
 		}
 	case RoleBackup:
 		return k.deputize(f, from, q)
 	case RoleWitness:
-		a, ok := k.ask(q.Charged, Question{Ask: q.Ask, Role: RoleFinalHop, Sure: q.Sure}, askWithin)
-		a.Nobody = !ok
+		a, ok := k.ask(q.Charged, Question{Request: q.Request, Role: RoleFinalHop, Sure: q.Sure}, askWithin)
+		a.Unavailable = !ok
 		return a
 	}
-	return k.ledger.Grant(k.now(), from, &q.Ask, k.terms(f, q.Sure))
+	return k.ledger.Grant(k.now(), from, &q.Request, k.terms(f, q.Sure))
 }
 
 // otherInCharge returns the host that is in charge of a customer if this one knows that it is
@@ -111,7 +111,7 @@
 func (k *Keeper) deputize(f *view, from netip.AddrPort, q *Question) quota.Answer {
 	sure := q.Sure || f.Settled
 	if !k.silent.is(k.now(), q.Charged) {
-		if a, ok := k.ask(q.Charged, Question{Ask: q.Ask, Role: RoleFinalHop, Sure: sure}, askWithin); ok {
+		if a, ok := k.ask(q.Charged, Question{Request: q.Request, Role: RoleFinalHop, Sure: sure}, askWithin); ok {
 			return a
 		}
 	}
@@ -121,24 +121,24 @@
 		k.silent.saw(k.now(), q.Charged, sight)
 	}
 	if sight.witness.IsValid() {
-		a, ok := k.ask(sight.witness, Question{Ask: q.Ask, Role: RoleWitness, Charged: q.Charged, Sure: sure}, relayWithin)
-		if ok && !a.Nobody {
+		a, ok := k.ask(sight.witness, Question{Request: q.Request, Role: RoleWitness, Charged: q.Charged, Sure: sure}, relayWithin)
+		if ok && !a.Unavailable {
 			return a
 		}
 	}
-	return k.ledger.Grant(k.now(), from, &q.Ask, quota.GrantPolicy{Share: min(f.part(sure), sight.part), TakenOver: true})
+	return k.ledger.Grant(k.now(), from, &q.Request, quota.GrantPolicy{Share: min(f.part(sure), sight.part), TakenOver: true})
 }
 
 // look asks some hosts whether they reach the host in charge.
 func (k *Keeper) look(f *view, charged netip.AddrPort) sight {
 	asked := gossip.Sample(slices.Clone(f.Others), witnesses, rand.IntN)
-	probe := quota.Ask{Customer: noCustomer, Limit: quota.Limit{PerSecond: 1}}
+	probe := quota.Request{Customer: noCustomer, Limit: quota.Limit{PerSecond: 1}}
 	answers := make([]quota.Answer, len(asked))
 	heard := make([]bool, len(asked))
 	var wg sync.WaitGroup
 	for i, h := range asked {
 		wg.Go(func() {
-			answers[i], heard[i] = k.ask(h.Address, Question{Ask: probe, Role: RoleWitness, Charged: charged}, relayWithin)
+			answers[i], heard[i] = k.ask(h.Address, Question{Request: probe, Role: RoleWitness, Charged: charged}, relayWithin)
 		})
 	}
 	wg.Wait()
@@ -147,7 +147,7 @@
 		switch {
 		case !heard[i]:
 			silent++
-		case !answers[i].Nobody:
+		case !answers[i].Unavailable:
 			return sight{witness: h.Address}
 		}
 	}
--- a/internal/quotas/holder.go
+++ b/internal/quotas/holder.go
@@ -111,20 +111,20 @@
 
 // question returns what to ask for, and for whom; nobody if none waits, and then the next
 // request begins anew.
-func (h *holder) question(now time.Time, c *config.Customer) (quota.Ask, []*waiter) {
+func (h *holder) question(now time.Time, c *config.Customer) (quota.Request, []*waiter) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	waiting := h.waiting
 	h.waiting = nil
 	if len(waiting) == 0 {
 		h.asking = false
-		return quota.Ask{}, nil
+		return quota.Request{}, nil
 	}
-	return quota.Ask{
+	return quota.Request{
 		Customer: c.Name,
 		Limit:    limitOf(c),
-		Must:     len(waiting),
-		Ahead:    h.wallet.ExpectedDemand(now),
+		Required: len(waiting),
+		Prefetch: h.wallet.ExpectedDemand(now),
 		Used:     h.wallet.Used(now),
 	}, waiting
 }
--- a/internal/quotas/keeper.go
+++ b/internal/quotas/keeper.go
@@ -39,7 +39,7 @@
 
 // Question is what one host asks another.
 type Question struct {
-	quota.Ask
+	quota.Request
 	// Role is what the host that is asked is to do.
 	Role Role
 	// Charged is the host in charge, for a deputy and a witness.
@@ -53,7 +53,7 @@
 	if q.Role > RoleFinalHop || (q.Role == RoleBackup || q.Role == RoleWitness) && !q.Charged.IsValid() {
 		return errors.Wrapf(quota.ErrInvalidRequest, "role %d, host in charge %s", q.Role, q.Charged)
 	}
-	return q.Ask.Validate()
+	return q.Request.Validate()
 }
 
 // Fleet is what is known of the entry hosts.
--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -56,17 +56,17 @@
 }
 
 // Grant answers a host's question.
-func (a *Account) Grant(now time.Time, from netip.AddrPort, ask *Ask, terms GrantPolicy) Answer {
+func (a *Account) Grant(now time.Time, from netip.AddrPort, ask *Request, terms GrantPolicy) Answer {
 	part := terms.Share
 	a.fill(now, ask.Limit, part)
 	a.report(now, from, ask.Used)
-	granted := min(ask.Must, int(max(a.room, 0)))
+	granted := min(ask.Required, int(max(a.room, 0)))
 	a.room -= float64(granted)
-	if granted < ask.Must {
-		return Answer{Granted: granted, Wait: a.promise(now, ask.Must-granted, part)}
+	if granted < ask.Required {
+		return Answer{Granted: granted, Wait: a.promise(now, ask.Required-granted, part)}
 	}
 	if spare := a.room - aheadShare*a.limit.size(); spare >= 1 {
-		ahead := min(ask.Ahead, int(spare))
+		ahead := min(ask.Prefetch, int(spare))
 		a.room -= float64(ahead)
 		granted += ahead
 	}
--- a/pkg/quota/ledger.go
+++ b/pkg/quota/ledger.go
@@ -17,8 +17,8 @@
 func NewLedger() *Ledger { return &Ledger{accounts: make(map[string]*Account)} }
 
 // Grant answers a host's question; see Account.Grant.
-func (l *Ledger) Grant(now time.Time, from netip.AddrPort, ask *Ask, terms GrantPolicy) Answer {
-	if ask.Must == 0 {
+func (l *Ledger) Grant(now time.Time, from netip.AddrPort, ask *Request, terms GrantPolicy) Answer {
+	if ask.Required == 0 {
 		return Answer{} // only asked whether this host answers
 	}
 	l.mu.Lock()
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -33,19 +33,19 @@
 // size is how much room an account holds at the most.
 func (l Limit) size() float64 { return max(l.Burst, 1) }
 
-// Ask is a question for room.
-type Ask struct {
+// Request is a question for room.
+type Request struct {
 	// Customer is the customer's name.
 	Customer string
 	// Limit is the quota as the host that asks knows it.
 	Limit Limit
-	// Must is how many requests wait for room, and Ahead how many more are expected soon.
-	Must, Ahead int
+	// Required is how many requests wait for room, and Prefetch how many more are expected soon.
+	Required, Prefetch int
 	// Used is how many requests the host has sent within Window.
 	Used int
 }
 
-// Bounds of an Ask of another host.
+// Bounds of a Request of another host.
 const (
 	maxAsked = 1 << 20
 	maxUsed  = 1 << 30
@@ -56,26 +56,27 @@
 var ErrInvalidRequest = errors.New("question for room that can't be true")
 
 // Validate checks a question of another host.
-func (a *Ask) Validate() error {
-	ok := a.Customer != "" && inRange(a.Must, maxAsked) && inRange(a.Ahead, maxAsked) && inRange(a.Used, maxUsed) &&
+func (a *Request) Validate() error {
+	ok := a.Customer != "" && inRange(a.Required, maxAsked) && inRange(a.Prefetch, maxAsked) && inRange(a.Used, maxUsed) &&
 		a.Limit.PerSecond > 0 && a.Limit.PerSecond <= maxRate && a.Limit.Burst >= 0 && a.Limit.Burst <= maxRate
 	if !ok {
-		return errors.Wrapf(ErrInvalidRequest, "%+v", *a)
+		return errors.Wrapf(ErrInvalidRequest, "{Customer:%s Limit:%+v Must:%d Ahead:%d Used:%d}",
+			a.Customer, a.Limit, a.Required, a.Prefetch, a.Used)
 	}
 	return nil
 }
 
 func inRange(n, most int) bool { return n >= 0 && n <= most }
 
-// Answer is the answer to an Ask.
+// Answer is the answer to a Request.
 type Answer struct {
-	// Granted is how many requests may be sent, up to Must and Ahead together.
+	// Granted is how many requests may be sent, up to Required and Prefetch together.
 	Granted int
 	// Wait is when the first of those that were not granted may find room; 0 if all were.
 	Wait time.Duration
-	// Nobody states that the host that was asked, as a witness, does not reach the host in
+	// Unavailable states that the host that was asked, as a witness, does not reach the host in
 	// charge.
-	Nobody bool
+	Unavailable bool
 }
 
 // maxWait bounds the wait of another host's answer.
@@ -84,7 +85,7 @@
 // Validate checks the answer of another host.
 func (a *Answer) Validate() error {
 	if !inRange(a.Granted, 2*maxAsked) || a.Wait < 0 || a.Wait > maxWait {
-		return errors.Wrapf(ErrInvalidRequest, "answer %+v", *a)
+		return errors.Wrapf(ErrInvalidRequest, "answer {Granted:%d Wait:%v Nobody:%t}", a.Granted, a.Wait, a.Unavailable)
 	}
 	return nil
 }
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -20,8 +20,8 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func ask(must int) *Ask {
-	return &Ask{Customer: "c", Limit: Limit{PerSecond: 10, Burst: 20}, Must: must}
+func ask(must int) *Request {
+	return &Request{Customer: "c", Limit: Limit{PerSecond: 10, Burst: 20}, Required: must}
 }
 
 func TestAccountGrantsItsQuota(t *testing.T) {
@@ -42,7 +42,7 @@
 	is := is.New(t)
 	a := NewAccount(at(0), ask(0).Limit, whole)
 	ahead := ask(2)
-	ahead.Ahead = 100
+	ahead.Prefetch = 100
 	is.Equal(a.Grant(at(0), hostA, ahead, whole).Granted, 10)
 	is.Equal(a.Grant(at(0), hostA, ahead, whole).Granted, 2)
 }
@@ -135,12 +135,12 @@
 func TestValidate(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(ask(1).Validate())
-	for _, change := range []func(*Ask){
-		func(a *Ask) { a.Customer = "" },
-		func(a *Ask) { a.Must = -1 },
-		func(a *Ask) { a.Used = 1 << 40 },
-		func(a *Ask) { a.Limit.PerSecond = 0 },
-		func(a *Ask) { a.Limit.Burst = -1 },
+	for _, change := range []func(*Request){
+		func(a *Request) { a.Customer = "" },
+		func(a *Request) { a.Required = -1 },
+		func(a *Request) { a.Used = 1 << 40 },
+		func(a *Request) { a.Limit.PerSecond = 0 },
+		func(a *Request) { a.Limit.Burst = -1 },
 	} {
 		bad := ask(1)
 		change(bad)
