--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -195,8 +195,8 @@
 		Server: e.peerServer,
 		Pool:   e.pool,
 		Peers:  e.peerAddresses,
-		Recent: func(now time.Time, within time.Duration) []poison.Death { return e.proxy.RecentDeaths(now, within) },
-		Heard:  func(died []poison.Death, answered []poison.Fingerprint) { e.proxy.Heard(died, answered) },
+		Recent: func(now time.Time, within time.Duration) []poison.Crash { return e.proxy.RecentDeaths(now, within) },
+		Heard:  func(died []poison.Crash, answered []poison.Fingerprint) { e.proxy.Heard(died, answered) },
 	})
 	e.limits = limitnews.New(limitnews.Config{
 		Loop:   e.loop,
--- a/internal/gateway/poison.go
+++ b/internal/gateway/poison.go
@@ -18,9 +18,9 @@
 }
 
 // Died implements proxy.PoisonNews.
-func (n poisonNews) Died(d poison.Death) {
+func (n poisonNews) Died(d poison.Crash) {
 	if f := n.gateway.fleet; f != nil {
-		f.news.SendDeaths(*f.others.Load(), []poison.Death{d})
+		f.news.SendDeaths(*f.others.Load(), []poison.Crash{d})
 	}
 }
 
@@ -36,7 +36,7 @@
 	if g.fleet == nil {
 		return
 	}
-	deaths := g.proxy.RecentDeaths(now, poison.RepeatFor)
+	deaths := g.proxy.RecentDeaths(now, poison.RebroadcastPeriod)
 	if len(deaths) == 0 {
 		return
 	}
--- a/internal/peertransport/poison.go
+++ b/internal/peertransport/poison.go
@@ -47,7 +47,7 @@
 
 // SendDeaths sends ends of upstreams to each of the hosts, in as many messages as it
 // takes.
-func (t *Transport) SendDeaths(to []netip.AddrPort, deaths []poison.Death) {
+func (t *Transport) SendDeaths(to []netip.AddrPort, deaths []poison.Crash) {
 	now := clock.Now()
 	for part := range slices.Chunk(deaths, DeathsPerMessage) {
 		var m poisonMessage
@@ -56,8 +56,8 @@
 				Request:  encodeFingerprint(d.Request),
 				Upstream: d.Upstream,
 				Host:     d.Host,
-				Began:    now.Sub(d.Began).Microseconds(),
-				Ended:    now.Sub(d.Ended).Microseconds(),
+				Began:    now.Sub(d.SentAt).Microseconds(),
+				Ended:    now.Sub(d.EndedAt).Microseconds(),
 			})
 		}
 		t.tellKind(to, poisonKind, &m)
@@ -87,7 +87,7 @@
 		return errors.Wrap(err, "message of ends")
 	}
 	now := clock.Now()
-	var died []poison.Death
+	var died []poison.Crash
 	for _, d := range m.Died {
 		death, err := d.decode(now)
 		if err != nil {
@@ -103,16 +103,16 @@
 	return nil
 }
 
-func (m *deathMessage) decode(now time.Time) (poison.Death, error) {
-	began, ended, ok := poison.Times(now, m.Began, m.Ended)
+func (m *deathMessage) decode(now time.Time) (poison.Crash, error) {
+	began, ended, ok := poison.ParseTimes(now, m.Began, m.Ended)
 	if !ok {
-		return poison.Death{}, errors.Newf("an end %d us ago of a request sent %d us ago", m.Ended, m.Began)
+		return poison.Crash{}, errors.Newf("an end %d us ago of a request sent %d us ago", m.Ended, m.Began)
 	}
-	return poison.Death{
+	return poison.Crash{
 		Request:  m.Request.decode(),
 		Upstream: m.Upstream,
 		Host:     m.Host,
-		Began:    began,
-		Ended:    ended,
+		SentAt:   began,
+		EndedAt:  ended,
 	}, nil
 }
--- a/internal/peertransport/transport.go
+++ b/internal/peertransport/transport.go
@@ -52,7 +52,7 @@
 	// ServeFetch answers a question of a peer.
 	ServeFetch func(ctx context.Context, after uint64) (*storewatch.PeerMessage, error)
 	// OnPoison takes in what a peer tells of ends of upstreams.
-	OnPoison func(died []poison.Death, answered []poison.Fingerprint)
+	OnPoison func(died []poison.Crash, answered []poison.Fingerprint)
 	// OnLimits takes in what a peer tells of the limits of upstreams.
 	OnLimits func([]ratelimit.Update)
 	// LendTimeSlot uses a turn of this host at an upstream for another host. It reports whether
--- a/internal/peertransport/transport_test.go
+++ b/internal/peertransport/transport_test.go
@@ -40,7 +40,7 @@
 
 // poisonHeard is one message on ends of upstreams.
 type poisonHeard struct {
-	died     []poison.Death
+	died     []poison.Crash
 	answered []poison.Fingerprint
 }
 
@@ -92,7 +92,7 @@
 
 		OnLimits:     func(told []ratelimit.Update) { h.limits <- told },
 		LendTimeSlot: func(s ratelimit.Server) bool { return h.book.Lend(time.Now(), s) },
-		OnPoison: func(died []poison.Death, answered []poison.Fingerprint) {
+		OnPoison: func(died []poison.Crash, answered []poison.Fingerprint) {
 			h.poison <- poisonHeard{died, answered}
 		},
 	})
@@ -248,29 +248,29 @@
 	is := is.New(t)
 	a, b := begin(t), begin(t)
 	now := time.Now()
-	var deaths []poison.Death
+	var deaths []poison.Crash
 	for i := range DeathsPerMessage + 1 {
-		deaths = append(deaths, poison.Death{
-			Request:  poison.Of("GET", "shop", fmt.Sprint(i), nil, "caller"),
+		deaths = append(deaths, poison.Crash{
+			Request:  poison.FingerprintOf("GET", "shop", fmt.Sprint(i), nil, "caller"),
 			Upstream: 1<<64 - 1 - uint64(i), Host: 1<<64 - 1,
-			Began: now.Add(-2 * time.Second), Ended: now.Add(-time.Second),
+			SentAt: now.Add(-2 * time.Second), EndedAt: now.Add(-time.Second),
 		})
 	}
 	to := []netip.AddrPort{b.address}
 	a.SendDeaths(to, deaths)
 	for range 2 {
 		for _, got := range (<-b.poison).died {
-			at := slices.IndexFunc(deaths, func(d poison.Death) bool { return d.Request == got.Request })
+			at := slices.IndexFunc(deaths, func(d poison.Crash) bool { return d.Request == got.Request })
 			is.True(at >= 0)
 			is.Equal(got.Upstream, deaths[at].Upstream)
 			is.Equal(got.Host, deaths[at].Host)
-			is.Equal(got.Ended.Sub(got.Began), time.Second)
-			is.True(got.Ended.Sub(now).Abs() < 2*time.Second)
+			is.Equal(got.EndedAt.Sub(got.SentAt), time.Second)
+			is.True(got.EndedAt.Sub(now).Abs() < 2*time.Second)
 			deaths = slices.Delete(deaths, at, at+1)
 		}
 	}
 	is.Equal(len(deaths), 0)
-	f := poison.Of("GET", "shop", "/", nil, "caller")
+	f := poison.FingerprintOf("GET", "shop", "/", nil, "caller")
 	a.SendAnswered(to, f)
 	is.Equal((<-b.poison).answered, []poison.Fingerprint{f})
 	for _, text := range []string{`{`, `{"d":[{"b":1,"e":2}]}`, `{"d":[{"b":-2,"e":-3}]}`, `{"d":[{"b":9000000000000000,"e":2}]}`} {
--- a/internal/poisonnews/poisonnews.go
+++ b/internal/poisonnews/poisonnews.go
@@ -37,9 +37,9 @@
 	// Peers returns the addresses of the other entry hosts. It runs on any goroutine.
 	Peers func() []string
 	// Recent returns the ends that a host which missed them should hear of.
-	Recent func(now time.Time, within time.Duration) []poison.Death
+	Recent func(now time.Time, within time.Duration) []poison.Crash
 	// Heard takes in what a peer tells. It runs on any goroutine.
-	Heard func(died []poison.Death, answered []poison.Fingerprint)
+	Heard func(died []poison.Crash, answered []poison.Fingerprint)
 }
 
 // Teller implements proxy.PoisonNews.
@@ -57,8 +57,8 @@
 }
 
 // Died implements proxy.PoisonNews.
-func (t *Teller) Died(d poison.Death) {
-	t.tell(t.conf.Peers(), &poisonv1.TellRequest{Died: encodeDeaths(clock.Now(), []poison.Death{d})})
+func (t *Teller) Died(d poison.Crash) {
+	t.tell(t.conf.Peers(), &poisonv1.TellRequest{Died: encodeDeaths(clock.Now(), []poison.Crash{d})})
 }
 
 // Answered implements proxy.PoisonNews.
@@ -68,7 +68,7 @@
 
 // repeat tells a few hosts what they may have missed.
 func (t *Teller) repeat(now time.Time) {
-	deaths := t.conf.Recent(now, poison.RepeatFor)
+	deaths := t.conf.Recent(now, poison.RebroadcastPeriod)
 	if len(deaths) == 0 {
 		return
 	}
@@ -88,7 +88,7 @@
 // Tell implements poisonv1.PoisonServer.
 func (t *Teller) Tell(_ context.Context, req *poisonv1.TellRequest) (*poisonv1.TellResponse, error) {
 	now := clock.Now()
-	var died []poison.Death
+	var died []poison.Crash
 	for _, m := range req.GetDied() {
 		d, ok := decodeDeath(now, m)
 		if !ok {
@@ -104,28 +104,28 @@
 	return new(poisonv1.TellResponse), nil
 }
 
-func encodeDeaths(now time.Time, deaths []poison.Death) []*poisonv1.Death {
+func encodeDeaths(now time.Time, deaths []poison.Crash) []*poisonv1.Death {
 	var out []*poisonv1.Death
 	for _, d := range deaths {
 		out = append(out, &poisonv1.Death{
 			Request:    encodeFingerprint(d.Request),
 			Upstream:   d.Upstream,
 			Host:       d.Host,
-			BeganAgeUs: now.Sub(d.Began).Microseconds(),
-			EndedAgeUs: now.Sub(d.Ended).Microseconds(),
+			BeganAgeUs: now.Sub(d.SentAt).Microseconds(),
+			EndedAgeUs: now.Sub(d.EndedAt).Microseconds(),
 		})
 	}
 	return out
 }
 
-func decodeDeath(now time.Time, m *poisonv1.Death) (poison.Death, bool) {
-	began, ended, ok := poison.Times(now, m.GetBeganAgeUs(), m.GetEndedAgeUs())
-	return poison.Death{
+func decodeDeath(now time.Time, m *poisonv1.Death) (poison.Crash, bool) {
+	began, ended, ok := poison.ParseTimes(now, m.GetBeganAgeUs(), m.GetEndedAgeUs())
+	return poison.Crash{
 		Request:  decodeFingerprint(m.GetRequest()),
 		Upstream: m.GetUpstream(),
 		Host:     m.GetHost(),
-		Began:    began,
-		Ended:    ended,
+		SentAt:   began,
+		EndedAt:  ended,
 	}, ok
 }
 
--- a/internal/poisonnews/poisonnews_test.go
+++ b/internal/poisonnews/poisonnews_test.go
@@ -17,13 +17,13 @@
 
 // heard is one message that a host took in.
 type heard struct {
-	died     []poison.Death
+	died     []poison.Crash
 	answered []poison.Fingerprint
 }
 
 // begin starts a host that tells those whose addresses are given. Its repeats begin
 // with its loop.
-func begin(t *testing.T, recent []poison.Death, peers ...string) (*Teller, string, chan heard, *control.Loop) {
+func begin(t *testing.T, recent []poison.Crash, peers ...string) (*Teller, string, chan heard, *control.Loop) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -37,8 +37,8 @@
 		Server: server,
 		Pool:   peer.NewPool(nil),
 		Peers:  func() []string { return append([]string(nil), peers...) },
-		Recent: func(time.Time, time.Duration) []poison.Death { return recent },
-		Heard:  func(d []poison.Death, a []poison.Fingerprint) { messages <- heard{d, a} },
+		Recent: func(time.Time, time.Duration) []poison.Crash { return recent },
+		Heard:  func(d []poison.Crash, a []poison.Fingerprint) { messages <- heard{d, a} },
 	})
 	if err := server.Start(); err != nil {
 		t.Fatal(err)
@@ -47,12 +47,12 @@
 	return teller, ln.Addr().String(), messages, loop
 }
 
-func death() poison.Death {
+func death() poison.Crash {
 	now := time.Now()
-	return poison.Death{
-		Request:  poison.Of("GET", "shop", "/", nil, "caller"),
+	return poison.Crash{
+		Request:  poison.FingerprintOf("GET", "shop", "/", nil, "caller"),
 		Upstream: 1<<64 - 1, Host: 7,
-		Began: now.Add(-2 * time.Second), Ended: now.Add(-time.Second),
+		SentAt: now.Add(-2 * time.Second), EndedAt: now.Add(-time.Second),
 	}
 }
 
@@ -61,13 +61,13 @@
 	is := is.New(t)
 	_, address, messages, _ := begin(t, nil)
 	want := death()
-	teller, _, _, loop := begin(t, []poison.Death{want}, address)
+	teller, _, _, loop := begin(t, []poison.Crash{want}, address)
 	check := func(got heard) {
 		is.Equal(len(got.died), 1)
 		d := got.died[0]
 		is.Equal(d.Request, want.Request)
 		is.Equal([]uint64{d.Upstream, d.Host}, []uint64{want.Upstream, want.Host})
-		is.Equal(d.Ended.Sub(d.Began), time.Second)
+		is.Equal(d.EndedAt.Sub(d.SentAt), time.Second)
 	}
 	teller.Died(want)
 	check(<-messages)
--- a/internal/proxy/poison.go
+++ b/internal/proxy/poison.go
@@ -29,7 +29,7 @@
 // goroutines of their own.
 type PoisonNews interface {
 	// Died tells of an end of an upstream.
-	Died(d poison.Death)
+	Died(d poison.Crash)
 	// Answered tells that a request under which upstreams ended was answered.
 	Answered(f poison.Fingerprint)
 }
@@ -64,7 +64,7 @@
 
 // Heard takes in what another host tells of ends of upstreams, and of requests that were
 // answered. It may be called on any goroutine.
-func (p *Proxy) Heard(died []poison.Death, answered []poison.Fingerprint) {
+func (p *Proxy) Heard(died []poison.Crash, answered []poison.Fingerprint) {
 	now := clock.Now()
 	for _, d := range died {
 		p.died(now, d, quarantineHeard)
@@ -77,12 +77,12 @@
 }
 
 // RecentDeaths returns what a host that missed it should hear of.
-func (p *Proxy) RecentDeaths(now time.Time, within time.Duration) []poison.Death {
+func (p *Proxy) RecentDeaths(now time.Time, within time.Duration) []poison.Crash {
 	return p.poison.table.RecentCrashes(now, within)
 }
 
 // died takes in an end, and reports whether it was not known.
-func (p *Proxy) died(now time.Time, d poison.Death, reason string) bool {
+func (p *Proxy) died(now time.Time, d poison.Crash, reason string) bool {
 	news := p.poison.table.RecordCrash(now, d)
 	if news.NewlyRefused {
 		p.events.Emit(event.Event{
@@ -107,12 +107,12 @@
 		p.poison.examining.Add(-1)
 		return
 	}
-	d := poison.Death{
+	d := poison.Crash{
 		Request:  x.fingerprint(),
 		Upstream: poison.Hash(x.state.group.owner, b.upstream.ID),
 		Host:     poison.Hash(p.host, p.prefix),
-		Began:    start,
-		Ended:    clock.Now(),
+		SentAt:   start,
+		EndedAt:  clock.Now(),
 	}
 	known := make(chan struct{})
 	go func() {
@@ -131,7 +131,7 @@
 
 // upstreamEnded looks whether an upstream ended, and remembers and reports it. The request
 // may have been answered by then, so that the event is not one of its own.
-func (x *exchange) upstreamEnded(b binding, d poison.Death) bool {
+func (x *exchange) upstreamEnded(b binding, d poison.Crash) bool {
 	p := x.proxy
 	ctx, cancel := context.WithTimeout(context.Background(), examineTimeout)
 	defer cancel()
@@ -139,16 +139,16 @@
 		return false
 	}
 	p.events.Emit(event.Event{
-		Code: event.UpstreamEnded, At: clock.Wall(d.Ended), EntryHost: p.host,
+		Code: event.UpstreamEnded, At: clock.Wall(d.EndedAt), EntryHost: p.host,
 		Service: x.rule.Service.Name, Rule: x.rule.Config.Name, Upstream: b.upstream.ID,
-		Detail: "request " + x.id + " is " + d.Request.String(), Value: d.Ended.Sub(d.Began).Microseconds(),
+		Detail: "request " + x.id + " is " + d.Request.String(), Value: d.EndedAt.Sub(d.SentAt).Microseconds(),
 	})
 	return p.died(clock.Now(), d, quarantineSeen)
 }
 
 // fingerprint names the request by what it asks for, and the caller by its IP.
 func (x *exchange) fingerprint() poison.Fingerprint {
-	return poison.Of(x.req.Method, x.rule.Service.Name, x.req.Target, x.req.Body, callerIP(x.req.RemoteAddr))
+	return poison.FingerprintOf(x.req.Method, x.rule.Service.Name, x.req.Target, x.req.Body, callerIP(x.req.RemoteAddr))
 }
 
 // quarantined refuses a request under which upstreams end.
--- a/internal/proxy/poison_test.go
+++ b/internal/proxy/poison_test.go
@@ -88,8 +88,8 @@
 				p := newProxy(service(4, rule), leastOutstanding, dyingSender{slow, false}, rec)
 				req := request("GET")
 				if ended {
-					f := poison.Of("GET", "test", req.Target, nil, "10.0.0.9")
-					p.Heard([]poison.Death{{Request: f, Upstream: 1, Began: req.Received, Ended: req.Received}}, nil)
+					f := poison.FingerprintOf("GET", "test", req.Target, nil, "10.0.0.9")
+					p.Heard([]poison.Crash{{Request: f, Upstream: 1, SentAt: req.Received, EndedAt: req.Received}}, nil)
 				}
 				is.Equal(p.Serve(t.Context(), req).Status, http.StatusOK)
 				is.Equal(rec.count(event.HedgeSent) > 0, !ended)
@@ -157,8 +157,8 @@
 	}
 }
 
-func (o *others) Died(d poison.Death) {
-	o.each(func(p *Proxy) { p.Heard([]poison.Death{d}, nil) })
+func (o *others) Died(d poison.Crash) {
+	o.each(func(p *Proxy) { p.Heard([]poison.Crash{d}, nil) })
 }
 
 func (o *others) Answered(f poison.Fingerprint) {
@@ -174,7 +174,7 @@
 
 // contentOf is how events name what a request asks for.
 func contentOf(r *httpwire.Request) string {
-	content, _, _ := strings.Cut(poison.Of(r.Method, "test", r.Target, r.Body, "").String(), "-")
+	content, _, _ := strings.Cut(poison.FingerprintOf(r.Method, "test", r.Target, r.Body, "").String(), "-")
 	return content
 }
 
--- a/pkg/poison/fingerprint.go
+++ b/pkg/poison/fingerprint.go
@@ -47,9 +47,9 @@
 	return h
 }
 
-// Of returns the fingerprint of a request to a service, which is the name of the document
+// FingerprintOf returns the fingerprint of a request to a service, which is the name of the document
 // whose rule it matched.
-func Of(method, service, target string, body []byte, caller string) Fingerprint {
+func FingerprintOf(method, service, target string, body []byte, caller string) Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{method, service, target} {
 		writePart(h, part)
--- a/pkg/poison/fingerprint_test.go
+++ b/pkg/poison/fingerprint_test.go
@@ -8,18 +8,18 @@
 
 // TestFingerprint: what makes two requests the same.
 func TestFingerprint(t *testing.T) {
-	base := Of("GET", "shop", "/lots/1", []byte("b"), "10.0.0.1")
+	base := FingerprintOf("GET", "shop", "/lots/1", []byte("b"), "10.0.0.1")
 	for name, test := range map[string]struct {
 		other                   Fingerprint
 		target, content, caller bool // equal
 	}{
-		"the same":            {Of("GET", "shop", "/lots/1", []byte("b"), "10.0.0.1"), true, true, true},
-		"another caller":      {Of("GET", "shop", "/lots/1", []byte("b"), "10.0.0.2"), true, true, false},
-		"another body":        {Of("GET", "shop", "/lots/1", []byte("c"), "10.0.0.1"), true, false, false},
-		"another method":      {Of("PUT", "shop", "/lots/1", []byte("b"), "10.0.0.1"), true, false, false},
-		"another target":      {Of("GET", "shop", "/lots/2", []byte("b"), "10.0.0.1"), false, false, false},
-		"another service":     {Of("GET", "yard", "/lots/1", []byte("b"), "10.0.0.1"), false, false, false},
-		"parts that run over": {Of("GET", "shop/", "lots/1", []byte("b"), "10.0.0.1"), true, false, false},
+		"the same":            {FingerprintOf("GET", "shop", "/lots/1", []byte("b"), "10.0.0.1"), true, true, true},
+		"another caller":      {FingerprintOf("GET", "shop", "/lots/1", []byte("b"), "10.0.0.2"), true, true, false},
+		"another body":        {FingerprintOf("GET", "shop", "/lots/1", []byte("c"), "10.0.0.1"), true, false, false},
+		"another method":      {FingerprintOf("PUT", "shop", "/lots/1", []byte("b"), "10.0.0.1"), true, false, false},
+		"another target":      {FingerprintOf("GET", "shop", "/lots/2", []byte("b"), "10.0.0.1"), false, false, false},
+		"another service":     {FingerprintOf("GET", "yard", "/lots/1", []byte("b"), "10.0.0.1"), false, false, false},
+		"parts that run over": {FingerprintOf("GET", "shop/", "lots/1", []byte("b"), "10.0.0.1"), true, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/pkg/poison/table.go
+++ b/pkg/poison/table.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Death is the end of an upstream while it ran a request.
-type Death struct {
+// Crash is the end of an upstream while it ran a request.
+type Crash struct {
 	// Request is what it ran.
 	Request Fingerprint
 	// Upstream names it, and Host the entry host that saw it: the same on all hosts.
 	Upstream, Host uint64
-	// Began is when the request was sent, and Ended when the connection ended, by the
+	// SentAt is when the request was sent, and EndedAt when the connection ended, by the
 	// clock of the host that holds this value.
-	Began, Ended time.Time
+	SentAt, EndedAt time.Time
 }
 
 const (
@@ -48,7 +48,7 @@
 	killSlack = 10 * time.Millisecond
 	hostSlack = 50 * time.Millisecond
 	// maxSuspects bounds the requests remembered, and maxDeaths the ends of each: by the
-	// size of a Death, 88 bytes, 1.4 MB together.
+	// size of a Crash, 88 bytes, 1.4 MB together.
 	maxSuspects = 1024
 	maxDeaths   = 16
 	// expireEvery is how often what is long ago is looked for.
@@ -60,7 +60,7 @@
 // suspect is a request under which upstreams ended.
 type suspect struct {
 	target uint64
-	deaths []Death // the oldest end first
+	deaths []Crash // the oldest end first
 	// answered is when it was last answered, whoever asked.
 	answered time.Time
 }
@@ -147,7 +147,7 @@
 }
 
 // RecordCrash takes in an end.
-func (t *Table) RecordCrash(now time.Time, d Death) RecordResult {
+func (t *Table) RecordCrash(now time.Time, d Crash) RecordResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire(now)
@@ -174,7 +174,7 @@
 	mine := len(s.of(f.Caller))
 	tell = mine > 0 || now.Sub(s.answered) >= answeredEvery
 	s.answered = now
-	s.deaths = slices.DeleteFunc(s.deaths, func(d Death) bool { return d.Request.Caller == f.Caller })
+	s.deaths = slices.DeleteFunc(s.deaths, func(d Crash) bool { return d.Request.Caller == f.Caller })
 	if len(s.deaths) == 0 {
 		t.remove(f.Content)
 	}
@@ -183,16 +183,16 @@
 
 // RecentCrashes returns the ends that a host which missed them should hear of: those under
 // requests that are refused, and those of the last moments.
-func (t *Table) RecentCrashes(now time.Time, within time.Duration) []Death {
+func (t *Table) RecentCrashes(now time.Time, within time.Duration) []Crash {
 	if t.count.Load() == 0 {
 		return nil
 	}
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	var out []Death
+	var out []Crash
 	for _, s := range t.suspects {
 		for _, d := range s.deaths {
-			if now.Sub(d.Ended) < within || !t.refusedUntil(now, d.Request).IsZero() {
+			if now.Sub(d.EndedAt) < within || !t.refusedUntil(now, d.Request).IsZero() {
 				out = append(out, d)
 			}
 		}
@@ -248,26 +248,26 @@
 }
 
 // add takes in an end in its order, and reports whether it was not known.
-func (s *suspect) add(d Death) bool {
-	if slices.ContainsFunc(s.deaths, func(known Death) bool {
+func (s *suspect) add(d Crash) bool {
+	if slices.ContainsFunc(s.deaths, func(known Crash) bool {
 		return known.Request.Caller == d.Request.Caller && same(known, d)
 	}) {
 		return false
 	}
 	s.deaths = append(s.deaths, d)
-	slices.SortStableFunc(s.deaths, func(a, b Death) int { return a.Ended.Compare(b.Ended) })
+	slices.SortStableFunc(s.deaths, func(a, b Crash) int { return a.EndedAt.Compare(b.EndedAt) })
 	s.deaths = s.deaths[max(0, len(s.deaths)-maxDeaths):]
 	return true
 }
 
 // of returns the ends under the request of one caller.
-func (s *suspect) of(caller uint64) []Death {
-	return filter(s.deaths, func(d Death) bool { return d.Request.Caller == caller })
+func (s *suspect) of(caller uint64) []Crash {
+	return filter(s.deaths, func(d Crash) bool { return d.Request.Caller == caller })
 }
 
 // unanswered returns the ends since the request was last answered to anyone.
-func (s *suspect) unanswered() []Death {
-	return filter(s.deaths, func(d Death) bool { return d.Ended.After(s.answered) })
+func (s *suspect) unanswered() []Crash {
+	return filter(s.deaths, func(d Crash) bool { return d.EndedAt.After(s.answered) })
 }
 
 // last returns when an upstream last ended under it.
@@ -275,11 +275,11 @@
 	if len(s.deaths) == 0 {
 		return s.answered
 	}
-	return s.deaths[len(s.deaths)-1].Ended
+	return s.deaths[len(s.deaths)-1].EndedAt
 }
 
-func filter(deaths []Death, keep func(Death) bool) []Death {
-	var out []Death
+func filter(deaths []Crash, keep func(Crash) bool) []Crash {
+	var out []Crash
 	for _, d := range deaths {
 		if keep(d) {
 			out = append(out, d)
@@ -290,8 +290,8 @@
 
 // whoeverAsks reports whether ends under the requests of several callers show that the
 // caller does not matter.
-func whoeverAsks(deaths []Death) bool {
-	if len(deaths) < minEndsOfAll || deaths[len(deaths)-1].Ended.Sub(deaths[0].Ended) < minSpan {
+func whoeverAsks(deaths []Crash) bool {
+	if len(deaths) < minEndsOfAll || deaths[len(deaths)-1].EndedAt.Sub(deaths[0].EndedAt) < minSpan {
 		return false
 	}
 	callers := make(map[uint64]bool)
@@ -302,15 +302,15 @@
 }
 
 // same reports whether two reports are of one end: several requests ran there.
-func same(a, b Death) bool {
-	return a.Upstream == b.Upstream && a.Ended.Sub(b.Ended).Abs() < sameEnd
+func same(a, b Crash) bool {
+	return a.Upstream == b.Upstream && a.EndedAt.Sub(b.EndedAt).Abs() < sameEnd
 }
 
 // ends returns one report of each end.
-func ends(deaths []Death) []Death {
-	var out []Death
+func ends(deaths []Crash) []Crash {
+	var out []Crash
 	for _, d := range deaths {
-		if !slices.ContainsFunc(out, func(known Death) bool { return same(known, d) }) {
+		if !slices.ContainsFunc(out, func(known Crash) bool { return same(known, d) }) {
 			out = append(out, d)
 		}
 	}
@@ -319,16 +319,16 @@
 
 // refusedUntil returns until when a request with these ends is refused; the zero time if
 // they prove nothing.
-func refusedUntil(deaths []Death, least int) time.Time {
+func refusedUntil(deaths []Crash, least int) time.Time {
 	if len(deaths) < least || len(ends(deaths)) < least || !followed(deaths) {
 		return time.Time{}
 	}
-	return deaths[len(deaths)-1].Ended.Add(length(deaths))
+	return deaths[len(deaths)-1].EndedAt.Add(length(deaths))
 }
 
 // followed reports whether an upstream was sent the request after another had ended
 // under it. Upstreams that a failure domain takes with it end without that.
-func followed(deaths []Death) bool {
+func followed(deaths []Crash) bool {
 	for i, first := range deaths {
 		if slices.ContainsFunc(deaths[i+1:], first.before) {
 			return true
@@ -338,20 +338,20 @@
 }
 
 // before reports whether an upstream had ended when the request of the next was sent.
-func (d Death) before(next Death) bool {
+func (d Crash) before(next Crash) bool {
 	slack := killSlack
 	if next.Host != d.Host {
 		slack = hostSlack
 	}
-	return next.Began.Sub(d.Ended) >= slack
+	return next.SentAt.Sub(d.EndedAt) >= slack
 }
 
 // length returns how long a request with these ends is refused: longer for each time
 // that one ended after a quarantine.
-func length(deaths []Death) time.Duration {
+func length(deaths []Crash) time.Duration {
 	out := quarantine
 	for i := 1; i < len(deaths) && out < maxQuarantine; i++ {
-		if deaths[i].Ended.Sub(deaths[i-1].Ended) >= quarantine {
+		if deaths[i].EndedAt.Sub(deaths[i-1].EndedAt) >= quarantine {
 			out *= quarantineGrowth
 		}
 	}
--- a/pkg/poison/table_test.go
+++ b/pkg/poison/table_test.go
@@ -15,19 +15,21 @@
 
 const ms = time.Millisecond
 
-func asked(target, caller string) Fingerprint { return Of("GET", "shop", target, nil, caller) }
+func asked(target, caller string) Fingerprint {
+	return FingerprintOf("GET", "shop", target, nil, caller)
+}
 
 // end is one under a request, which ran for 100 ms.
-func end(f Fingerprint, upstream uint64, ended time.Duration) Death {
-	return Death{Request: f, Upstream: upstream, Began: at(ended - 100*ms), Ended: at(ended)}
+func end(f Fingerprint, upstream uint64, ended time.Duration) Crash {
+	return Crash{Request: f, Upstream: upstream, SentAt: at(ended - 100*ms), EndedAt: at(ended)}
 }
 
 // quick is one under a request that ran for 30 ms.
-func quick(f Fingerprint, upstream uint64, ended time.Duration) Death {
-	return Death{Request: f, Upstream: upstream, Began: at(ended - 30*ms), Ended: at(ended)}
+func quick(f Fingerprint, upstream uint64, ended time.Duration) Crash {
+	return Crash{Request: f, Upstream: upstream, SentAt: at(ended - 30*ms), EndedAt: at(ended)}
 }
 
-func seenBy(host uint64, d Death) Death {
+func seenBy(host uint64, d Crash) Crash {
 	d.Host = host
 	return d
 }
@@ -40,59 +42,59 @@
 func TestRefused(t *testing.T) {
 	deadly, other, third := asked("/lots/1", "a"), asked("/lots/1", "b"), asked("/lots/1", "c")
 	for name, test := range map[string]struct {
-		deaths          []Death
+		deaths          []Crash
 		refused, others bool // of this caller, of others with the same content
 	}{
 		"nothing ended": {},
-		"two ended":     {deaths: []Death{end(deadly, 1, 0), end(deadly, 2, 200*ms)}},
+		"two ended":     {deaths: []Crash{end(deadly, 1, 0), end(deadly, 2, 200*ms)}},
 		"three, one after another": {
-			deaths:  []Death{end(deadly, 1, 0), end(deadly, 2, 200*ms), end(deadly, 3, 400*ms)},
+			deaths:  []Crash{end(deadly, 1, 0), end(deadly, 2, 200*ms), end(deadly, 3, 400*ms)},
 			refused: true,
 		},
 		"three, reported in another order": {
-			deaths:  []Death{end(deadly, 3, 400*ms), end(deadly, 1, 0), end(deadly, 2, 200*ms)},
+			deaths:  []Crash{end(deadly, 3, 400*ms), end(deadly, 1, 0), end(deadly, 2, 200*ms)},
 			refused: true,
 		},
 		"two together, and one that was sent it afterwards": {
-			deaths:  []Death{end(deadly, 1, 0), end(deadly, 2, 20*ms), end(deadly, 3, 200*ms)},
+			deaths:  []Crash{end(deadly, 1, 0), end(deadly, 2, 20*ms), end(deadly, 3, 200*ms)},
 			refused: true,
 		},
 		"a failure domain goes, with many of one caller's": {
-			deaths: []Death{end(deadly, 1, 0), end(deadly, 2, 5*ms), end(deadly, 3, 9*ms), end(deadly, 4, 20*ms), end(deadly, 5, 30*ms)},
+			deaths: []Crash{end(deadly, 1, 0), end(deadly, 2, 5*ms), end(deadly, 3, 9*ms), end(deadly, 4, 20*ms), end(deadly, 5, 30*ms)},
 		},
 		"the same, and one sent again meets the next": {
-			deaths: []Death{end(deadly, 1, 0), quick(deadly, 2, 33*ms), quick(deadly, 3, 36*ms)},
+			deaths: []Crash{end(deadly, 1, 0), quick(deadly, 2, 33*ms), quick(deadly, 3, 36*ms)},
 		},
 		"the same, seen by hosts of which one is late": {
-			deaths: []Death{end(deadly, 1, 0), end(deadly, 2, 5*ms), seenBy(2, end(deadly, 3, 140*ms))},
+			deaths: []Crash{end(deadly, 1, 0), end(deadly, 2, 5*ms), seenBy(2, end(deadly, 3, 140*ms))},
 		},
 		"three that end within 30 ms each, at one host": {
-			deaths:  []Death{quick(deadly, 1, 0), quick(deadly, 2, 31*ms), quick(deadly, 3, 62*ms)},
+			deaths:  []Crash{quick(deadly, 1, 0), quick(deadly, 2, 31*ms), quick(deadly, 3, 62*ms)},
 			refused: true,
 		},
 		"one end, reported thrice": {
-			deaths: []Death{end(deadly, 1, 0), end(deadly, 1, 300*ms), end(deadly, 1, 600*ms)},
+			deaths: []Crash{end(deadly, 1, 0), end(deadly, 1, 300*ms), end(deadly, 1, 600*ms)},
 		},
 		"one upstream that starts again under its id": {
-			deaths:  []Death{end(deadly, 1, 0), end(deadly, 1, 3*time.Second), end(deadly, 1, 6*time.Second)},
+			deaths:  []Crash{end(deadly, 1, 0), end(deadly, 1, 3*time.Second), end(deadly, 1, 6*time.Second)},
 			refused: true,
 		},
 		"three under the requests of several callers": {
-			deaths: []Death{end(deadly, 1, 0), end(other, 2, 200*ms), end(deadly, 3, 400*ms)},
+			deaths: []Crash{end(deadly, 1, 0), end(other, 2, 200*ms), end(deadly, 3, 400*ms)},
 		},
 		"five, of two callers": {
-			deaths:  []Death{end(deadly, 1, 0), end(other, 2, 150*ms), end(deadly, 3, 300*ms), end(deadly, 4, 450*ms), end(other, 5, 600*ms)},
+			deaths:  []Crash{end(deadly, 1, 0), end(other, 2, 150*ms), end(deadly, 3, 300*ms), end(deadly, 4, 450*ms), end(other, 5, 600*ms)},
 			refused: true,
 		},
 		"five within a moment, of three callers": {
-			deaths: []Death{end(deadly, 1, 0), end(other, 2, 110*ms), end(third, 3, 220*ms), end(deadly, 4, 330*ms), end(other, 5, 440*ms)},
+			deaths: []Crash{end(deadly, 1, 0), end(other, 2, 110*ms), end(third, 3, 220*ms), end(deadly, 4, 330*ms), end(other, 5, 440*ms)},
 		},
 		"five, of three callers": {
-			deaths: []Death{end(deadly, 1, 0), end(other, 2, 150*ms), end(third, 3, 300*ms), end(deadly, 4, 450*ms), end(other, 5, 600*ms)},
+			deaths: []Crash{end(deadly, 1, 0), end(other, 2, 150*ms), end(third, 3, 300*ms), end(deadly, 4, 450*ms), end(other, 5, 600*ms)},
 			others: true, refused: true,
 		},
 		"a failure domain goes, with many callers'": {
-			deaths: []Death{end(deadly, 1, 0), end(other, 2, 5*ms), end(asked("/lots/1", "c"), 3, 9*ms)},
+			deaths: []Crash{end(deadly, 1, 0), end(other, 2, 5*ms), end(asked("/lots/1", "c"), 3, 9*ms)},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/poison/times.go
+++ b/pkg/poison/times.go
@@ -6,9 +6,9 @@
 // time in which one end renews it.
 const maxAge = 3 * maxQuarantine
 
-// Times returns when a request was sent and when its upstream ended from their ages in
+// ParseTimes returns when a request was sent and when its upstream ended from their ages in
 // microseconds, and false for ages that no host tells.
-func Times(now time.Time, began, ended int64) (beganAt, endedAt time.Time, ok bool) {
+func ParseTimes(now time.Time, began, ended int64) (beganAt, endedAt time.Time, ok bool) {
 	if ended < 0 || began < ended || began > maxAge.Microseconds() {
 		return time.Time{}, time.Time{}, false
 	}
