--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -254,7 +254,7 @@
 	g.loop.Every(gossip.RepeatInterval, g.repeatDeaths)
 	g.loop.Every(gossip.RepeatInterval, g.repeatLimits)
 	g.loop.Every(quotasEvery, g.quotas.Tick)
-	g.loop.Every(retry.SaveEvery, func(time.Time) { g.proxy.Tick() })
+	g.loop.Every(retry.TickInterval, func(time.Time) { g.proxy.Tick() })
 	return nil
 }
 
--- a/internal/lab/proxyhost.go
+++ b/internal/lab/proxyhost.go
@@ -206,7 +206,7 @@
 		h.finishOrRetry(r, f)
 	}))
 	if r.Attempts == 1 {
-		h.budget.First()
+		h.budget.RecordFirst()
 		h.scheduleHedge(r, res)
 	}
 }
@@ -259,11 +259,11 @@
 
 func (h *proxyHost) retryAttempt(r *Request, kind errkind.Kind) retry.Attempt {
 	return retry.Attempt{
-		Kind:        kind,
-		Repeatable:  true,
-		Sent:        r.Attempts,
-		MaxAttempts: config.DefaultMaxAttempts,
-		Left:        r.Deadline.Sub(h.now()),
-		Expected:    h.latency.Quantile(medianQuantile),
+		Kind:         kind,
+		Repeatable:   true,
+		Sent:         r.Attempts,
+		MaxAttempts:  config.DefaultMaxAttempts,
+		DeadlineLeft: r.Deadline.Sub(h.now()),
+		Expected:     h.latency.Quantile(medianQuantile),
 	}
 }
--- a/internal/proxy/allocs_test.go
+++ b/internal/proxy/allocs_test.go
@@ -87,7 +87,7 @@
 	p := newProxy(service(4, rule), leastOutstanding, sender, event.Discard{})
 	for _, rs := range p.state.Load().rules {
 		for range 100 {
-			rs.next().budget.First() // fills the budget
+			rs.next().budget.RecordFirst() // fills the budget
 		}
 	}
 	req := request("GET")
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// Tick lets the budgets of registered services know that retry.SaveEvery has passed. The
+// Tick lets the budgets of registered services know that retry.TickInterval has passed. The
 // control goroutine calls it.
 func (p *Proxy) Tick() {
 	s := p.state.Load()
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -56,7 +56,7 @@
 func (x *exchange) count() {
 	x.sent++
 	if x.sent == 1 {
-		x.state.budget.First()
+		x.state.budget.RecordFirst()
 	}
 }
 
@@ -93,7 +93,7 @@
 		Suspect:        x.suspect(),
 		ArrivedAsRetry: x.isRetry,
 		NoRetry:        x.noRetry,
-		Left:           x.left(),
+		DeadlineLeft:   x.left(),
 		Expected:       x.state.latency.Quantile(medianQuantile),
 	}
 }
--- a/pkg/balancer/embedding_example_test.go
+++ b/pkg/balancer/embedding_example_test.go
@@ -60,7 +60,7 @@
 func (g *group) run(now, deadline time.Time) {
 	info := balancer.PickInfo{Now: now, Random: 1}
 	attempt := retry.Attempt{Repeatable: true, MaxAttempts: 2}
-	g.budget.First()
+	g.budget.RecordFirst()
 	for g.limiter.Acquire(0) {
 		choice, err := g.picker.Pick(info)
 		if errors.Is(err, balancer.ErrNoSlot) {
@@ -80,7 +80,7 @@
 		info.Now = info.Now.Add(exchangeTime)
 		info.Exclude = append(info.Exclude, choice.Upstream)
 		attempt.Sent++
-		attempt.Left = deadline.Sub(info.Now)
+		attempt.DeadlineLeft = deadline.Sub(info.Now)
 		decision := retry.Decide(attempt, g.budget)
 		fmt.Println(choice.Upstream.ID, "failed; another send:", decision)
 		if decision != retry.Allowed {
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -18,15 +18,15 @@
 	// ReserveTokens is what a new budget holds, and the most that it can save
 	// up, in extra sends. It lets a rule with little traffic retry at all.
 	ReserveTokens = 10
-	// SaveEvery is how often Tick is to be called, and savedTicks the number of these times
+	// TickInterval is how often Tick is to be called, and savedTicks the number of these times
 	// whose first sends' share can be saved up besides the reserve: 1.5 s. What fails at once
 	// at many upstreams is met by several requests of a host within a second. Of 400 requests
 	// to ten upstreams, three of which began to turn everything away at the same moment, 3 were
 	// refused for a spent budget in one run without it, and 1 in five runs with it (four hosts,
 	// ten requests a second each). Over a stretch of 10 s, the extra sends are 15 in 100 more
 	// than the share at the most.
-	SaveEvery  = 500 * time.Millisecond
-	savedTicks = 3
+	TickInterval = 500 * time.Millisecond
+	savedTicks   = 3
 )
 
 // Budget is a token bucket that is filled by first sends instead of by time:
@@ -69,7 +69,7 @@
 	b.resize()
 }
 
-// Tick is called every SaveEvery, by the goroutine that calls SetReserve.
+// Tick is called every TickInterval, by the goroutine that calls SetReserve.
 func (b *Budget) Tick() {
 	if b == nil {
 		return
@@ -97,8 +97,8 @@
 	b.share.Store(int64(percent * milli / 100))
 }
 
-// First records a first send.
-func (b *Budget) First() {
+// RecordFirst records a first send.
+func (b *Budget) RecordFirst() {
 	if b == nil {
 		return
 	}
--- a/pkg/retry/decide.go
+++ b/pkg/retry/decide.go
@@ -57,8 +57,8 @@
 	Suspect bool
 	// NoRetry states that the upstream's answer said not to retry.
 	NoRetry bool
-	// Left is the time to the deadline.
-	Left time.Duration
+	// DeadlineLeft is the time to the deadline.
+	DeadlineLeft time.Duration
 	// Expected is the time that a send usually takes; 0 if unknown.
 	Expected time.Duration
 }
@@ -92,7 +92,7 @@
 		return DeniedArrivedAsRetry
 	case a.NoRetry:
 		return DeniedUpstream
-	case a.Left <= a.Expected:
+	case a.DeadlineLeft <= a.Expected:
 		return DeniedDeadline
 	default:
 		return Allowed
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -27,7 +27,7 @@
 	budget := retry.NewBudget(10)
 	extra := 0
 	for range 1000 {
-		budget.First()
+		budget.RecordFirst()
 		if budget.Withdraw() {
 			extra++
 		}
@@ -38,11 +38,11 @@
 
 func ExampleDecide() {
 	failed := retry.Attempt{
-		Kind:        errkind.UpstreamBroken,
-		Repeatable:  true,
-		Sent:        1,
-		MaxAttempts: 2,
-		Left:        100 * time.Millisecond,
+		Kind:         errkind.UpstreamBroken,
+		Repeatable:   true,
+		Sent:         1,
+		MaxAttempts:  2,
+		DeadlineLeft: 100 * time.Millisecond,
 	}
 	fmt.Println(retry.Decide(failed, retry.NewBudget(10)))
 	failed.Repeatable = false
@@ -70,7 +70,7 @@
 		for _, send := range rapid.SliceOfN(rapid.IntRange(0, 2), 1, 500).Draw(t, "sends") {
 			switch {
 			case send == 0:
-				budget.First()
+				budget.RecordFirst()
 				first++
 			case budget.Withdraw():
 				extra++
@@ -92,7 +92,7 @@
 	var extra [ticks]int
 	for tick := range ticks {
 		for range perTick {
-			budget.First()
+			budget.RecordFirst()
 		}
 		failing := tick/30%2 == 1 // 15 s well, 15 s not
 		for failing && budget.Withdraw() {
@@ -121,7 +121,7 @@
 	for range 8 {
 		wg.Go(func() {
 			for range 1000 {
-				budget.First()
+				budget.RecordFirst()
 				if budget.Withdraw() {
 					extra.Add(1)
 				}
@@ -134,7 +134,7 @@
 }
 
 func TestDecide(t *testing.T) {
-	ok := retry.Attempt{Kind: errkind.ConnectFailed, Repeatable: true, Sent: 1, MaxAttempts: 2, Left: time.Second}
+	ok := retry.Attempt{Kind: errkind.ConnectFailed, Repeatable: true, Sent: 1, MaxAttempts: 2, DeadlineLeft: time.Second}
 	tests := []struct {
 		name string
 		edit func(*retry.Attempt)
@@ -183,7 +183,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			budget.First()
+			budget.RecordFirst()
 		}
 	})
 }
