--- a/internal/lab/proxyhost.go
+++ b/internal/lab/proxyhost.go
@@ -228,7 +228,7 @@
 	if h.queue.Len() == 0 {
 		return
 	}
-	if reason == limit.Grew || reason == limit.Relearned {
+	if reason == limit.Increased || reason == limit.Relearned {
 		h.wakeQueue(2)
 		return
 	}
--- a/internal/proxy/group.go
+++ b/internal/proxy/group.go
@@ -92,7 +92,7 @@
 // one more where the limit has grown. Waking more lets them race for one slot,
 // and the lower priority may win.
 func wakeCount(reason limit.Reason) int {
-	if reason == limit.Grew || reason == limit.Relearned {
+	if reason == limit.Increased || reason == limit.Relearned {
 		return 2
 	}
 	return 1
--- a/pkg/limit/limit.go
+++ b/pkg/limit/limit.go
@@ -74,14 +74,14 @@
 const (
 	// Unchanged means that the limit did not move.
 	Unchanged Reason = ""
-	// Grew means that the limit was in use and latency near its baseline.
-	Grew Reason = "used-and-fast"
-	// ShrankLatency means that latency rose above the baseline.
-	ShrankLatency Reason = "latency-rose"
-	// ShrankPressure means that upstreams reported queues.
-	ShrankPressure Reason = "upstreams-report-queues"
-	// ShrankRefused means that upstreams refused.
-	ShrankRefused Reason = "upstreams-refused"
+	// Increased means that the limit was in use and latency near its baseline.
+	Increased Reason = "used-and-fast"
+	// DecreasedLatency means that latency rose above the baseline.
+	DecreasedLatency Reason = "latency-rose"
+	// DecreasedPressure means that upstreams reported queues.
+	DecreasedPressure Reason = "upstreams-report-queues"
+	// DecreasedRefused means that upstreams refused.
+	DecreasedRefused Reason = "upstreams-refused"
 	// Relearning means that the limit is lowered for two windows to measure the baseline.
 	Relearning Reason = "measuring-baseline"
 	// Relearned means that the limit is back after measuring the baseline.
@@ -233,7 +233,7 @@
 	if w.refused*refusedShare > w.samples {
 		l.stopRelearning()
 		l.shrink()
-		return ShrankRefused
+		return DecreasedRefused
 	}
 	mean := w.sum / time.Duration(w.samples)
 	if l.phase > 0 || l.windows > RelearnEvery && !w.loaded() {
@@ -254,7 +254,7 @@
 	} else {
 		l.limit *= StartFactor
 	}
-	return Grew
+	return Increased
 }
 
 // shrink lowers the limit by one step.
@@ -275,12 +275,12 @@
 	tolerance := Tolerance
 	if w.reported() {
 		if w.meanPressure() > PressureTolerance {
-			return ShrankPressure
+			return DecreasedPressure
 		}
 		tolerance = GuardTolerance
 	}
 	if float64(mean) > tolerance*float64(l.baseline) {
-		return ShrankLatency
+		return DecreasedLatency
 	}
 	return Unchanged
 }
--- a/pkg/limit/limit_test.go
+++ b/pkg/limit/limit_test.go
@@ -97,7 +97,7 @@
 	got, inFlight := l.Limit()
 	is.Equal(got, 2)
 	is.Equal(inFlight, 0)
-	is.Equal(last, limit.ShrankRefused)
+	is.Equal(last, limit.DecreasedRefused)
 }
 
 // TestLimitFollowsReports keeps others' queues at the upstream: latency never
