--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -18,13 +18,13 @@
 	"github.com/dapplespindle/dapplespindle/internal/configfeed"
 	"github.com/dapplespindle/dapplespindle/internal/execution"
 	"github.com/dapplespindle/dapplespindle/internal/httpwire"
-	"github.com/dapplespindle/dapplespindle/internal/limitnews"
+	"github.com/dapplespindle/dapplespindle/internal/limitsync"
 	"github.com/dapplespindle/dapplespindle/internal/members"
 	"github.com/dapplespindle/dapplespindle/internal/notices"
 	"github.com/dapplespindle/dapplespindle/internal/operator"
 	"github.com/dapplespindle/dapplespindle/internal/peer"
 	"github.com/dapplespindle/dapplespindle/internal/platform"
-	"github.com/dapplespindle/dapplespindle/internal/poisonnews"
+	"github.com/dapplespindle/dapplespindle/internal/poisonsync"
 	"github.com/dapplespindle/dapplespindle/internal/prober"
 	"github.com/dapplespindle/dapplespindle/internal/proxy"
 	"github.com/dapplespindle/dapplespindle/internal/settings"
@@ -190,22 +190,22 @@
 		Timeout:   e.conf.Probe.Timeout,
 		FreshFor:  e.conf.Probe.ReportTTL,
 	})
-	e.poison = poisonnews.New(poisonnews.Config{
-		Loop:   e.loop,
-		Server: e.peerServer,
-		Pool:   e.pool,
-		Peers:  e.peerAddresses,
-		Recent: func(now time.Time, within time.Duration) []poison.Crash { return e.proxy.RecentDeaths(now, within) },
-		Heard:  func(died []poison.Crash, answered []poison.Fingerprint) { e.proxy.Heard(died, answered) },
+	e.poison = poisonsync.New(poisonsync.Config{
+		Loop:     e.loop,
+		Server:   e.peerServer,
+		Pool:     e.pool,
+		Peers:    e.peerAddresses,
+		Recent:   func(now time.Time, within time.Duration) []poison.Crash { return e.proxy.RecentDeaths(now, within) },
+		OnUpdate: func(died []poison.Crash, answered []poison.Fingerprint) { e.proxy.Heard(died, answered) },
 	})
-	e.limits = limitnews.New(limitnews.Config{
-		Loop:   e.loop,
-		Server: e.peerServer,
-		Pool:   e.pool,
-		Peers:  e.peerAddresses,
-		InTurn: e.hostsInTurn,
-		Book:   e.control.groups.limits,
-		Heard:  e.heardLimits,
+	e.limits = limitsync.New(limitsync.Config{
+		Loop:      e.loop,
+		Server:    e.peerServer,
+		Pool:      e.pool,
+		Peers:     e.peerAddresses,
+		SlotOrder: e.hostsInTurn,
+		Book:      e.control.groups.limits,
+		OnUpdate:  e.heardLimits,
 	})
 	incarnation := strconv.FormatInt(time.Now().UnixNano(), 36)
 	e.proxy = proxy.New(e.host, incarnation, e.client, e.sink,
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -19,7 +19,7 @@
 	"github.com/dapplespindle/dapplespindle/internal/events"
 	"github.com/dapplespindle/dapplespindle/internal/execution"
 	"github.com/dapplespindle/dapplespindle/internal/httpwire"
-	"github.com/dapplespindle/dapplespindle/internal/limitnews"
+	"github.com/dapplespindle/dapplespindle/internal/limitsync"
 	"github.com/dapplespindle/dapplespindle/internal/logging"
 	"github.com/dapplespindle/dapplespindle/internal/members"
 	"github.com/dapplespindle/dapplespindle/internal/metrics"
@@ -27,7 +27,7 @@
 	"github.com/dapplespindle/dapplespindle/internal/operator"
 	"github.com/dapplespindle/dapplespindle/internal/peer"
 	"github.com/dapplespindle/dapplespindle/internal/platform"
-	"github.com/dapplespindle/dapplespindle/internal/poisonnews"
+	"github.com/dapplespindle/dapplespindle/internal/poisonsync"
 	"github.com/dapplespindle/dapplespindle/internal/prober"
 	"github.com/dapplespindle/dapplespindle/internal/proxy"
 	"github.com/dapplespindle/dapplespindle/internal/settings"
@@ -51,8 +51,8 @@
 	members   *members.Members
 	feed      *configfeed.Feed
 	notices   *notices.Broadcaster
-	poison    *poisonnews.Teller
-	limits    *limitnews.Teller
+	poison    *poisonsync.Broadcaster
+	limits    *limitsync.Broadcaster
 	tickets   *execution.Service
 	prober    *prober.Prober
 	operators *operator.Server
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -56,7 +56,7 @@
 }
 
 // LimitHeard implements proxy.Upstreams.
-func (c *controller) LimitHeard(u *balancer.Upstream) { c.entry.limits.Changed(u.Limit) }
+func (c *controller) LimitHeard(u *balancer.Upstream) { c.entry.limits.Broadcast(u.Limit) }
 
 // Reported implements proxy.Upstreams.
 func (c *controller) Reported(address string, now time.Time) {
--- a/internal/limitnews/limitnews.go
+++ b/internal/limitsync/limitsync.go
@@ -1,6 +1,6 @@
-// Package limitnews tells the other entry hosts, over gRPC, of the limits that upstreams
+// Package limitsync tells the other entry hosts, over gRPC, of the limits that upstreams
 // name.
-package limitnews
+package limitsync
 
 import (
 	"context"
@@ -39,44 +39,44 @@
 	Pool *peer.Pool
 	// Peers returns the addresses of the other entry hosts. It runs on any goroutine.
 	Peers func() []string
-	// InTurn returns the addresses of all hosts in the order of their turns; empty for one
+	// SlotOrder returns the addresses of all hosts in the order of their turns; empty for one
 	// that is not to be asked. It runs on any goroutine.
-	InTurn func() []string
+	SlotOrder func() []string
 	// Book holds what this host knows.
 	Book *ratelimit.Registry
-	// Heard is told which upstreams' limits a peer's news have changed. It runs on any
+	// OnUpdate is told which upstreams' limits a peer's news have changed. It runs on any
 	// goroutine.
-	Heard func([]*ratelimit.State)
+	OnUpdate func([]*ratelimit.State)
 }
 
-// Teller tells peers of limits, hears them, and asks peers for turns.
-type Teller struct {
+// Broadcaster tells peers of limits, hears them, and asks peers for turns.
+type Broadcaster struct {
 	conf Config
 }
 
 // server answers peers.
 type server struct {
 	limitsv1.UnimplementedLimitsServer
-	teller *Teller
+	teller *Broadcaster
 }
 
 // New registers a teller with the loop and the peers' server.
-func New(conf Config) *Teller {
-	t := &Teller{conf: conf}
+func New(conf Config) *Broadcaster {
+	t := &Broadcaster{conf: conf}
 	limitsv1.RegisterLimitsServer(conf.Server, server{teller: t})
 	conf.Loop.Every(gossip.RepeatInterval, t.repeat)
 	return t
 }
 
-// Changed tells all hosts what is now known of a limit.
-func (t *Teller) Changed(s *ratelimit.State) {
+// Broadcast tells all hosts what is now known of a limit.
+func (t *Broadcaster) Broadcast(s *ratelimit.State) {
 	if news, ok := s.Update(clock.Now()); ok {
 		t.tell(t.conf.Peers(), []ratelimit.Update{news})
 	}
 }
 
 // repeat tells a few hosts what they may have missed.
-func (t *Teller) repeat(now time.Time) {
+func (t *Broadcaster) repeat(now time.Time) {
 	known := t.conf.Book.Updates(now)
 	if len(known) == 0 {
 		return
@@ -86,7 +86,7 @@
 
 // tell sends a message to each of the hosts, beside the caller. One that is not reached
 // hears it again.
-func (t *Teller) tell(peers []string, news []ratelimit.Update) {
+func (t *Broadcaster) tell(peers []string, news []ratelimit.Update) {
 	req := &limitsv1.TellRequest{Limits: encode(news)}
 	t.conf.Pool.CallAll(peers, callTimeout, func(ctx context.Context, c *grpc.ClientConn) error {
 		_, err := limitsv1.NewLimitsClient(c).Tell(ctx, req)
@@ -103,14 +103,14 @@
 		}
 	}
 	if changed := s.teller.conf.Book.ApplyPeerUpdates(clock.Now(), news); len(changed) > 0 {
-		s.teller.conf.Heard(changed)
+		s.teller.conf.OnUpdate(changed)
 	}
 	return new(limitsv1.TellResponse), nil
 }
 
 // Borrow implements proxy.Lenders. A host that does not answer lends nothing.
-func (t *Teller) Borrow(ctx context.Context, host int, server ratelimit.Server) bool {
-	inTurn := t.conf.InTurn()
+func (t *Broadcaster) Borrow(ctx context.Context, host int, server ratelimit.Server) bool {
+	inTurn := t.conf.SlotOrder()
 	if host >= len(inTurn) || inTurn[host] == "" {
 		return false
 	}
--- a/internal/limitnews/limitnews_test.go
+++ b/internal/limitsync/limitsync_test.go
@@ -1,4 +1,4 @@
-package limitnews
+package limitsync
 
 import (
 	"net"
@@ -18,7 +18,7 @@
 
 // host is a teller with what it knows and was told.
 type host struct {
-	*Teller
+	*Broadcaster
 	address string
 	book    *ratelimit.Registry
 	heard   chan []*ratelimit.State
@@ -35,14 +35,14 @@
 	_ = ln.Close()
 	h := &host{address: ln.Addr().String(), book: ratelimit.NewRegistry(timeslot.Single()), heard: make(chan []*ratelimit.State, 16), loop: control.NewLoop()}
 	server := peer.NewServer(h.address, nil)
-	h.Teller = New(Config{
-		Loop:   h.loop,
-		Server: server,
-		Pool:   peer.NewPool(nil),
-		Peers:  func() []string { return append([]string(nil), peers...) },
-		InTurn: func() []string { return append([]string{h.address, ""}, peers...) },
-		Book:   h.book,
-		Heard:  func(changed []*ratelimit.State) { h.heard <- changed },
+	h.Broadcaster = New(Config{
+		Loop:      h.loop,
+		Server:    server,
+		Pool:      peer.NewPool(nil),
+		Peers:     func() []string { return append([]string(nil), peers...) },
+		SlotOrder: func() []string { return append([]string{h.address, ""}, peers...) },
+		Book:      h.book,
+		OnUpdate:  func(changed []*ratelimit.State) { h.heard <- changed },
 	})
 	if err := server.Start(); err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 	other := a.book.Acquire("i-2", 0)
 	b := begin(t, a.address)
 	s := b.limit("i-1", 1.2)
-	b.Changed(s)
+	b.Broadcast(s)
 	is.Equal(<-a.heard, []*ratelimit.State{known})
 	is.Equal(known.Limit(), s.Limit())
 	b.limit("i-2", 3)
@@ -75,7 +75,7 @@
 	is.Equal(<-a.heard, []*ratelimit.State{other})
 	now := time.Now()
 	s.Observe(now, now, ratelimit.Limit{Kind: ratelimit.Unlimited}, ratelimit.Answer)
-	b.Changed(s)
+	b.Broadcast(s)
 	is.Equal(<-a.heard, []*ratelimit.State{known})
 	is.True(!known.Limited())
 }
@@ -103,7 +103,7 @@
 	h := begin(t)
 	for _, m := range []*limitsv1.Limit{{PerSecond: -1}, {AgeUs: -1}, {AgeUs: 1 << 62}} {
 		is := is.New(t)
-		_, err := server{teller: h.Teller}.Tell(t.Context(), &limitsv1.TellRequest{Limits: []*limitsv1.Limit{m}})
+		_, err := server{teller: h.Broadcaster}.Tell(t.Context(), &limitsv1.TellRequest{Limits: []*limitsv1.Limit{m}})
 		is.Equal(status.Code(err), codes.InvalidArgument)
 		is.Equal(len(h.heard), 0)
 	}
--- a/internal/poisonnews/poisonnews.go
+++ b/internal/poisonsync/poisonsync.go
@@ -1,6 +1,6 @@
-// Package poisonnews tells the other entry hosts, over gRPC, of requests under which
+// Package poisonsync tells the other entry hosts, over gRPC, of requests under which
 // upstreams end, as pkg/poison asks for.
-package poisonnews
+package poisonsync
 
 import (
 	"context"
@@ -38,36 +38,36 @@
 	Peers func() []string
 	// Recent returns the ends that a host which missed them should hear of.
 	Recent func(now time.Time, within time.Duration) []poison.Crash
-	// Heard takes in what a peer tells. It runs on any goroutine.
-	Heard func(died []poison.Crash, answered []poison.Fingerprint)
+	// OnUpdate takes in what a peer tells. It runs on any goroutine.
+	OnUpdate func(died []poison.Crash, answered []poison.Fingerprint)
 }
 
-// Teller implements proxy.PoisonNews.
-type Teller struct {
+// Broadcaster implements proxy.PoisonNews.
+type Broadcaster struct {
 	poisonv1.UnimplementedPoisonServer
 	conf Config
 }
 
 // New registers a teller with the loop and the peers' server.
-func New(conf Config) *Teller {
-	t := &Teller{conf: conf}
+func New(conf Config) *Broadcaster {
+	t := &Broadcaster{conf: conf}
 	poisonv1.RegisterPoisonServer(conf.Server, t)
 	conf.Loop.Every(gossip.RepeatInterval, t.repeat)
 	return t
 }
 
 // Died implements proxy.PoisonNews.
-func (t *Teller) Died(d poison.Crash) {
+func (t *Broadcaster) Died(d poison.Crash) {
 	t.tell(t.conf.Peers(), &poisonv1.TellRequest{Died: encodeDeaths(clock.Now(), []poison.Crash{d})})
 }
 
 // Answered implements proxy.PoisonNews.
-func (t *Teller) Answered(f poison.Fingerprint) {
+func (t *Broadcaster) Answered(f poison.Fingerprint) {
 	t.tell(t.conf.Peers(), &poisonv1.TellRequest{Answered: []*poisonv1.Fingerprint{encodeFingerprint(f)}})
 }
 
 // repeat tells a few hosts what they may have missed.
-func (t *Teller) repeat(now time.Time) {
+func (t *Broadcaster) repeat(now time.Time) {
 	deaths := t.conf.Recent(now, poison.RebroadcastPeriod)
 	if len(deaths) == 0 {
 		return
@@ -78,7 +78,7 @@
 
 // tell sends a message to each of the hosts, beside the caller. One that is not reached
 // hears it again.
-func (t *Teller) tell(peers []string, req *poisonv1.TellRequest) {
+func (t *Broadcaster) tell(peers []string, req *poisonv1.TellRequest) {
 	t.conf.Pool.CallAll(peers, callTimeout, func(ctx context.Context, c *grpc.ClientConn) error {
 		_, err := poisonv1.NewPoisonClient(c).Tell(ctx, req)
 		return err
@@ -86,7 +86,7 @@
 }
 
 // Tell implements poisonv1.PoisonServer.
-func (t *Teller) Tell(_ context.Context, req *poisonv1.TellRequest) (*poisonv1.TellResponse, error) {
+func (t *Broadcaster) Tell(_ context.Context, req *poisonv1.TellRequest) (*poisonv1.TellResponse, error) {
 	now := clock.Now()
 	var died []poison.Crash
 	for _, m := range req.GetDied() {
@@ -100,7 +100,7 @@
 	for _, m := range req.GetAnswered() {
 		answered = append(answered, decodeFingerprint(m))
 	}
-	t.conf.Heard(died, answered)
+	t.conf.OnUpdate(died, answered)
 	return new(poisonv1.TellResponse), nil
 }
 
--- a/internal/poisonnews/poisonnews_test.go
+++ b/internal/poisonsync/poisonsync_test.go
@@ -1,4 +1,4 @@
-package poisonnews
+package poisonsync
 
 import (
 	"net"
@@ -23,7 +23,7 @@
 
 // begin starts a host that tells those whose addresses are given. Its repeats begin
 // with its loop.
-func begin(t *testing.T, recent []poison.Crash, peers ...string) (*Teller, string, chan heard, *control.Loop) {
+func begin(t *testing.T, recent []poison.Crash, peers ...string) (*Broadcaster, string, chan heard, *control.Loop) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -33,12 +33,12 @@
 	messages := make(chan heard, 16)
 	loop := control.NewLoop()
 	teller := New(Config{
-		Loop:   loop,
-		Server: server,
-		Pool:   peer.NewPool(nil),
-		Peers:  func() []string { return append([]string(nil), peers...) },
-		Recent: func(time.Time, time.Duration) []poison.Crash { return recent },
-		Heard:  func(d []poison.Crash, a []poison.Fingerprint) { messages <- heard{d, a} },
+		Loop:     loop,
+		Server:   server,
+		Pool:     peer.NewPool(nil),
+		Peers:    func() []string { return append([]string(nil), peers...) },
+		Recent:   func(time.Time, time.Duration) []poison.Crash { return recent },
+		OnUpdate: func(d []poison.Crash, a []poison.Fingerprint) { messages <- heard{d, a} },
 	})
 	if err := server.Start(); err != nil {
 		t.Fatal(err)
