--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -54,7 +54,7 @@
 	follower *storewatch.Watcher
 	fleet    *fleet // nil without peers
 	hosts    int    // known to be in the fleet, 0 while unknown; of the control goroutine
-	quotas   *quotas.Keeper
+	quotas   *quotas.Enforcer
 	client   *upstream.Client
 	proxy    *proxy.Proxy
 	// keysKnownWithin is the setting, for traffic goroutines.
@@ -172,7 +172,7 @@
 		proxy.WithSharedBudget(retryShare(g.conf, 0)),
 		proxy.WithPoisonNews(poisonNews{g}),
 		proxy.WithLenders(lenders{g}),
-		proxy.WithQuotas(&countedQuotas{Keeper: g.quotas, events: g.sink}),
+		proxy.WithQuotas(&countedQuotas{Enforcer: g.quotas, events: g.sink}),
 		proxy.WithKeysKnown(g.keysKnown),
 	)
 	g.server = httpwire.NewServer(httpwire.ServerConfig{
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -26,18 +26,18 @@
 	gateway *Gateway
 }
 
-// AskRoom implements quotas.Peers.
-func (p roomPeers) AskRoom(ctx context.Context, host netip.AddrPort, q quotas.Question) (quota.Answer, bool) {
+// RequestQuota implements quotas.Peers.
+func (p roomPeers) RequestQuota(ctx context.Context, host netip.AddrPort, q quotas.Request) (quota.Answer, bool) {
 	f := p.gateway.fleet
 	if f == nil {
 		return quota.Answer{}, false
 	}
-	return f.news.AskRoom(ctx, host, q)
+	return f.news.RequestQuota(ctx, host, q)
 }
 
 // countedQuotas writes a line now and then about customers that are over their quotas.
 type countedQuotas struct {
-	*quotas.Keeper
+	*quotas.Enforcer
 	events event.Sink
 
 	mu   sync.Mutex
@@ -51,7 +51,7 @@
 
 // Take implements proxy.Quotas.
 func (q *countedQuotas) Take(ctx context.Context, c *config.Customer) (time.Duration, bool) {
-	wait, ok := q.Keeper.Take(ctx, c)
+	wait, ok := q.Enforcer.Take(ctx, c)
 	if !ok && ctx.Err() == nil {
 		q.refused(clock.Now(), c.Name)
 	}
@@ -79,7 +79,7 @@
 
 // quotaFleet gives the quotas the hosts of the fleet. It runs on the control goroutine.
 func (f *fleet) quotaFleet(s *membership.Snapshot, settled bool) {
-	out := quotas.Fleet{Known: len(s.Members), Settled: settled}
+	out := quotas.Fleet{Known: len(s.Members), Converged: settled}
 	out.Self = quota.Host{Address: f.newsAddress(f.address), FailureDomain: f.gateway.conf.FailureDomain}
 	for _, h := range f.hosts(s) {
 		if h.Address != out.Self.Address && !h.Leaving {
--- a/internal/peertransport/quotas.go
+++ b/internal/peertransport/quotas.go
@@ -45,14 +45,14 @@
 	Nobody   bool   `json:"n,omitempty"`
 }
 
-// AskRoom implements quotas.Peers. A question whose answer is lost is asked again once; room
+// RequestQuota implements quotas.Peers. A question whose answer is lost is asked again once; room
 // that is granted twice is lost.
-func (t *Transport) AskRoom(ctx context.Context, host netip.AddrPort, q quotas.Question) (quota.Answer, bool) {
+func (t *Transport) RequestQuota(ctx context.Context, host netip.AddrPort, q quotas.Request) (quota.Answer, bool) {
 	number, answer := t.rooms.ask()
 	defer t.rooms.take(number)
 	m := roomMessage{
 		Question: number, Customer: q.Customer, PerSecond: q.Limit.PerSecond, Burst: q.Limit.Burst,
-		Must: q.Required, Ahead: q.Prefetch, Used: q.Used, Role: q.Role, Charged: q.Charged, Sure: q.Sure,
+		Must: q.Required, Ahead: q.Prefetch, Used: q.Used, Role: q.Role, Charged: q.Coordinator, Sure: q.Confident,
 	}
 	t.tellKind([]netip.AddrPort{host}, roomKind, &m)
 	again := time.NewTimer(askRoomAgain)
@@ -75,13 +75,13 @@
 	if err := json.Unmarshal(text, &m); err != nil {
 		return errors.Wrap(err, "question for room")
 	}
-	q := &quotas.Question{
+	q := &quotas.Request{
 		Request: quota.Request{
 			Customer: m.Customer,
 			Limit:    quota.Limit{PerSecond: m.PerSecond, Burst: m.Burst},
 			Required: m.Must, Prefetch: m.Ahead, Used: m.Used,
 		},
-		Role: m.Role, Charged: m.Charged, Sure: m.Sure,
+		Role: m.Role, Coordinator: m.Charged, Confident: m.Sure,
 	}
 	if err := q.Validate(); err != nil {
 		return err
--- a/internal/peertransport/transport.go
+++ b/internal/peertransport/transport.go
@@ -60,7 +60,7 @@
 	LendTimeSlot func(ratelimit.Server) bool
 	// GrantQuota answers a host's question for room of a customer's quota. It may take as long
 	// as asking hosts does, and runs on a goroutine of its own.
-	GrantQuota func(from netip.AddrPort, q *quotas.Question) quota.Answer
+	GrantQuota func(from netip.AddrPort, q *quotas.Request) quota.Answer
 	// Events receives what was refused.
 	Events event.Sink
 }
--- a/internal/quotas/charge.go
+++ b/internal/quotas/charge.go
@@ -32,7 +32,7 @@
 )
 
 // room asks the host in charge, or its deputy. It is false if neither answers.
-func (k *Keeper) room(ask *quota.Request) (quota.Answer, bool) {
+func (k *Enforcer) room(ask *quota.Request) (quota.Answer, bool) {
 	f := k.fleet.Load()
 	first, second := quota.SelectCoordinator(ask.Customer, f.all)
 	charged := f.all[first].Address
@@ -40,7 +40,7 @@
 		return k.ledger.Grant(k.now(), f.Self.Address, ask, k.terms(f, false)), true
 	}
 	if !k.silent.is(k.now(), charged) {
-		if a, ok := k.ask(charged, Question{Request: *ask, Sure: f.Settled}, askWithin); ok {
+		if a, ok := k.ask(charged, Request{Request: *ask, Confident: f.Converged}, askWithin); ok {
 			return a, true
 		}
 	}
@@ -48,7 +48,7 @@
 		return quota.Answer{}, false
 	}
 	deputy := f.all[second].Address
-	q := Question{Request: *ask, Role: RoleBackup, Charged: charged, Sure: f.Settled}
+	q := Request{Request: *ask, Role: RoleBackup, Coordinator: charged, Confident: f.Converged}
 	if deputy == f.Self.Address {
 		return k.deputize(f, f.Self.Address, &q), true
 	}
@@ -60,18 +60,18 @@
 
 // terms are those of an account of which this host is in charge. Where the fleet has not
 // changed for long, nobody else granted anything before.
-func (k *Keeper) terms(f *view, sure bool) quota.GrantPolicy {
+func (k *Enforcer) terms(f *view, sure bool) quota.GrantPolicy {
 	return quota.GrantPolicy{Share: f.part(sure), TakenOver: k.now().Sub(f.since) < quota.Window}
 }
 
 // ask asks one host, and remembers one that does not answer.
-func (k *Keeper) ask(host netip.AddrPort, q Question, within time.Duration) (quota.Answer, bool) {
+func (k *Enforcer) ask(host netip.AddrPort, q Request, within time.Duration) (quota.Answer, bool) {
 	if k.peers == nil {
 		return quota.Answer{}, false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	a, ok := k.peers.AskRoom(ctx, host, q)
+	a, ok := k.peers.RequestQuota(ctx, host, q)
 	if !ok {
 		k.silent.add(k.now(), host)
 	}
@@ -79,27 +79,27 @@
 }
 
 // Answer answers a question of another host. It may take as long as asking others does.
-func (k *Keeper) Answer(from netip.AddrPort, q *Question) quota.Answer {
+func (k *Enforcer) Answer(from netip.AddrPort, q *Request) quota.Answer {
 	f := k.fleet.Load()
 	switch q.Role {
 	case RoleCoordinator:
 		if charged, other := k.otherInCharge(f, q.Customer); other {
-			return k.deputize(f, from, &Question{Request: q.Request, Charged: charged, Sure: q.Sure})
+			return k.deputize(f, from, &Request{Request: q.Request, Coordinator: charged, Confident: q.Confident})
 		}
 	case RoleBackup:
 		return k.deputize(f, from, q)
 	case RoleWitness:
-		a, ok := k.ask(q.Charged, Question{Request: q.Request, Role: RoleFinalHop, Sure: q.Sure}, askWithin)
+		a, ok := k.ask(q.Coordinator, Request{Request: q.Request, Role: RoleFinalHop, Confident: q.Confident}, askWithin)
 		a.Unavailable = !ok
 		return a
 	}
-	return k.ledger.Grant(k.now(), from, &q.Request, k.terms(f, q.Sure))
+	return k.ledger.Grant(k.now(), from, &q.Request, k.terms(f, q.Confident))
 }
 
 // otherInCharge returns the host that is in charge of a customer if this one knows that it is
 // another one.
-func (k *Keeper) otherInCharge(f *view, customer string) (netip.AddrPort, bool) {
-	if !f.Settled {
+func (k *Enforcer) otherInCharge(f *view, customer string) (netip.AddrPort, bool) {
+	if !f.Converged {
 		return netip.AddrPort{}, false
 	}
 	first, _ := quota.SelectCoordinator(customer, f.all)
@@ -108,20 +108,20 @@
 }
 
 // deputize answers in place of a host in charge that another one can't reach.
-func (k *Keeper) deputize(f *view, from netip.AddrPort, q *Question) quota.Answer {
-	sure := q.Sure || f.Settled
-	if !k.silent.is(k.now(), q.Charged) {
-		if a, ok := k.ask(q.Charged, Question{Request: q.Request, Role: RoleFinalHop, Sure: sure}, askWithin); ok {
+func (k *Enforcer) deputize(f *view, from netip.AddrPort, q *Request) quota.Answer {
+	sure := q.Confident || f.Converged
+	if !k.silent.is(k.now(), q.Coordinator) {
+		if a, ok := k.ask(q.Coordinator, Request{Request: q.Request, Role: RoleFinalHop, Confident: sure}, askWithin); ok {
 			return a
 		}
 	}
-	sight, known := k.silent.seen(k.now(), q.Charged)
+	sight, known := k.silent.seen(k.now(), q.Coordinator)
 	if !known {
-		sight = k.look(f, q.Charged)
-		k.silent.saw(k.now(), q.Charged, sight)
+		sight = k.look(f, q.Coordinator)
+		k.silent.saw(k.now(), q.Coordinator, sight)
 	}
 	if sight.witness.IsValid() {
-		a, ok := k.ask(sight.witness, Question{Request: q.Request, Role: RoleWitness, Charged: q.Charged, Sure: sure}, relayWithin)
+		a, ok := k.ask(sight.witness, Request{Request: q.Request, Role: RoleWitness, Coordinator: q.Coordinator, Confident: sure}, relayWithin)
 		if ok && !a.Unavailable {
 			return a
 		}
@@ -130,7 +130,7 @@
 }
 
 // look asks some hosts whether they reach the host in charge.
-func (k *Keeper) look(f *view, charged netip.AddrPort) sight {
+func (k *Enforcer) look(f *view, charged netip.AddrPort) sight {
 	asked := gossip.Sample(slices.Clone(f.Others), witnesses, rand.IntN)
 	probe := quota.Request{Customer: noCustomer, Limit: quota.Limit{PerSecond: 1}}
 	answers := make([]quota.Answer, len(asked))
@@ -138,7 +138,7 @@
 	var wg sync.WaitGroup
 	for i, h := range asked {
 		wg.Go(func() {
-			answers[i], heard[i] = k.ask(h.Address, Question{Request: probe, Role: RoleWitness, Charged: charged}, relayWithin)
+			answers[i], heard[i] = k.ask(h.Address, Request{Request: probe, Role: RoleWitness, Coordinator: charged}, relayWithin)
 		})
 	}
 	wg.Wait()
--- a/internal/quotas/fleet_test.go
+++ b/internal/quotas/fleet_test.go
@@ -19,7 +19,7 @@
 // can't reach each other is not answered.
 type world struct {
 	now     atomic.Int64 // ns
-	keepers []*Keeper
+	keepers []*Enforcer
 	hosts   []quota.Host
 	place   map[netip.AddrPort]int
 	dead    []bool
@@ -56,7 +56,7 @@
 
 // tell sets which hosts a host holds for alive.
 func (w *world) tell(i int, alive func(int) bool) {
-	f := Fleet{Self: w.hosts[i], Known: len(w.hosts), Settled: true}
+	f := Fleet{Self: w.hosts[i], Known: len(w.hosts), Converged: true}
 	for j, h := range w.hosts {
 		if j != i && alive(j) {
 			f.Others = append(f.Others, h)
@@ -78,7 +78,7 @@
 	i     int
 }
 
-func (p wires) AskRoom(_ context.Context, host netip.AddrPort, q Question) (quota.Answer, bool) {
+func (p wires) RequestQuota(_ context.Context, host netip.AddrPort, q Request) (quota.Answer, bool) {
 	j := p.world.place[host]
 	p.world.asked++
 	if !p.world.reaches(p.i, j) {
--- a/internal/quotas/holder.go
+++ b/internal/quotas/holder.go
@@ -42,7 +42,7 @@
 	ok   bool
 }
 
-func (h *holder) take(ctx context.Context, k *Keeper, c *config.Customer) (time.Duration, bool) {
+func (h *holder) take(ctx context.Context, k *Enforcer, c *config.Customer) (time.Duration, bool) {
 	now := k.now()
 	h.mu.Lock()
 	h.touched = now
@@ -98,7 +98,7 @@
 }
 
 // ask asks for room until no request waits.
-func (h *holder) ask(k *Keeper, c *config.Customer) {
+func (h *holder) ask(k *Enforcer, c *config.Customer) {
 	for {
 		question, waiting := h.question(k.now(), c)
 		if len(waiting) == 0 {
@@ -131,7 +131,7 @@
 
 // answered tells the requests that waited. Where nobody answered, this host's own part is
 // used.
-func (h *holder) answered(k *Keeper, c *config.Customer, waiting []*waiter, a quota.Answer, answered bool) {
+func (h *holder) answered(k *Enforcer, c *config.Customer, waiting []*waiter, a quota.Answer, answered bool) {
 	now := k.now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/quotas/keeper.go
+++ b/internal/quotas/keeper.go
@@ -18,8 +18,8 @@
 
 // Peers asks other hosts. A question that is not answered in time returns false.
 type Peers interface {
-	// AskRoom asks a host for room of a customer's quota.
-	AskRoom(ctx context.Context, host netip.AddrPort, q Question) (quota.Answer, bool)
+	// RequestQuota asks a host for room of a customer's quota.
+	RequestQuota(ctx context.Context, host netip.AddrPort, q Request) (quota.Answer, bool)
 }
 
 // Role is what a host that is asked is to do.
@@ -37,21 +37,21 @@
 	RoleFinalHop
 )
 
-// Question is what one host asks another.
-type Question struct {
+// Request is what one host asks another.
+type Request struct {
 	quota.Request
 	// Role is what the host that is asked is to do.
 	Role Role
-	// Charged is the host in charge, for a deputy and a witness.
-	Charged netip.AddrPort
-	// Sure states that the host that asks knows most of the fleet.
-	Sure bool
+	// Coordinator is the host in charge, for a deputy and a witness.
+	Coordinator netip.AddrPort
+	// Confident states that the host that asks knows most of the fleet.
+	Confident bool
 }
 
 // Validate checks a question of another host.
-func (q *Question) Validate() error {
-	if q.Role > RoleFinalHop || (q.Role == RoleBackup || q.Role == RoleWitness) && !q.Charged.IsValid() {
-		return errors.Wrapf(quota.ErrInvalidRequest, "role %d, host in charge %s", q.Role, q.Charged)
+func (q *Request) Validate() error {
+	if q.Role > RoleFinalHop || (q.Role == RoleBackup || q.Role == RoleWitness) && !q.Coordinator.IsValid() {
+		return errors.Wrapf(quota.ErrInvalidRequest, "role %d, host in charge %s", q.Role, q.Coordinator)
 	}
 	return q.Request.Validate()
 }
@@ -64,8 +64,8 @@
 	// Known is how many hosts there may be, those held for dead counted; 0 if that is not
 	// known.
 	Known int
-	// Settled is false until this host knows most others.
-	Settled bool
+	// Converged is false until this host knows most others.
+	Converged bool
 }
 
 // unsettledPart is the part of quotas that a host may grant while it does not know most
@@ -76,10 +76,10 @@
 // view or, if that is sure, by the view of the host that asks. Where hosts are cut into two,
 // the larger part goes on and the other has what is left of the slack.
 func (f *Fleet) part(sure bool) float64 {
-	if f.Known == 0 || !f.Settled && sure {
+	if f.Known == 0 || !f.Converged && sure {
 		return 1 // alone as far as it knows, or asked by one that knows
 	}
-	if !f.Settled {
+	if !f.Converged {
 		return unsettledPart
 	}
 	alive := float64(len(f.Others)+1) / float64(f.Known)
@@ -92,14 +92,14 @@
 // hosts returns all hosts that may be in charge, this one last. One that does not know most
 // others leaves that to those that it knows.
 func (f *Fleet) hosts() []quota.Host {
-	if !f.Settled && len(f.Others) > 0 {
+	if !f.Converged && len(f.Others) > 0 {
 		return f.Others
 	}
 	return append(f.Others[:len(f.Others):len(f.Others)], f.Self)
 }
 
-// Keeper holds this host's part of all quotas. It is safe for concurrent use.
-type Keeper struct {
+// Enforcer holds this host's part of all quotas. It is safe for concurrent use.
+type Enforcer struct {
 	peers  Peers
 	now    func() time.Time
 	ledger *quota.Ledger
@@ -118,19 +118,19 @@
 }
 
 // New returns the keeper of a host that knows of no others. Peers may be nil.
-func New(peers Peers) *Keeper {
-	k := &Keeper{peers: peers, now: clock.Now, ledger: quota.NewLedger(), holders: make(map[string]*holder)}
+func New(peers Peers) *Enforcer {
+	k := &Enforcer{peers: peers, now: clock.Now, ledger: quota.NewLedger(), holders: make(map[string]*holder)}
 	k.SetFleet(Fleet{})
 	return k
 }
 
 // SetFleet takes in the hosts of the fleet. The lists must not be changed afterwards.
-func (k *Keeper) SetFleet(f Fleet) {
+func (k *Enforcer) SetFleet(f Fleet) {
 	k.fleet.Store(&view{Fleet: f, all: f.hosts(), since: k.now()})
 }
 
 // Tick forgets what has not been used for long.
-func (k *Keeper) Tick(now time.Time) {
+func (k *Enforcer) Tick(now time.Time) {
 	k.ledger.Tick(now)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -143,7 +143,7 @@
 
 // Take uses room for one request of a customer. If there is none, wait says when there may
 // be. It returns early when ctx ends.
-func (k *Keeper) Take(ctx context.Context, c *config.Customer) (wait time.Duration, ok bool) {
+func (k *Enforcer) Take(ctx context.Context, c *config.Customer) (wait time.Duration, ok bool) {
 	if c.RatePerSecond == 0 {
 		return 0, true
 	}
@@ -151,13 +151,13 @@
 }
 
 // Return gives back room that was taken for a request which did not run.
-func (k *Keeper) Return(c *config.Customer) {
+func (k *Enforcer) Return(c *config.Customer) {
 	if c.RatePerSecond > 0 {
 		k.holder(c.Name).giveBack(k.now())
 	}
 }
 
-func (k *Keeper) holder(customer string) *holder {
+func (k *Enforcer) holder(customer string) *holder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	h := k.holders[customer]
