--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -179,16 +179,16 @@
 		TLS:              upstreamTLS,
 	})
 	e.prober = prober.New(prober.Config{
-		EntryHost: e.host,
-		Sender:    e.client,
-		Events:    e.sink,
-		Report:    e.control.probed,
-		Rest:      proxy.OwnDialect().Rest,
-		Rested:    e.control.rested,
-		Limited:   e.control.groups.limits.Limited,
-		Path:      e.conf.Probe.Path,
-		Timeout:   e.conf.Probe.Timeout,
-		FreshFor:  e.conf.Probe.ReportTTL,
+		EntryHost:    e.host,
+		Sender:       e.client,
+		Events:       e.sink,
+		Report:       e.control.probed,
+		ParseBackoff: proxy.OwnDialect().Rest,
+		OnBackoff:    e.control.rested,
+		Limited:      e.control.groups.limits.Limited,
+		Path:         e.conf.Probe.Path,
+		Timeout:      e.conf.Probe.Timeout,
+		FreshFor:     e.conf.Probe.ReportTTL,
 	})
 	e.poison = poisonsync.New(poisonsync.Config{
 		Loop:     e.loop,
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -46,7 +46,7 @@
 // Rests implements proxy.Upstreams. The server may stand in several groups, and is probed.
 func (c *controller) Rests(u *balancer.Upstream, until time.Time) {
 	address := upstream.HostOf(u.Address)
-	c.entry.prober.Rests(address, until)
+	c.entry.prober.SetBackoff(address, until)
 	c.rested(address, until)
 }
 
@@ -60,7 +60,7 @@
 
 // Reported implements proxy.Upstreams.
 func (c *controller) Reported(address string, now time.Time) {
-	c.entry.prober.Heard(upstream.HostOf(address), now)
+	c.entry.prober.RecordReport(upstream.HostOf(address), now)
 }
 
 // Waking implements proxy.Upstreams. It notices a pause before the control
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -54,12 +54,12 @@
 	Events event.Sink
 	// Report receives each report. It is called on the probe's goroutine.
 	Report func(Report)
-	// Rest reads from an answer for how long the server wants nothing from this host; 0 if
+	// ParseBackoff reads from an answer for how long the server wants nothing from this host; 0 if
 	// it does not say. Nil reads nothing.
-	Rest func(status int, h http.Header) (time.Duration, error)
-	// Rested receives until when the server at an address rests. It is called on the
+	ParseBackoff func(status int, h http.Header) (time.Duration, error)
+	// OnBackoff receives until when the server at an address rests. It is called on the
 	// probe's goroutine.
-	Rested func(address string, until time.Time)
+	OnBackoff func(address string, until time.Time)
 	// Limited reports whether the server at an address names how many requests a second it
 	// takes: probes leave them to callers. Nil is never. It is called on the control
 	// goroutine and on Run's.
@@ -137,17 +137,17 @@
 	return true
 }
 
-// Heard records that a report of the server at an address rode on an answer.
+// RecordReport records that a report of the server at an address rode on an answer.
 // Traffic goroutines call it; it takes no lock.
-func (p *Prober) Heard(address string, now time.Time) {
+func (p *Prober) RecordReport(address string, now time.Time) {
 	if t := (*p.targets.Load())[address]; t != nil {
 		t.reported.Store(now.UnixNano())
 	}
 }
 
-// Rests takes in that the server at an address wants nothing from this host until a time.
+// SetBackoff takes in that the server at an address wants nothing from this host until a time.
 // Traffic goroutines call it; it takes no lock.
-func (p *Prober) Rests(address string, until time.Time) {
+func (p *Prober) SetBackoff(address string, until time.Time) {
 	if t := (*p.targets.Load())[address]; t != nil {
 		t.rest.Extend(until)
 	}
@@ -258,10 +258,10 @@
 
 // rested takes in an answer that asks for rest, and reports whether it does.
 func (p *Prober) rested(t *target, resp *httpwire.Response, received time.Time) bool {
-	if p.conf.Rest == nil {
+	if p.conf.ParseBackoff == nil {
 		return false
 	}
-	d, err := p.conf.Rest(resp.Status, resp.Header)
+	d, err := p.conf.ParseBackoff(resp.Status, resp.Header)
 	if err != nil {
 		p.emit(event.Event{Code: event.RestUnreadable, Upstream: t.Upstream, Detail: err.Error()})
 	}
@@ -269,7 +269,7 @@
 		return false
 	}
 	p.emit(event.Event{Code: event.RestAsked, Upstream: t.Upstream, Reason: "probe", Value: d.Milliseconds()})
-	p.conf.Rested(t.Address, t.rest.Begin(received, d, rand.Uint64()))
+	p.conf.OnBackoff(t.Address, t.rest.Begin(received, d, rand.Uint64()))
 	return true
 }
 
--- a/internal/prober/prober_test.go
+++ b/internal/prober/prober_test.go
@@ -104,7 +104,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go r.Run(ctx)
 		for range 100 {
-			r.Heard("a:1", time.Now())
+			r.RecordReport("a:1", time.Now())
 			time.Sleep(50 * time.Millisecond)
 		}
 		cancel()
