--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -46,7 +46,7 @@
 // Rests implements proxy.Upstreams. The server may stand in several groups, and is probed.
 func (c *controller) Rests(u *balancer.Upstream, until time.Time) {
 	address := upstream.HostOf(u.Address)
-	c.entry.prober.Rests(address, until)
+	c.entry.prober.SetBackoff(address, until)
 	c.rested(address, until)
 }
 
@@ -56,11 +56,11 @@
 }
 
 // LimitHeard implements proxy.Upstreams.
-func (c *controller) LimitHeard(u *balancer.Upstream) { c.entry.limits.Changed(u.Limit) }
+func (c *controller) LimitHeard(u *balancer.Upstream) { c.entry.limits.Broadcast(u.Limit) }
 
 // Reported implements proxy.Upstreams.
 func (c *controller) Reported(address string, now time.Time) {
-	c.entry.prober.Heard(upstream.HostOf(address), now)
+	c.entry.prober.RecordReport(upstream.HostOf(address), now)
 }
 
 // Waking implements proxy.Upstreams. It notices a pause before the control
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,7 +36,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 	"github.com/dapplespindle/dapplespindle/pkg/retry"
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // Gateway is one entry host. New builds its parts; Run starts and stops them.
@@ -54,7 +54,7 @@
 	follower *storewatch.Watcher
 	fleet    *fleet // nil without peers
 	hosts    int    // known to be in the fleet, 0 while unknown; of the control goroutine
-	quotas   *quotas.Keeper
+	quotas   *quotas.Enforcer
 	client   *upstream.Client
 	proxy    *proxy.Proxy
 	// keysKnownWithin is the setting, for traffic goroutines.
@@ -172,7 +172,7 @@
 		proxy.WithSharedBudget(retryShare(g.conf, 0)),
 		proxy.WithPoisonNews(poisonNews{g}),
 		proxy.WithLenders(lenders{g}),
-		proxy.WithQuotas(&countedQuotas{Keeper: g.quotas, events: g.sink}),
+		proxy.WithQuotas(&countedQuotas{Enforcer: g.quotas, events: g.sink}),
 		proxy.WithKeysKnown(g.keysKnown),
 	)
 	g.server = httpwire.NewServer(httpwire.ServerConfig{
@@ -241,7 +241,7 @@
 		FetchTimeout:       peerTimeout,
 	}
 	if fleet == nil {
-		g.control.pools.options.Turns.Set(clock.Now(), turns.Place{Hosts: 1})
+		g.control.pools.options.Schedule.Set(clock.Now(), timeslot.Position{Hosts: 1})
 	} else {
 		g.fleet = fleet
 		fleet.quotaSeeds()
@@ -254,7 +254,7 @@
 	g.loop.Every(gossip.RepeatInterval, g.repeatDeaths)
 	g.loop.Every(gossip.RepeatInterval, g.repeatLimits)
 	g.loop.Every(quotasEvery, g.quotas.Tick)
-	g.loop.Every(retry.SaveEvery, func(time.Time) { g.proxy.Tick() })
+	g.loop.Every(retry.TickInterval, func(time.Time) { g.proxy.Tick() })
 	return nil
 }
 
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -5,6 +5,7 @@
 
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 	"github.com/dapplespindle/dapplespindle/internal/upstream"
+	"github.com/dapplespindle/dapplespindle/pkg/backoff"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/probefirst"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/registry"
@@ -12,9 +13,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/rest"
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // pool is what outlives snapshots of one registered service: the policy and
@@ -40,8 +40,8 @@
 	lifecycle *lifecycle.Snapshot
 	services  map[string]*pool
 	// rests are by restKey.
-	rests  *rest.Book
-	limits *ratelimit.Book
+	rests  *backoff.Registry
+	limits *ratelimit.Registry
 	// grown is true when there are records of addresses that had none.
 	grown bool
 }
@@ -57,13 +57,13 @@
 func restKey(id string, start uint64) string { return id + "/" + strconv.FormatUint(start, 10) }
 
 func newPools(host, failureDomain string) *pools {
-	mine := turns.New(host)
-	limits := ratelimit.NewBook(mine)
+	mine := timeslot.New(host)
+	limits := ratelimit.NewRegistry(mine)
 	return &pools{
-		options:   balancer.Options{Host: host, FailureDomain: failureDomain, Turns: mine, Limits: limits},
+		options:   balancer.Options{Host: host, FailureDomain: failureDomain, Schedule: mine, Limits: limits},
 		lifecycle: new(lifecycle.Snapshot),
 		services:  make(map[string]*pool),
-		rests:     rest.NewBook(),
+		rests:     backoff.NewRegistry(),
 		limits:    limits,
 	}
 }
@@ -134,12 +134,12 @@
 		if u == nil || u.Activation != entry.Start || u.Address != upstream.InstanceTarget(entry.ID, entry.Address) {
 			u = newRecord(entry)
 			p.grown = true
-			u.Cold.Bears(u.ID, pl.coldRate)
-			u.Rest.Extend(p.rests.Of(restKey(entry.ID, entry.Start)))
-			u.Limit = p.limits.Hold(entry.ID, entry.Born)
+			u.Cold.SetRate(u.ID, pl.coldRate)
+			u.Backoff.Extend(p.rests.Until(restKey(entry.ID, entry.Start)))
+			u.Limit = p.limits.Acquire(entry.ID, entry.Born)
 		}
 		if pl.entries[entry.ID] != entry.Revision {
-			u.Cold.Heard(now, entry.ColdFor)
+			u.Cold.ExtendCold(now, entry.ColdFor)
 		}
 		known[entry.ID], entries[entry.ID] = u, entry.Revision
 	}
@@ -159,7 +159,7 @@
 	}
 	pl.coldRate = coldRate
 	for _, u := range pl.records {
-		u.Cold.Bears(u.ID, coldRate)
+		u.Cold.SetRate(u.ID, coldRate)
 	}
 }
 
--- a/internal/lab/proxyhost.go
+++ b/internal/lab/proxyhost.go
@@ -91,7 +91,7 @@
 	if evicted != nil {
 		h.reject(evicted.Value)
 	}
-	if reason != queue.Kept {
+	if reason != queue.Queued {
 		h.reject(r)
 		return
 	}
@@ -138,7 +138,7 @@
 // allows. It first rejects those that can no longer be served in time.
 func (h *proxyHost) wakeQueue(n int) {
 	h.lastWake = h.now()
-	for _, expired := range h.queue.GiveUp(h.now(), h.pace()) {
+	for _, expired := range h.queue.DropExpired(h.now(), h.pace()) {
 		h.reject(expired.Entry.Value)
 	}
 	var taken []*queue.Entry[*Request]
@@ -206,7 +206,7 @@
 		h.finishOrRetry(r, f)
 	}))
 	if r.Attempts == 1 {
-		h.budget.First()
+		h.budget.RecordFirst()
 		h.scheduleHedge(r, res)
 	}
 }
@@ -228,7 +228,7 @@
 	if h.queue.Len() == 0 {
 		return
 	}
-	if reason == limit.Grew || reason == limit.Relearned {
+	if reason == limit.Increased || reason == limit.Relearned {
 		h.wakeQueue(2)
 		return
 	}
@@ -259,11 +259,11 @@
 
 func (h *proxyHost) retryAttempt(r *Request, kind errkind.Kind) retry.Attempt {
 	return retry.Attempt{
-		Kind:        kind,
-		Repeatable:  true,
-		Sent:        r.Attempts,
-		MaxAttempts: config.DefaultMaxAttempts,
-		Left:        r.Deadline.Sub(h.now()),
-		Expected:    h.latency.Quantile(medianQuantile),
+		Kind:         kind,
+		Repeatable:   true,
+		Sent:         r.Attempts,
+		MaxAttempts:  config.DefaultMaxAttempts,
+		DeadlineLeft: r.Deadline.Sub(h.now()),
+		Expected:     h.latency.Quantile(medianQuantile),
 	}
 }
--- a/internal/limitnews/limitnews_test.go
+++ b/internal/limitsync/limitsync_test.go
@@ -1,4 +1,4 @@
-package limitnews
+package limitsync
 
 import (
 	"net"
@@ -13,14 +13,14 @@
 	"github.com/dapplespindle/dapplespindle/internal/control"
 	"github.com/dapplespindle/dapplespindle/internal/peer"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // host is a teller with what it knows and was told.
 type host struct {
-	*Teller
+	*Broadcaster
 	address string
-	book    *ratelimit.Book
+	book    *ratelimit.Registry
 	heard   chan []*ratelimit.State
 	loop    *control.Loop
 }
@@ -33,16 +33,16 @@
 		t.Fatal(err)
 	}
 	_ = ln.Close()
-	h := &host{address: ln.Addr().String(), book: ratelimit.NewBook(turns.Alone()), heard: make(chan []*ratelimit.State, 16), loop: control.NewLoop()}
+	h := &host{address: ln.Addr().String(), book: ratelimit.NewRegistry(timeslot.Single()), heard: make(chan []*ratelimit.State, 16), loop: control.NewLoop()}
 	server := peer.NewServer(h.address, nil)
-	h.Teller = New(Config{
-		Loop:   h.loop,
-		Server: server,
-		Pool:   peer.NewPool(nil),
-		Peers:  func() []string { return append([]string(nil), peers...) },
-		InTurn: func() []string { return append([]string{h.address, ""}, peers...) },
-		Book:   h.book,
-		Heard:  func(changed []*ratelimit.State) { h.heard <- changed },
+	h.Broadcaster = New(Config{
+		Loop:      h.loop,
+		Server:    server,
+		Pool:      peer.NewPool(nil),
+		Peers:     func() []string { return append([]string(nil), peers...) },
+		SlotOrder: func() []string { return append([]string{h.address, ""}, peers...) },
+		Book:      h.book,
+		OnUpdate:  func(changed []*ratelimit.State) { h.heard <- changed },
 	})
 	if err := server.Start(); err != nil {
 		t.Fatal(err)
@@ -53,9 +53,9 @@
 
 // limit makes an upstream name a limit to a host.
 func (h *host) limit(id string, perSecond float64) *ratelimit.State {
-	s := h.book.Hold(id, 0)
+	s := h.book.Acquire(id, 0)
 	now := time.Now()
-	s.Hear(now, now, ratelimit.Word{Kind: ratelimit.Limited, PerSecond: perSecond}, ratelimit.Answer)
+	s.Observe(now, now, ratelimit.Limit{Kind: ratelimit.Limited, PerSecond: perSecond}, ratelimit.Answer)
 	return s
 }
 
@@ -63,19 +63,19 @@
 func TestTold(t *testing.T) {
 	is := is.New(t)
 	a := begin(t)
-	known := a.book.Hold("i-1", 0)
-	other := a.book.Hold("i-2", 0)
+	known := a.book.Acquire("i-1", 0)
+	other := a.book.Acquire("i-2", 0)
 	b := begin(t, a.address)
 	s := b.limit("i-1", 1.2)
-	b.Changed(s)
+	b.Broadcast(s)
 	is.Equal(<-a.heard, []*ratelimit.State{known})
-	is.Equal(known.Word(), s.Word())
+	is.Equal(known.Limit(), s.Limit())
 	b.limit("i-2", 3)
 	go b.loop.Run(t.Context())
 	is.Equal(<-a.heard, []*ratelimit.State{other})
 	now := time.Now()
-	s.Hear(now, now, ratelimit.Word{Kind: ratelimit.Unlimited}, ratelimit.Answer)
-	b.Changed(s)
+	s.Observe(now, now, ratelimit.Limit{Kind: ratelimit.Unlimited}, ratelimit.Answer)
+	b.Broadcast(s)
 	is.Equal(<-a.heard, []*ratelimit.State{known})
 	is.True(!known.Limited())
 }
@@ -103,7 +103,7 @@
 	h := begin(t)
 	for _, m := range []*limitsv1.Limit{{PerSecond: -1}, {AgeUs: -1}, {AgeUs: 1 << 62}} {
 		is := is.New(t)
-		_, err := server{teller: h.Teller}.Tell(t.Context(), &limitsv1.TellRequest{Limits: []*limitsv1.Limit{m}})
+		_, err := server{teller: h.Broadcaster}.Tell(t.Context(), &limitsv1.TellRequest{Limits: []*limitsv1.Limit{m}})
 		is.Equal(status.Code(err), codes.InvalidArgument)
 		is.Equal(len(h.heard), 0)
 	}
--- a/internal/peertransport/transport.go
+++ b/internal/peertransport/transport.go
@@ -52,15 +52,15 @@
 	// ServeFetch answers a question of a peer.
 	ServeFetch func(ctx context.Context, after uint64) (*storewatch.PeerMessage, error)
 	// OnPoison takes in what a peer tells of ends of upstreams.
-	OnPoison func(died []poison.Death, answered []poison.Fingerprint)
+	OnPoison func(died []poison.Crash, answered []poison.Fingerprint)
 	// OnLimits takes in what a peer tells of the limits of upstreams.
-	OnLimits func([]ratelimit.News)
+	OnLimits func([]ratelimit.Update)
 	// LendTimeSlot uses a turn of this host at an upstream for another host. It reports whether
 	// there was one.
 	LendTimeSlot func(ratelimit.Server) bool
 	// GrantQuota answers a host's question for room of a customer's quota. It may take as long
 	// as asking hosts does, and runs on a goroutine of its own.
-	GrantQuota func(from netip.AddrPort, q *quotas.Question) quota.Answer
+	GrantQuota func(from netip.AddrPort, q *quotas.Request) quota.Answer
 	// Events receives what was refused.
 	Events event.Sink
 }
--- a/internal/peertransport/transport_test.go
+++ b/internal/peertransport/transport_test.go
@@ -22,7 +22,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // host is a transport with what it heard and refused.
@@ -34,13 +34,13 @@
 	events  []event.Event
 	told    *storewatch.PeerMessage // its answer; nil knows nothing
 	poison  chan poisonHeard
-	limits  chan []ratelimit.News
-	book    *ratelimit.Book
+	limits  chan []ratelimit.Update
+	book    *ratelimit.Registry
 }
 
 // poisonHeard is one message on ends of upstreams.
 type poisonHeard struct {
-	died     []poison.Death
+	died     []poison.Crash
 	answered []poison.Fingerprint
 }
 
@@ -78,7 +78,7 @@
 func begin(t *testing.T) *host {
 	address := freeAddress(t)
 	h := &host{address: address, heard: make(chan *storewatch.PeerMessage, 8), poison: make(chan poisonHeard, 8),
-		limits: make(chan []ratelimit.News, 8), book: ratelimit.NewBook(turns.Alone())}
+		limits: make(chan []ratelimit.Update, 8), book: ratelimit.NewRegistry(timeslot.Single())}
 	h.Transport = New(Config{
 		Address:   address,
 		OnMessage: func(told *storewatch.PeerMessage) { h.heard <- told },
@@ -90,9 +90,9 @@
 		},
 		Events: h,
 
-		OnLimits:     func(told []ratelimit.News) { h.limits <- told },
+		OnLimits:     func(told []ratelimit.Update) { h.limits <- told },
 		LendTimeSlot: func(s ratelimit.Server) bool { return h.book.Lend(time.Now(), s) },
-		OnPoison: func(died []poison.Death, answered []poison.Fingerprint) {
+		OnPoison: func(died []poison.Crash, answered []poison.Fingerprint) {
 			h.poison <- poisonHeard{died, answered}
 		},
 	})
@@ -248,29 +248,29 @@
 	is := is.New(t)
 	a, b := begin(t), begin(t)
 	now := time.Now()
-	var deaths []poison.Death
+	var deaths []poison.Crash
 	for i := range DeathsPerMessage + 1 {
-		deaths = append(deaths, poison.Death{
-			Request:  poison.Of("GET", "shop", fmt.Sprint(i), nil, "caller"),
+		deaths = append(deaths, poison.Crash{
+			Request:  poison.FingerprintOf("GET", "shop", fmt.Sprint(i), nil, "caller"),
 			Upstream: 1<<64 - 1 - uint64(i), Host: 1<<64 - 1,
-			Began: now.Add(-2 * time.Second), Ended: now.Add(-time.Second),
+			SentAt: now.Add(-2 * time.Second), EndedAt: now.Add(-time.Second),
 		})
 	}
 	to := []netip.AddrPort{b.address}
 	a.SendDeaths(to, deaths)
 	for range 2 {
 		for _, got := range (<-b.poison).died {
-			at := slices.IndexFunc(deaths, func(d poison.Death) bool { return d.Request == got.Request })
+			at := slices.IndexFunc(deaths, func(d poison.Crash) bool { return d.Request == got.Request })
 			is.True(at >= 0)
 			is.Equal(got.Upstream, deaths[at].Upstream)
 			is.Equal(got.Host, deaths[at].Host)
-			is.Equal(got.Ended.Sub(got.Began), time.Second)
-			is.True(got.Ended.Sub(now).Abs() < 2*time.Second)
+			is.Equal(got.EndedAt.Sub(got.SentAt), time.Second)
+			is.True(got.EndedAt.Sub(now).Abs() < 2*time.Second)
 			deaths = slices.Delete(deaths, at, at+1)
 		}
 	}
 	is.Equal(len(deaths), 0)
-	f := poison.Of("GET", "shop", "/", nil, "caller")
+	f := poison.FingerprintOf("GET", "shop", "/", nil, "caller")
 	a.SendAnswered(to, f)
 	is.Equal((<-b.poison).answered, []poison.Fingerprint{f})
 	for _, text := range []string{`{`, `{"d":[{"b":1,"e":2}]}`, `{"d":[{"b":-2,"e":-3}]}`, `{"d":[{"b":9000000000000000,"e":2}]}`} {
--- a/internal/poisonnews/poisonnews.go
+++ b/internal/poisonsync/poisonsync.go
@@ -1,6 +1,6 @@
-// Package poisonnews tells the other entry hosts, over gRPC, of requests under which
+// Package poisonsync tells the other entry hosts, over gRPC, of requests under which
 // upstreams end, as pkg/poison asks for.
-package poisonnews
+package poisonsync
 
 import (
 	"context"
@@ -37,38 +37,38 @@
 	// Peers returns the addresses of the other entry hosts. It runs on any goroutine.
 	Peers func() []string
 	// Recent returns the ends that a host which missed them should hear of.
-	Recent func(now time.Time, within time.Duration) []poison.Death
-	// Heard takes in what a peer tells. It runs on any goroutine.
-	Heard func(died []poison.Death, answered []poison.Fingerprint)
+	Recent func(now time.Time, within time.Duration) []poison.Crash
+	// OnUpdate takes in what a peer tells. It runs on any goroutine.
+	OnUpdate func(died []poison.Crash, answered []poison.Fingerprint)
 }
 
-// Teller implements proxy.PoisonNews.
-type Teller struct {
+// Broadcaster implements proxy.PoisonNews.
+type Broadcaster struct {
 	poisonv1.UnimplementedPoisonServer
 	conf Config
 }
 
 // New registers a teller with the loop and the peers' server.
-func New(conf Config) *Teller {
-	t := &Teller{conf: conf}
+func New(conf Config) *Broadcaster {
+	t := &Broadcaster{conf: conf}
 	poisonv1.RegisterPoisonServer(conf.Server, t)
 	conf.Loop.Every(gossip.RepeatInterval, t.repeat)
 	return t
 }
 
 // Died implements proxy.PoisonNews.
-func (t *Teller) Died(d poison.Death) {
-	t.tell(t.conf.Peers(), &poisonv1.TellRequest{Died: encodeDeaths(clock.Now(), []poison.Death{d})})
+func (t *Broadcaster) Died(d poison.Crash) {
+	t.tell(t.conf.Peers(), &poisonv1.TellRequest{Died: encodeDeaths(clock.Now(), []poison.Crash{d})})
 }
 
 // Answered implements proxy.PoisonNews.
-func (t *Teller) Answered(f poison.Fingerprint) {
+func (t *Broadcaster) Answered(f poison.Fingerprint) {
 	t.tell(t.conf.Peers(), &poisonv1.TellRequest{Answered: []*poisonv1.Fingerprint{encodeFingerprint(f)}})
 }
 
 // repeat tells a few hosts what they may have missed.
-func (t *Teller) repeat(now time.Time) {
-	deaths := t.conf.Recent(now, poison.RepeatFor)
+func (t *Broadcaster) repeat(now time.Time) {
+	deaths := t.conf.Recent(now, poison.RebroadcastPeriod)
 	if len(deaths) == 0 {
 		return
 	}
@@ -78,7 +78,7 @@
 
 // tell sends a message to each of the hosts, beside the caller. One that is not reached
 // hears it again.
-func (t *Teller) tell(peers []string, req *poisonv1.TellRequest) {
+func (t *Broadcaster) tell(peers []string, req *poisonv1.TellRequest) {
 	t.conf.Pool.CallAll(peers, callTimeout, func(ctx context.Context, c *grpc.ClientConn) error {
 		_, err := poisonv1.NewPoisonClient(c).Tell(ctx, req)
 		return err
@@ -86,9 +86,9 @@
 }
 
 // Tell implements poisonv1.PoisonServer.
-func (t *Teller) Tell(_ context.Context, req *poisonv1.TellRequest) (*poisonv1.TellResponse, error) {
+func (t *Broadcaster) Tell(_ context.Context, req *poisonv1.TellRequest) (*poisonv1.TellResponse, error) {
 	now := clock.Now()
-	var died []poison.Death
+	var died []poison.Crash
 	for _, m := range req.GetDied() {
 		d, ok := decodeDeath(now, m)
 		if !ok {
@@ -100,32 +100,32 @@
 	for _, m := range req.GetAnswered() {
 		answered = append(answered, decodeFingerprint(m))
 	}
-	t.conf.Heard(died, answered)
+	t.conf.OnUpdate(died, answered)
 	return new(poisonv1.TellResponse), nil
 }
 
-func encodeDeaths(now time.Time, deaths []poison.Death) []*poisonv1.Death {
+func encodeDeaths(now time.Time, deaths []poison.Crash) []*poisonv1.Death {
 	var out []*poisonv1.Death
 	for _, d := range deaths {
 		out = append(out, &poisonv1.Death{
 			Request:    encodeFingerprint(d.Request),
 			Upstream:   d.Upstream,
 			Host:       d.Host,
-			BeganAgeUs: now.Sub(d.Began).Microseconds(),
-			EndedAgeUs: now.Sub(d.Ended).Microseconds(),
+			BeganAgeUs: now.Sub(d.SentAt).Microseconds(),
+			EndedAgeUs: now.Sub(d.EndedAt).Microseconds(),
 		})
 	}
 	return out
 }
 
-func decodeDeath(now time.Time, m *poisonv1.Death) (poison.Death, bool) {
-	began, ended, ok := poison.Times(now, m.GetBeganAgeUs(), m.GetEndedAgeUs())
-	return poison.Death{
+func decodeDeath(now time.Time, m *poisonv1.Death) (poison.Crash, bool) {
+	began, ended, ok := poison.ParseTimes(now, m.GetBeganAgeUs(), m.GetEndedAgeUs())
+	return poison.Crash{
 		Request:  decodeFingerprint(m.GetRequest()),
 		Upstream: m.GetUpstream(),
 		Host:     m.GetHost(),
-		Began:    began,
-		Ended:    ended,
+		SentAt:   began,
+		EndedAt:  ended,
 	}, ok
 }
 
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"github.com/dapplespindle/dapplespindle/internal/httpwire"
+	"github.com/dapplespindle/dapplespindle/pkg/backoff"
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/rest"
 )
 
 // Dialect is how requests and answers are spoken: the names of headers and the
@@ -55,7 +55,7 @@
 	Rest func(status int, h http.Header) (time.Duration, error)
 	// Limit reads what an answer says of the requests a second that the upstream takes from
 	// all hosts together; an error if its word can't be read. Nil reads nothing.
-	Limit func(status int, h http.Header) (ratelimit.Word, error)
+	Limit func(status int, h http.Header) (ratelimit.Limit, error)
 }
 
 // OwnDialect is the product's own: docs/OVERLOAD.md.
@@ -85,19 +85,19 @@
 		return 0, nil
 	}
 	if ms := h.Get(HeaderRetryAfterMs); ms != "" {
-		return rest.Milliseconds(ms)
+		return backoff.ParseMilliseconds(ms)
 	}
-	return rest.Seconds(h.Get(HeaderRetryAfter))
+	return backoff.ParseSeconds(h.Get(HeaderRetryAfter))
 }
 
 // ownLimit reads the product's own word for a limit. An entry host below speaks for
 // itself where it gives no upstream's answer; a refusal that names none says nothing.
-func ownLimit(status int, h http.Header) (ratelimit.Word, error) {
+func ownLimit(status int, h http.Header) (ratelimit.Limit, error) {
 	value := h.Get(HeaderLimit)
 	if value == "" && (h.Get(HeaderError) != "" || status == http.StatusServiceUnavailable) {
-		return ratelimit.Word{}, nil
+		return ratelimit.Limit{}, nil
 	}
-	return ratelimit.Read(value)
+	return ratelimit.Parse(value)
 }
 
 // WithDialect speaks d instead of the product's own dialect.
--- a/internal/proxy/limiting_test.go
+++ b/internal/proxy/limiting_test.go
@@ -18,7 +18,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // This file has upstreams that name limits, and a fleet of hosts in front of them.
@@ -122,8 +122,8 @@
 	Upstreams // panics where a test meets what it does not expect
 	fleet     *limitFleet
 	proxy     *Proxy
-	turns     *turns.Turns
-	book      *ratelimit.Book
+	turns     *timeslot.Schedule
+	book      *ratelimit.Registry
 	snapshot  *lifecycle.Snapshot
 	deaf      bool // hears nothing of other hosts, nor they of it
 }
@@ -137,13 +137,13 @@
 
 // LimitHeard tells the other hosts.
 func (h *limitHost) LimitHeard(u *balancer.Upstream) {
-	news, known := u.Limit.News(clock.Now())
+	news, known := u.Limit.Update(clock.Now())
 	if !known || h.deaf {
 		return
 	}
 	for _, other := range h.fleet.hosts {
 		if other != h && !other.deaf {
-			time.AfterFunc(newsTakes, func() { other.book.Hear(clock.Now(), []ratelimit.News{news}) })
+			time.AfterFunc(newsTakes, func() { other.book.ApplyPeerUpdates(clock.Now(), []ratelimit.Update{news}) })
 		}
 	}
 }
@@ -174,9 +174,9 @@
 		f.ids = append(f.ids, u.ID)
 	}
 	for i := range hosts {
-		h := &limitHost{fleet: f, turns: turns.New(strconv.Itoa(i)), snapshot: takesAll(upstreams)}
-		h.turns.Set(clock.Now(), turns.Place{Self: i, Hosts: hosts})
-		h.book = ratelimit.NewBook(h.turns)
+		h := &limitHost{fleet: f, turns: timeslot.New(strconv.Itoa(i)), snapshot: takesAll(upstreams)}
+		h.turns.Set(clock.Now(), timeslot.Position{Self: i, Hosts: hosts})
+		h.book = ratelimit.NewRegistry(h.turns)
 		h.proxy = New("127.0.0.1", "test", f.upstreams, new(recorder), WithRandom(seeded(uint64(i+1))), WithUpstreams(h), WithLenders(h))
 		h.proxy.SetTable(routing.Compile(1, []*config.Service{document}, groupsFunc(h.group)))
 		f.hosts = append(f.hosts, h)
@@ -188,13 +188,13 @@
 func (h *limitHost) group(_ *config.Service, g *config.Group) *routing.Group {
 	members := records(g)
 	for _, u := range members {
-		u.Limit = h.book.Hold(u.ID, 0)
+		u.Limit = h.book.Acquire(u.ID, 0)
 	}
 	b, err := registry.Lookup(g.Policy)
 	if err != nil {
 		panic(err)
 	}
-	picker := b.Build(balancer.Options{Turns: h.turns, Limits: h.book}).Update(members)
+	picker := b.Build(balancer.Options{Schedule: h.turns, Limits: h.book}).Update(members)
 	return &routing.Group{Config: g, Picker: picker, Upstreams: members}
 }
 
--- a/pkg/balancer/probefirst/cold_test.go
+++ b/pkg/balancer/probefirst/cold_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // The pattern: a failure domain of upstreams comes back cold at once, a quarter of a
@@ -19,16 +19,16 @@
 // coldMember is an upstream that is cold for some seconds.
 func coldMember(id string) *balancer.Upstream {
 	u := member(id, "here")
-	u.Cold.Bears(id, 2.5)
-	u.Cold.Told(start, 3*time.Second)
+	u.Cold.SetRate(id, 2.5)
+	u.Cold.SetCold(start, 3*time.Second)
 	return u
 }
 
 // hostOf returns a picker of a host that is one of many.
 func hostOf(self, hosts int, members ...*balancer.Upstream) *picker {
-	mine := turns.New("host")
-	mine.Set(start, turns.Place{Self: self, Hosts: hosts})
-	policy := Builder{}.Build(balancer.Options{FailureDomain: "here", Turns: mine})
+	mine := timeslot.New("host")
+	mine.Set(start, timeslot.Position{Self: self, Hosts: hosts})
+	policy := Builder{}.Build(balancer.Options{FailureDomain: "here", Schedule: mine})
 	return policy.Update(members).(*picker)
 }
 
@@ -36,8 +36,8 @@
 func turnOf(t *testing.T, u *balancer.Upstream, hosts int) int {
 	t.Helper()
 	for self := range hosts {
-		mine := turns.New("host")
-		mine.Set(start, turns.Place{Self: self, Hosts: hosts})
+		mine := timeslot.New("host")
+		mine.Set(start, timeslot.Position{Self: self, Hosts: hosts})
 		if u.Cold.Open(start, mine) {
 			return self
 		}
@@ -92,12 +92,12 @@
 	turn := turnOf(t, cold, hosts)
 	p := hostOf(turn, hosts, cold, warm)
 	info := balancer.PickInfo{Now: start}
-	cold.Rest.Ask(start, time.Minute, 0)
+	cold.Backoff.Begin(start, time.Minute, 0)
 	is.Equal(p.QueryTargets(info, 0), []*balancer.Upstream{warm})
 	tell(cold, start, 0, 1)
 	tell(warm, start, 2, 1.5)
 	is.Equal(chosen(t, p, info), "i-warm")
-	warm.Rest.Ask(start, time.Minute, 0)
+	warm.Backoff.Begin(start, time.Minute, 0)
 	_, err := p.Pick(info)
 	is.True(errors.Is(err, balancer.ErrNoUpstream))
 
--- a/pkg/balancer/probefirst/probefirst.go
+++ b/pkg/balancer/probefirst/probefirst.go
@@ -12,7 +12,7 @@
 
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // Name is the name in configuration documents.
@@ -53,9 +53,9 @@
 
 // Build implements balancer.Builder.
 func (Builder) Build(o balancer.Options) balancer.Policy {
-	mine := o.Turns
+	mine := o.Schedule
 	if mine == nil {
-		mine = turns.New(o.Host)
+		mine = timeslot.New(o.Host)
 	}
 	return &policy{host: o.Host, failureDomain: o.FailureDomain, crowding: new(crowding), idle: new(idleShare), turns: mine, limits: o.Limits}
 }
@@ -65,8 +65,8 @@
 	failureDomain string
 	crowding      *crowding
 	idle          *idleShare
-	turns         *turns.Turns
-	limits        *ratelimit.Book
+	turns         *timeslot.Schedule
+	limits        *ratelimit.Registry
 }
 
 // Update implements balancer.Policy.
@@ -89,8 +89,8 @@
 	home, rest []*balancer.Upstream // near, those asked first and the others
 	crowding   *crowding
 	idle       *idleShare
-	turns      *turns.Turns
-	limits     *ratelimit.Book
+	turns      *timeslot.Schedule
+	limits     *ratelimit.Registry
 }
 
 // eligible reports whether a request may go to u now.
--- a/pkg/balancer/probefirst/turn_test.go
+++ b/pkg/balancer/probefirst/turn_test.go
@@ -8,20 +8,20 @@
 
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // limitingHost returns the picker of a host, one of some, and the first of its members, which
 // names a limit.
 func limitingHost(self, hosts int, id string, others ...*balancer.Upstream) (*picker, *balancer.Upstream) {
 	heard := start.Add(-time.Minute)
-	mine := turns.New("host")
-	mine.Set(heard, turns.Place{Self: self, Hosts: hosts})
-	book := ratelimit.NewBook(mine)
+	mine := timeslot.New("host")
+	mine.Set(heard, timeslot.Position{Self: self, Hosts: hosts})
+	book := ratelimit.NewRegistry(mine)
 	u := member(id, "here")
-	u.Limit = book.Hold(id, 0)
-	u.Limit.Hear(heard, heard, ratelimit.Word{Kind: ratelimit.Limited, PerSecond: 2}, ratelimit.Answer)
-	policy := Builder{}.Build(balancer.Options{FailureDomain: "here", Turns: mine, Limits: book})
+	u.Limit = book.Acquire(id, 0)
+	u.Limit.Observe(heard, heard, ratelimit.Limit{Kind: ratelimit.Limited, PerSecond: 2}, ratelimit.Answer)
+	policy := Builder{}.Build(balancer.Options{FailureDomain: "here", Schedule: mine, Limits: book})
 	return policy.Update(append([]*balancer.Upstream{u}, others...)).(*picker), u
 }
 
@@ -61,8 +61,8 @@
 	both := 0
 	for self := range hosts {
 		p, u := limitingHost(self, hosts, "i-1")
-		u.Cold.Bears(u.ID, 2.5)
-		u.Cold.Told(start, time.Minute)
+		u.Cold.SetRate(u.ID, 2.5)
+		u.Cold.SetCold(start, time.Minute)
 		tell(u, start, 0, 1)
 		cold := u.Cold.Open(start, p.turns)
 		_, err := p.Pick(balancer.PickInfo{Now: start})
--- a/pkg/coldstart/coldstart.go
+++ b/pkg/coldstart/coldstart.go
@@ -2,7 +2,7 @@
 // has started a moment ago, or has become cold again. Such an upstream bears a few
 // requests a second, and collapses under more.
 //
-// Hosts share nothing for this but the order of pkg/turns: there are as many slots a second
+// Hosts share nothing for this but the order of pkg/timeslot: there are as many slots a second
 // as the upstream bears requests, and a host sends one request in its turn at the most.
 //
 // In a second, an upstream that bears r requests a second gets at most r(1+2d)+1 where
@@ -22,7 +22,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 // Upstream is what one host knows of how cold one upstream is. The zero value is warm,
@@ -34,22 +34,22 @@
 	used  atomic.Int64  // slot of the last turn that was used, plus one
 }
 
-// Bears sets how many requests a second an upstream bears over all hosts while it is
+// SetRate sets how many requests a second an upstream bears over all hosts while it is
 // cold; 0 sets no bound. The id shifts its order of turns.
-func (u *Upstream) Bears(id string, perSecond float64) {
+func (u *Upstream) SetRate(id string, perSecond float64) {
 	u.shift.Store(xxhash.Sum64String(id))
 	u.rate.Store(math.Float64bits(max(perSecond, 0)))
 }
 
-// Told takes in the upstream's own answer that it is cold for a time from now on; 0 or
+// SetCold takes in the upstream's own answer that it is cold for a time from now on; 0 or
 // less says that it is warm.
-func (u *Upstream) Told(now time.Time, left time.Duration) {
+func (u *Upstream) SetCold(now time.Time, left time.Duration) {
 	u.until.Store(now.Add(left).UnixNano())
 }
 
-// Heard takes in news that the upstream was cold for a time when the news was written,
+// ExtendCold takes in news that the upstream was cold for a time when the news was written,
 // which may be a while ago: it never makes the upstream warm.
-func (u *Upstream) Heard(now time.Time, left time.Duration) {
+func (u *Upstream) ExtendCold(now time.Time, left time.Duration) {
 	until := now.Add(left).UnixNano()
 	for {
 		known := u.until.Load()
@@ -71,7 +71,7 @@
 }
 
 // Open reports whether the host whose turns are given may send a request to u now.
-func (u *Upstream) Open(now time.Time, t *turns.Turns) bool {
+func (u *Upstream) Open(now time.Time, t *timeslot.Schedule) bool {
 	if !u.IsCold(now) {
 		return true
 	}
@@ -81,7 +81,7 @@
 
 // Take uses the host's turn at u for one request. It is false if there is none, or no
 // longer.
-func (u *Upstream) Take(now time.Time, t *turns.Turns) bool {
+func (u *Upstream) Take(now time.Time, t *timeslot.Schedule) bool {
 	if !u.IsCold(now) {
 		return true
 	}
--- a/pkg/coldstart/coldstart_test.go
+++ b/pkg/coldstart/coldstart_test.go
@@ -10,15 +10,15 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 func Example() {
 	now := time.Unix(1000, 0)
-	mine := turns.Alone()
+	mine := timeslot.Single()
 	var u Upstream
-	u.Bears("i-1", 2.5)
-	u.Told(now, 3*time.Second)
+	u.SetRate("i-1", 2.5)
+	u.SetCold(now, 3*time.Second)
 	fmt.Println(u.Take(now, mine), u.Take(now, mine), u.Take(now.Add(400*time.Millisecond), mine))
 	fmt.Println(u.IsCold(now.Add(3 * time.Second)))
 	// Output:
@@ -30,21 +30,21 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	var u Upstream
-	u.Told(now, time.Minute)
+	u.SetCold(now, time.Minute)
 	is.True(!u.IsCold(now)) // bears anything
-	u.Bears("i-1", 2.5)
-	u.Heard(now, 0)
+	u.SetRate("i-1", 2.5)
+	u.ExtendCold(now, 0)
 	is.True(u.IsCold(now))
-	u.Heard(now, 2*time.Minute)
+	u.ExtendCold(now, 2*time.Minute)
 	is.True(u.IsCold(now.Add(time.Minute)))
-	u.Told(now, 0)
+	u.SetCold(now, 0)
 	is.True(!u.IsCold(now))
 }
 
 // crowd is a fleet in virtual time whose hosts send all they may to one upstream.
 type crowd struct {
 	rate   float64
-	turns  []*turns.Turns
+	turns  []*timeslot.Schedule
 	clocks []time.Duration // how far each host's clock is off
 	knows  []Upstream      // what each host knows of the upstream
 }
@@ -52,10 +52,10 @@
 func newCrowd(hosts int, rate float64) *crowd {
 	c := &crowd{rate: rate, clocks: make([]time.Duration, hosts), knows: make([]Upstream, hosts)}
 	for i := range hosts {
-		t := turns.New(fmt.Sprint("host-", i))
-		t.Set(time.Time{}, turns.Place{Self: i, Hosts: hosts})
+		t := timeslot.New(fmt.Sprint("host-", i))
+		t.Set(time.Time{}, timeslot.Position{Self: i, Hosts: hosts})
 		c.turns = append(c.turns, t)
-		c.knows[i].Bears("i-1", rate)
+		c.knows[i].SetRate("i-1", rate)
 	}
 	return c
 }
@@ -66,7 +66,7 @@
 	start := time.Unix(1_700_000_000, 0)
 	var out []time.Duration
 	for i := range c.knows {
-		c.knows[i].Told(start, over+time.Hour)
+		c.knows[i].SetCold(start, over+time.Hour)
 	}
 	for at := time.Duration(0); at < over; at += step {
 		for i, t := range c.turns {
@@ -105,7 +105,7 @@
 				c.clocks[i] = time.Duration(random.Int64N(int64(2*off))) - off
 			}
 			size := (hosts + groups - 1 - i%groups) / groups
-			c.turns[i].Set(time.Time{}, turns.Place{Self: i / groups, Hosts: size})
+			c.turns[i].Set(time.Time{}, timeslot.Position{Self: i / groups, Hosts: size})
 		}
 		bound := groups * int(math.Ceil(rate*(1+2*off.Seconds())+1))
 		if worst := worstSecond(c.sends(4*time.Second, 10*time.Millisecond)); worst > bound {
@@ -166,12 +166,12 @@
 // BenchmarkOpen is what a choice pays for each upstream that it looks at.
 func BenchmarkOpen(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
-	mine := turns.New("10.0.0.1")
+	mine := timeslot.New("10.0.0.1")
 	for name, left := range map[string]time.Duration{"warm": 0, "cold": time.Hour} {
 		b.Run(name, func(b *testing.B) {
 			var u Upstream
-			u.Bears("i-1", 2.5)
-			u.Told(now, left)
+			u.SetRate("i-1", 2.5)
+			u.SetCold(now, left)
 			b.ReportAllocs()
 			for b.Loop() {
 				u.Open(now, mine)
--- a/pkg/ratelimit/ratelimit.go
+++ b/pkg/ratelimit/ratelimit.go
@@ -1,7 +1,7 @@
 // Package ratelimit keeps to the limits that upstreams in need name in their answers: how
 // many requests a second they take from all hosts together, for as long as they say so.
 //
-// The hosts share such a limit by the turns of pkg/turns: there are as many slots a second
+// The hosts share such a limit by the turns of pkg/timeslot: there are as many slots a second
 // as the upstream takes requests, each slot is the turn of one host, and a host may use its
 // turn for one request, up to SlotValidity later. They tell one another what upstreams say, so that
 // a host holds back before it was told itself, and knows of the end of a limit although its
@@ -21,7 +21,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/dapplespindle/dapplespindle/pkg/turns"
+	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
 const (
@@ -68,7 +68,7 @@
 type State struct {
 	id     string
 	server Server
-	turns  *turns.Turns
+	turns  *timeslot.Schedule
 
 	current atomic.Pointer[naming] // nil while no limit is known
 	tally   *tally                 // of a book; nil outside one
@@ -92,8 +92,8 @@
 
 // NewState returns what a host whose turns are given knows at first of an upstream. Born is
 // the start that the upstream names itself, or 0.
-func NewState(id string, born int64, t *turns.Turns) *State {
-	return &State{id: id, server: NameOf(id, born), turns: t}
+func NewState(id string, born int64, t *timeslot.Schedule) *State {
+	return &State{id: id, server: ServerOf(id, born), turns: t}
 }
 
 // ID is the upstream's id.
@@ -102,17 +102,17 @@
 // Server names the upstream among hosts.
 func (s *State) Server() Server { return s.server }
 
-// Word returns what is known.
-func (s *State) Word() Word {
+// Limit returns what is known.
+func (s *State) Limit() Limit {
 	if n := s.current.Load(); n != nil {
-		return Word{Kind: Limited, PerSecond: n.perSecond}
+		return Limit{Kind: Limited, PerSecond: n.perSecond}
 	}
-	return Word{Kind: Unlimited}
+	return Limit{Kind: Unlimited}
 }
 
-// Hear takes in what an answer says that came now, to a request or a probe that was sent at
+// Observe takes in what an answer says that came now, to a request or a probe that was sent at
 // a time. It reports whether that changes what is known.
-func (s *State) Hear(now, sent time.Time, w Word, from Source) bool {
+func (s *State) Observe(now, sent time.Time, w Limit, from Source) bool {
 	if s == nil || w.Kind == Unspecified || w.Kind == Unlimited && s.current.Load() == nil {
 		return false
 	}
@@ -244,10 +244,10 @@
 	if begun <= 0 {
 		return 0, false
 	}
-	place, _ := s.turns.Place()
+	place, _ := s.turns.Position()
 	first := int64(random % uint64(begun))
 	for i := range min(begun, 2) { // two slots in a row are not both this host's
-		host = s.turns.Owner(from+(first+i)%begun, s.server.Name)
+		host = s.turns.Owner(from+(first+i)%begun, s.server.IDHash)
 		if host != place.Self {
 			return host, true
 		}
@@ -278,7 +278,7 @@
 	if n == nil {
 		return math.Inf(1)
 	}
-	place, _ := s.turns.Place()
+	place, _ := s.turns.Position()
 	return n.rate() / float64(place.Hosts)
 }
 
@@ -293,7 +293,7 @@
 
 // nextAfter is next with the last slot that is used.
 func (s *State) nextAfter(now time.Time, n *naming, used int64) turn {
-	slot := s.turns.Next(max(n.slotFrom(s.validFrom(now, n)), used+1), s.server.Name)
+	slot := s.turns.Next(max(n.slotFrom(s.validFrom(now, n)), used+1), s.server.IDHash)
 	return turn{slot, n.begins(slot)}
 }
 
@@ -305,7 +305,7 @@
 	if from.Before(n.since) {
 		from = n.since
 	}
-	if _, placed := s.turns.Place(); from.Before(placed) {
+	if _, placed := s.turns.Position(); from.Before(placed) {
 		from = placed
 	}
 	return from
