--- a/internal/proxy/amplification_test.go
+++ b/internal/proxy/amplification_test.go
@@ -59,13 +59,13 @@
 			top.newBudget = func(float64) *retry.Budget { return nil }
 			top.state.Store(top.nextSnapshot(nil, top.state.Load().table))
 		}
-		next = hop(top, v)
+		next = downstreamSender(top, v)
 	}
 	return top, &sends
 }
 
 // hop sends to the proxy below as an upstream; without marks it strips them.
-func hop(below *Proxy, v variant) Sender {
+func downstreamSender(below *Proxy, v variant) Sender {
 	return senderFunc(func(ctx context.Context, _ string, req *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 		own := *req // what arrives below is another request, with a header of its own
 		own.Header = maps.Clone(req.Header)
@@ -124,7 +124,7 @@
 
 // TestMeasureAmplification prints the table of make measure-overload.
 func TestMeasureAmplification(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	fmt.Printf("Sends to upstreams per request; max_attempts %d, budget 10 %% and a reserve of %d, %d requests\n",
 		chainAttempts, retry.ReserveTokens, chainRequests)
 	fmt.Printf("%-22s %8s %8s %8s %8s %8s %8s %8s %9s\n", "variant", "failing", "1 level", "2", "3", "4", "5", "6", "answered")
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -52,9 +52,9 @@
 
 // refuse answers with the kind's entry in the error table.
 func (x *exchange) refuse(err *errkind.Error) *httpwire.Response {
-	err = x.certain(err)
+	err = x.withUnknownOutcome(err)
 	answer := err.Kind.Answer()
-	x.returnRoom(answer)
+	x.returnQuota(answer)
 	code := event.RequestRefused
 	if answer.Outcome == errkind.Unknown {
 		code = event.RequestUnknown
@@ -68,7 +68,7 @@
 		x.annotateRefusal(h, answer)
 	}
 	if answer.RetryAfter {
-		x.proxy.dialect.retryAfter(h, x.comeBack(err.Kind))
+		x.proxy.dialect.retryAfter(h, x.retryAfter(err.Kind))
 	}
 	return &httpwire.Response{Status: answer.Status, Header: h, Body: []byte(err.Error() + "\n")}
 }
@@ -87,7 +87,7 @@
 
 // certain names the failure for what the caller must know: a non-repeatable
 // request that may have run has an unknown outcome, whatever broke.
-func (x *exchange) certain(err *errkind.Error) *errkind.Error {
+func (x *exchange) withUnknownOutcome(err *errkind.Error) *errkind.Error {
 	if x.rule == nil || x.repeatable() || err.Kind != errkind.UpstreamBroken {
 		return err
 	}
@@ -96,29 +96,29 @@
 
 // comeBackDivisor divides the target latency: before that part of it has passed,
 // the queue that refused a request holds much the same requests.
-const comeBackDivisor = 2
+const retryAfterDivisor = 2
 
 // comeBack is when a caller that was refused for the given reason should come
 // back, spread by the excess.
-func (x *exchange) comeBack(kind errkind.Kind) time.Duration {
+func (x *exchange) retryAfter(kind errkind.Kind) time.Duration {
 	switch kind {
 	case errkind.Quarantined:
 		return x.quarantineLeft()
 	case errkind.QuotaExceeded:
-		return x.caller.wait
+		return x.caller.quotaWait
 	}
 	if x.state == nil {
-		if kind == errkind.NotReady && x.proxy.starting.recent(clock.Now()) {
+		if kind == errkind.NotReady && x.proxy.starting.inStartWindow(clock.Now()) {
 			return limit.RetryAfterStart(x.proxy.random())
 		}
 		return limit.RetryAfter(0, x.proxy.random())
 	}
 	g := x.state.group
 	target := x.rule.Config.TargetLatency.Std()
-	left := x.allShut()
-	if perSecond := x.turns(); !math.IsInf(perSecond, 1) {
+	left := x.sendDelay()
+	if perSecond := x.limitedRate(); !math.IsInf(perSecond, 1) {
 		// Those that wait here, as long as the target at the most, come first.
-		return g.turns.Next(clock.Now(), max(left, seconds(1/perSecond), target), perSecond)
+		return g.retrySchedule.Next(clock.Now(), max(left, seconds(1/perSecond), target), perSecond)
 	}
 	if left > 0 {
 		return limit.RetryAfterRest(left, x.proxy.random())
@@ -126,11 +126,11 @@
 	if kind == errkind.UpstreamRefused && target > 0 && g.waiting.Load() == 0 {
 		return limit.RetryAfterShed(target, x.proxy.random())
 	}
-	return max(limit.RetryAfter(g.excess.Ratio(), x.proxy.random()), target/comeBackDivisor)
+	return max(limit.RetryAfter(g.excess.Ratio(), x.proxy.random()), target/retryAfterDivisor)
 }
 
 // setOwnRetryAfter writes both of the product's headers.
-func setOwnRetryAfter(h http.Header, d time.Duration) {
+func setDefaultRetryAfter(h http.Header, d time.Duration) {
 	h[HeaderRetryAfter] = []string{strconv.FormatInt(limit.RetryAfterSeconds(d), 10)}
 	h[HeaderRetryAfterMs] = []string{strconv.FormatInt(int64(d/time.Millisecond), 10)}
 }
--- a/internal/proxy/ask.go
+++ b/internal/proxy/ask.go
@@ -17,67 +17,67 @@
 }
 
 // WithAsker asks upstreams through a for policies that choose on fresh reports.
-func WithAsker(a LoadQuerier) Option { return func(p *Proxy) { p.asker = a } }
+func WithAsker(a LoadQuerier) Option { return func(p *Proxy) { p.loadQuerier = a } }
 
 // ask lets a policy learn what it needs for the choice that comes next.
-func (x *exchange) ask(ctx context.Context, group *routing.Group, info *balancer.PickInfo) {
-	if !x.asks(group) {
+func (x *exchange) queryLoad(ctx context.Context, group *routing.Group, info *balancer.PickInfo) {
+	if !x.queriesLoad(group) {
 		return
 	}
 	policy := group.Picker.(balancer.LoadQuerier)
 	for round := 0; ctx.Err() == nil; round++ {
 		list := policy.QueryTargets(*info, round)
-		list = list[:x.state.group.questions.take(len(list))]
+		list = list[:x.state.group.queryBudget.take(len(list))]
 		if len(list) == 0 {
 			return
 		}
-		x.proxy.asker.Ask(ctx, group, list)
+		x.proxy.loadQuerier.Ask(ctx, group, list)
 		info.Now = clock.Now()
 	}
 }
 
 // asks reports whether upstreams of the group are asked for their load before a choice.
-func (x *exchange) asks(group *routing.Group) bool {
+func (x *exchange) queriesLoad(group *routing.Group) bool {
 	_, ok := group.Picker.(balancer.LoadQuerier)
-	return ok && x.proxy.asker != nil && group.Config.HealthPath != ""
+	return ok && x.proxy.loadQuerier != nil && group.Config.HealthPath != ""
 }
 
 // The bound on questions: upstreams pay for them with slot time.
 const (
 	// questionsPerRequest is what each request adds, on average.
-	questionsPerRequest = 6
+	queriesPerRequest = 6
 	// questionsPerLook is what each look of a waiting request adds when no send of
 	// this host has ended for a while. With two, 17 hosts asked 5,800 times a second
 	// in a burst; at 6 ms each that is a slot of each of 32 upstreams.
-	questionsPerLook = 1
+	queriesPerRecheck = 1
 	// maxQuestions is the most that can be saved up.
-	maxQuestions = 60
+	maxSavedQueries = 60
 )
 
 // questions bounds how often a group's upstreams are asked, by the requests
 // that the group gets. It is safe for concurrent use.
-type questions struct {
-	left atomic.Int64
+type queryBudget struct {
+	available atomic.Int64
 }
 
 // arrived adds what one request allows.
-func (q *questions) arrived() { q.earn(questionsPerRequest) }
+func (q *queryBudget) addRequest() { q.add(queriesPerRequest) }
 
 // looked adds what one look of a waiting request allows.
-func (q *questions) looked() { q.earn(questionsPerLook) }
+func (q *queryBudget) addRecheck() { q.add(queriesPerRecheck) }
 
-func (q *questions) earn(n int64) {
-	if left := q.left.Load(); left < maxQuestions {
-		q.left.CompareAndSwap(left, min(left+n, maxQuestions))
+func (q *queryBudget) add(n int64) {
+	if left := q.available.Load(); left < maxSavedQueries {
+		q.available.CompareAndSwap(left, min(left+n, maxSavedQueries))
 	}
 }
 
 // take returns how many of n questions may be asked now.
-func (q *questions) take(n int) int {
+func (q *queryBudget) take(n int) int {
 	for {
-		left := q.left.Load()
+		left := q.available.Load()
 		granted := min(int64(n), max(left, 0))
-		if granted == 0 || q.left.CompareAndSwap(left, left-granted) {
+		if granted == 0 || q.available.CompareAndSwap(left, left-granted) {
 			return int(granted)
 		}
 	}
--- a/internal/proxy/ask_test.go
+++ b/internal/proxy/ask_test.go
@@ -16,59 +16,59 @@
 )
 
 // askPicker asks for its members until they were asked.
-type askPicker struct {
+type queryingPicker struct {
 	members []*balancer.Upstream
-	asked   map[*balancer.Upstream]bool
+	queried map[*balancer.Upstream]bool
 }
 
-func (p *askPicker) QueryTargets(_ balancer.PickInfo, _ int) []*balancer.Upstream {
+func (p *queryingPicker) QueryTargets(_ balancer.PickInfo, _ int) []*balancer.Upstream {
 	var out []*balancer.Upstream
 	for _, u := range p.members {
-		if !p.asked[u] {
+		if !p.queried[u] {
 			out = append(out, u)
 		}
 	}
 	return out
 }
 
-func (p *askPicker) Pick(balancer.PickInfo) (balancer.Result, error) {
+func (p *queryingPicker) Pick(balancer.PickInfo) (balancer.Result, error) {
 	return balancer.Result{Upstream: p.members[len(p.members)-1]}, nil
 }
 
-type askerFunc func([]*balancer.Upstream)
+type querierFunc func([]*balancer.Upstream)
 
-func (f askerFunc) Ask(_ context.Context, _ *routing.Group, list []*balancer.Upstream) { f(list) }
+func (f querierFunc) Ask(_ context.Context, _ *routing.Group, list []*balancer.Upstream) { f(list) }
 
 // TestQuestionsAreBounded asks for ever, and is cut at what requests allow.
 func TestQuestionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	s := registeredService(lookup(), map[string]int{"a": 1})
 	s.Groups[0].HealthPath = "/health"
-	picker := &askPicker{members: []*balancer.Upstream{{ID: "a-1"}, {ID: "a-2"}}}
+	picker := &queryingPicker{members: []*balancer.Upstream{{ID: "a-1"}, {ID: "a-2"}}}
 	asked := 0
 	sender := senderFunc(func(context.Context, string, *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 		return &httpwire.Response{Status: 200, Header: http.Header{testSignature: {"s"}}}, nil
 	})
 	p := New("127.0.0.1", "test", sender, event.Discard{}, WithRandom(seeded(1)), WithDialect(testDialect()),
-		WithAsker(askerFunc(func(list []*balancer.Upstream) { asked += len(list) })))
+		WithAsker(querierFunc(func(list []*balancer.Upstream) { asked += len(list) })))
 	p.SetTable(routing.Compile(1, []*config.Service{s}, groupsFunc(func(_ *config.Service, g *config.Group) *routing.Group {
 		return &routing.Group{Config: g, Picker: picker}
 	})))
 	for range 50 {
 		is.Equal(p.Serve(t.Context(), dialectRequest("GET")).Status, 200)
 	}
-	is.Equal(asked, 50*questionsPerRequest)
+	is.Equal(asked, 50*queriesPerRequest)
 }
 
 func TestLooksEarnQuestions(t *testing.T) {
 	is := is.New(t)
-	var q questions
-	q.arrived()
-	is.Equal(q.take(2*questionsPerRequest), questionsPerRequest)
-	q.looked()
-	is.Equal(q.take(questionsPerRequest), questionsPerLook)
-	for range 2 * maxQuestions {
-		q.looked()
+	var q queryBudget
+	q.addRequest()
+	is.Equal(q.take(2*queriesPerRequest), queriesPerRequest)
+	q.addRecheck()
+	is.Equal(q.take(queriesPerRequest), queriesPerRecheck)
+	for range 2 * maxSavedQueries {
+		q.addRecheck()
 	}
-	is.Equal(q.take(2*maxQuestions), maxQuestions)
+	is.Equal(q.take(2*maxSavedQueries), maxSavedQueries)
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -95,12 +95,12 @@
 		Exclude:         x.tried,
 		Waited:          waited,
 		Hedge:           extra,
-		ExpectedLatency: x.usual(),
+		ExpectedLatency: x.expectedLatency(),
 		TargetLeft:      clock.Until(x.usefulUntil()),
-		DeadlineLeft:    x.left(),
-		FinalAttempt:    x.last(n),
+		DeadlineLeft:    x.timeLeft(),
+		FinalAttempt:    x.isFinalAttempt(n),
 	}
-	x.ask(ctx, group, &info)
+	x.queryLoad(ctx, group, &info)
 	now := info.Now
 	choice, err := x.choose(ctx, group, info)
 	if err != nil {
@@ -130,48 +130,48 @@
 func (x *exchange) send(ctx context.Context, b binding) result {
 	if !x.guard.begin(x.repeatable()) {
 		x.emit(event.Event{Code: event.NonRepeatableResend, Upstream: b.upstream.ID, Attempt: b.number})
-		x.done(b, feedback{outcome: limit.Ignored})
+		x.finish(b, feedback{outcome: limit.Ignored})
 		return result{binding: b, err: errkind.New(errkind.Internal, "second send of a non-repeatable request")}
 	}
-	if err := x.clear(ctx, b); err != nil {
+	if err := x.checkBeforeSend(ctx, b); err != nil {
 		x.guard.end(err)
-		x.done(b, feedback{outcome: limit.Ignored})
+		x.finish(b, feedback{outcome: limit.Ignored})
 		return result{binding: b, err: err}
 	}
 	req := x.attemptRequest(b)
 	start := clock.Now()
 	resp, err := x.proxy.sender.Do(ctx, b.upstream.Address, req)
-	x.report(b, resp, err)
-	x.rested(b, resp)
-	x.limited(b, start, resp)
-	x.examine(ctx, b, start, err)
+	x.reportLifecycle(b, resp, err)
+	x.recordBackoff(b, resp)
+	x.recordLimit(b, start, resp)
+	x.detectCrash(ctx, b, start, err)
 	r := x.interpret(b, resp, err)
-	x.answered(r)
+	x.recordResponse(r)
 	x.guard.end(r.err)
 	if r.err != nil && r.err.Kind.Answer().Outcome == errkind.NotRun {
 		execution.AfterNotRun(ctx)
 	}
-	x.done(b, x.feedbackOf(ctx, r, resp, clock.Since(start)))
+	x.finish(b, x.feedbackOf(ctx, r, resp, clock.Since(start)))
 	return r
 }
 
 // clear asks those who may forbid the send. The order matters: what single
 // execution records as sent is sent.
-func (x *exchange) clear(ctx context.Context, b binding) *errkind.Error {
-	if err := x.mayStillSend(b); err != nil {
+func (x *exchange) checkBeforeSend(ctx context.Context, b binding) *errkind.Error {
+	if err := x.checkLifecycle(b); err != nil {
 		return err
 	}
 	if err := x.quarantined(); err != nil {
 		return err
 	}
-	if err := x.stillKnown(); err != nil {
+	if err := x.checkKeyValid(); err != nil {
 		return err
 	}
 	return execution.BeforeSend(ctx)
 }
 
 // done reports the end of a send to the balancer, the limit and the queue.
-func (x *exchange) done(b binding, f feedback) {
+func (x *exchange) finish(b binding, f feedback) {
 	now := clock.Now()
 	x.state.group.inFlight.Add(-1)
 	told := f.balancer(now)
@@ -199,7 +199,7 @@
 		r.err = errkind.New(errkind.UpstreamRefused, b.upstream.ID)
 		return r
 	}
-	if r.err = d.fault(resp); r.err != nil {
+	if r.err = d.checkResponse(resp); r.err != nil {
 		return r
 	}
 	if d.Signature != "" && x.repeatable() && resp.Status >= http.StatusInternalServerError {
--- a/internal/proxy/customer.go
+++ b/internal/proxy/customer.go
@@ -32,10 +32,10 @@
 
 // caller is whose a request is.
 type caller struct {
-	customer *config.Customer // nil without a key
-	key      config.KeyDigest
-	wait     time.Duration // until there is room in the quota, as it said
-	holds    bool          // room of the quota
+	customer   *config.Customer // nil without a key
+	key        config.KeyDigest
+	quotaWait  time.Duration // until there is room in the quota, as it said
+	holdsQuota bool          // room of the quota
 }
 
 // identify finds the customer by the request's key, and has upstreams told its name alone.
@@ -84,7 +84,7 @@
 
 // stillKnown refuses a request whose key was revoked, or went to another customer, while it
 // waited.
-func (x *exchange) stillKnown() *errkind.Error {
+func (x *exchange) checkKeyValid() *errkind.Error {
 	c := x.caller.customer
 	if c == nil {
 		return nil
@@ -100,28 +100,28 @@
 }
 
 // withinQuota takes room of the customer's quota.
-func (x *exchange) withinQuota(ctx context.Context) *errkind.Error {
+func (x *exchange) takeQuota(ctx context.Context) *errkind.Error {
 	c := x.caller.customer
 	if c == nil || x.proxy.quotas == nil || c.RatePerSecond == 0 {
 		return nil
 	}
 	wait, ok := x.proxy.quotas.Take(ctx, c)
 	if ok {
-		x.caller.holds = true
+		x.caller.holdsQuota = true
 		return nil
 	}
 	if ctx.Err() != nil {
 		return errkind.New(errkind.CallerGone, "before send")
 	}
-	x.caller.wait = wait
+	x.caller.quotaWait = wait
 	x.emit(event.Event{Code: event.QuotaReached, Reason: c.Name, Value: wait.Milliseconds()})
 	return errkind.New(errkind.QuotaExceeded, "customer "+c.Name)
 }
 
 // returnRoom gives back the room of a request that is refused and did not run.
-func (x *exchange) returnRoom(answer errkind.Answer) {
-	if x.caller.holds && answer.Outcome == errkind.NotRun {
-		x.caller.holds = false
+func (x *exchange) returnQuota(answer errkind.Answer) {
+	if x.caller.holdsQuota && answer.Outcome == errkind.NotRun {
+		x.caller.holdsQuota = false
 		x.proxy.quotas.Return(x.caller.customer)
 	}
 }
--- a/internal/proxy/deadline.go
+++ b/internal/proxy/deadline.go
@@ -26,12 +26,12 @@
 }
 
 // left is the time to the deadline.
-func (x *exchange) left() time.Duration { return clock.Until(x.deadline) }
+func (x *exchange) timeLeft() time.Duration { return clock.Until(x.deadline) }
 
 // timeoutValue tells an upstream how much of the deadline is left, in whole
 // milliseconds.
 func (x *exchange) timeoutValue() string {
-	return strconv.FormatInt(max(x.left().Milliseconds(), 1), 10)
+	return strconv.FormatInt(max(x.timeLeft().Milliseconds(), 1), 10)
 }
 
 // expired reports the end of ctx, or a passed deadline, before anything was
@@ -40,7 +40,7 @@
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return errkind.New(errkind.CallerGone, "before send")
 	}
-	if ctx.Err() != nil || x.left() <= 0 {
+	if ctx.Err() != nil || x.timeLeft() <= 0 {
 		return errkind.New(errkind.DeadlineBeforeSend, "deadline passed")
 	}
 	return nil
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -66,21 +66,21 @@
 		Annotates: true,
 		Key:       HeaderKey,
 		Customer:  HeaderCustomer,
-		Load:      ownLoad,
+		Load:      defaultLoad,
 		NotRun: func(status int, h http.Header) bool {
 			return status == http.StatusServiceUnavailable && h.Get(HeaderNotRun) == flagSet
 		},
 		Leaving: func(_ int, h http.Header) bool {
 			return lifecycle.ParseLeaving(h.Get(lifecycle.HeaderLeaving))
 		},
-		Rest:  ownRest,
-		Limit: ownLimit,
+		Rest:  defaultBackoff,
+		Limit: defaultLimit,
 	}
 }
 
 // ownRest reads the product's own word for rest. An entry host below refuses for the
 // caller's sake, and its time to come back is about that request alone.
-func ownRest(status int, h http.Header) (time.Duration, error) {
+func defaultBackoff(status int, h http.Header) (time.Duration, error) {
 	if status != http.StatusServiceUnavailable || h.Get(HeaderNotRun) != flagSet || h.Get(HeaderError) != "" {
 		return 0, nil
 	}
@@ -92,7 +92,7 @@
 
 // ownLimit reads the product's own word for a limit. An entry host below speaks for
 // itself where it gives no upstream's answer; a refusal that names none says nothing.
-func ownLimit(status int, h http.Header) (ratelimit.Word, error) {
+func defaultLimit(status int, h http.Header) (ratelimit.Word, error) {
 	value := h.Get(HeaderLimit)
 	if value == "" && (h.Get(HeaderError) != "" || status == http.StatusServiceUnavailable) {
 		return ratelimit.Word{}, nil
@@ -105,7 +105,7 @@
 
 // promises are the statuses that tell a caller that the request did not run
 // and never will.
-func promises(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -127,7 +127,7 @@
 // fault returns why a whole answer can't be passed on, or nil. A success needs
 // the upstream's signature and a body as the upstream has it; a status that
 // promises "not run" needs the upstream's own word, which NotRun has read.
-func (d *Dialect) fault(resp *httpwire.Response) *errkind.Error {
+func (d *Dialect) checkResponse(resp *httpwire.Response) *errkind.Error {
 	if d.Signature == "" {
 		return nil
 	}
@@ -138,7 +138,7 @@
 	if success && resp.Header.Get(d.Signature) == "" {
 		return errkind.New(errkind.UpstreamBroken, "success without signature")
 	}
-	if promises(resp.Status) {
+	if impliesNotRun(resp.Status) {
 		return errkind.New(errkind.UpstreamBroken, "status "+strconv.Itoa(resp.Status)+" without a declaration that it was not run")
 	}
 	return nil
@@ -150,5 +150,5 @@
 		h[HeaderRetryAfter] = []string{strconv.FormatFloat(wait.Seconds(), 'f', 3, 64)}
 		return
 	}
-	setOwnRetryAfter(h, wait)
+	setDefaultRetryAfter(h, wait)
 }
--- a/internal/proxy/dialect_test.go
+++ b/internal/proxy/dialect_test.go
@@ -222,23 +222,23 @@
 	g := p.state.Load().groups[groupName{group: "a"}]
 	x := &exchange{proxy: p, rule: &routing.Rule{Config: &rule}, state: &ruleState{group: g}}
 	g.waiting.Store(1)
-	is.True(x.comeBack(errkind.UpstreamRefused) >= target/comeBackDivisor)
+	is.True(x.retryAfter(errkind.UpstreamRefused) >= target/retryAfterDivisor)
 	g.waiting.Store(0)
-	is.True(x.comeBack(errkind.Overloaded) >= target/comeBackDivisor)
+	is.True(x.retryAfter(errkind.Overloaded) >= target/retryAfterDivisor)
 	rule.TargetLatency = 0 // nothing says what soon is
 	x.proxy.random = func() uint64 { return 1 << 63 }
-	is.Equal(x.comeBack(errkind.UpstreamRefused), limit.RetryAfterBase/2)
+	is.Equal(x.retryAfter(errkind.UpstreamRefused), limit.RetryAfterBase/2)
 }
 
 // trailRecorder keeps what Ended was told.
-type trailRecorder struct {
+type requestRecorder struct {
 	codes   []event.Code
 	notable bool
 	load    *event.Load
 	version uint64
 }
 
-func (r *trailRecorder) Ended(trail []event.Event, notable bool) {
+func (r *requestRecorder) Ended(trail []event.Event, notable bool) {
 	r.codes, r.notable, r.load = nil, notable, nil
 	for _, e := range trail {
 		r.codes = append(r.codes, e.Code)
@@ -252,7 +252,7 @@
 	sender := senderFunc(func(context.Context, string, *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 		return &httpwire.Response{Status: status, Header: http.Header{testSignature: {"s"}}}, nil
 	})
-	trails := new(trailRecorder)
+	trails := new(requestRecorder)
 	p := New("127.0.0.1", "test", sender, event.Discard{}, WithRandom(seeded(1)), WithDialect(testDialect()), WithTrails(trails))
 	p.SetTable(routing.Compile(7, []*config.Service{registeredService(sale(), map[string]int{"a": 1})}, groupsFunc(twoOfEach)))
 	p.Serve(t.Context(), dialectRequest("POST"))
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -28,31 +28,31 @@
 	caller   caller
 	hop      *tracing.Hop // nil without a tracer
 
-	sent    int
-	tried   []*balancer.Upstream
-	unknown *errkind.Error // the first failure after which the request may have run
-	first   *errkind.Error // the first failure of a send
-	noRetry bool           // an upstream said not to retry
-	failure *result        // the newest answer of an upstream that says it failed
-	guard   guard
-	asked   int // hosts that were asked for a turn
+	sent           int
+	tried          []*balancer.Upstream
+	unknown        *errkind.Error // the first failure after which the request may have run
+	first          *errkind.Error // the first failure of a send
+	noRetry        bool           // an upstream said not to retry
+	failure        *result        // the newest answer of an upstream that says it failed
+	guard          guard
+	borrowAttempts int // hosts that were asked for a turn
 
-	triedFirst [typicalTries]*balancer.Upstream // memory of tried
+	triedBuffer [typicalAttempts]*balancer.Upstream // memory of tried
 
-	trail trail // used with Trails
+	eventLog eventLog // used with Trails
 
-	sendMu sync.Mutex
-	lent   bool   // req was given to a send
-	values values // of the headers that are set
+	sendMu      sync.Mutex
+	requestUsed bool   // req was given to a send
+	values      values // of the headers that are set
 }
 
 // typicalTries is the number of upstreams tried without more memory.
-const typicalTries = 2
+const typicalAttempts = 2
 
 // admit finds the rule of the request. A process that was paused learns first.
 func (x *exchange) admit() *errkind.Error {
 	if u := x.proxy.upstreams; u != nil && u.Waking() {
-		return errkind.New(errkind.NotReady, wakingDetail)
+		return errkind.New(errkind.NotReady, resumingDetail)
 	}
 	s := x.proxy.state.Load()
 	if s == nil {
@@ -73,7 +73,7 @@
 		return err
 	}
 	x.state = s.rules[x.rule].next()
-	x.state.group.questions.arrived()
+	x.state.group.queryBudget.addRequest()
 	return nil
 }
 
@@ -91,8 +91,8 @@
 	}
 	e.Version = x.version
 	x.proxy.events.Emit(e)
-	if x.proxy.trails != nil {
-		x.trail.add(e)
+	if x.proxy.requestLogger != nil {
+		x.eventLog.add(e)
 	}
 	x.hop.Emit(e)
 }
--- a/internal/proxy/executor.go
+++ b/internal/proxy/executor.go
@@ -15,9 +15,9 @@
 }
 
 // sendOnce is the Executor without tickets or keys: it runs what arrives.
-type sendOnce struct{}
+type directExecutor struct{}
 
 // Execute implements Executor.
-func (sendOnce) Execute(ctx context.Context, _ *httpwire.Request, _ *routing.Rule, run func(context.Context) *httpwire.Response) *httpwire.Response {
+func (directExecutor) Execute(ctx context.Context, _ *httpwire.Request, _ *routing.Rule, run func(context.Context) *httpwire.Response) *httpwire.Response {
 	return run(ctx)
 }
--- a/internal/proxy/group.go
+++ b/internal/proxy/group.go
@@ -14,29 +14,29 @@
 )
 
 // errLimit means that the group's limit is reached, or that others wait.
-var errLimit = errors.New("limit reached")
+var errLimitReached = errors.New("limit reached")
 
 // groupState is the limit and the queue of one group on this entry host. It
 // outlives snapshots and is safe for concurrent use.
 type groupState struct {
 	// owner is the service that the lifecycle knows the upstreams under.
-	owner   string
-	current currentGroup
-	limiter *limit.Limiter // nil without a limit
+	serviceName string
+	current     currentGroup
+	limiter     *limit.Limiter // nil without a limit
 	// budget is what all rules of a registered service share; else nil.
 	budget *retry.Budget
 	// questions bounds how often the upstreams are asked for their load.
-	questions questions
-	service   queue.ServiceTime
-	excess    limit.Excess
+	queryBudget queryBudget
+	service     queue.ServiceTime
+	excess      limit.Excess
 	// turns are those promised to callers that were refused for want of one.
-	turns limit.RetrySchedule
+	retrySchedule limit.RetrySchedule
 	// waiting mirrors the queue's length, so that the usual case takes no lock.
 	waiting atomic.Int64
 	// held counts the requests that wait, those included that were woken and look for a slot.
-	held atomic.Int64
+	pending atomic.Int64
 	// ends counts sends that ended, to notice one between a pick and a push.
-	ends atomic.Uint64
+	finished atomic.Uint64
 	// inFlight counts this host's requests at the upstreams.
 	inFlight atomic.Int64
 	// lastWake is when a waiting request was last woken, in Unix nanoseconds.
@@ -47,7 +47,7 @@
 }
 
 func newGroupState(owner string, limiter *limit.Limiter, maxWaiting int) *groupState {
-	return &groupState{owner: owner, limiter: limiter, queue: queue.New[*waiter](maxWaiting)}
+	return &groupState{serviceName: owner, limiter: limiter, queue: queue.New[*waiter](maxWaiting)}
 }
 
 // configure takes a new snapshot of the group into use, on one of hosts entry
@@ -81,7 +81,7 @@
 		g.service.Observe(f.latency)
 	}
 	reason := g.limiter.Release(limit.Sample{Outcome: f.outcome, Latency: f.latency, Pressure: f.pressure()})
-	g.ends.Add(1)
+	g.finished.Add(1)
 	if g.waiting.Load() > 0 {
 		g.wake(now, wakeCount(reason))
 	}
@@ -111,7 +111,7 @@
 }
 
 // putBack lets w wait on after it was woken and found no slot.
-func (g *groupState) putBack(w *waiter) {
+func (g *groupState) requeue(w *waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.queue.Return(&w.entry)
@@ -153,9 +153,9 @@
 
 // hint wakes one waiting request if none was woken for interval: a slot may
 // have become free without an answer to this entry host.
-func (g *groupState) hint(now time.Time, interval time.Duration) {
+func (g *groupState) recheck(now time.Time, interval time.Duration) {
 	if now.UnixNano()-g.lastWake.Load() >= int64(interval) {
-		g.questions.looked()
+		g.queryBudget.addRecheck()
 		g.wake(now, 1)
 	}
 }
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -102,12 +102,12 @@
 	x.sendMu.Lock()
 	defer x.sendMu.Unlock()
 	req := x.req
-	if x.lent {
+	if x.requestUsed {
 		own := *x.req
 		own.Header = maps.Clone(x.req.Header)
 		req = &own
 	}
-	x.lent = true
+	x.requestUsed = true
 	req.Once = !x.repeatable()
 	d := x.proxy.dialect
 	req.Header[d.Timeout] = x.values.one(x.timeoutValue())
@@ -172,7 +172,7 @@
 }
 
 // ownLoad reads the product's own load report: the requests in flight.
-func ownLoad(h http.Header) balancer.Report {
+func defaultLoad(h http.Header) balancer.Report {
 	value := h.Get(HeaderLoad)
 	if value == "" {
 		return balancer.Report{}
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -53,7 +53,7 @@
 	// exchange belongs to the timer's goroutine while it holds mu.
 	mu      sync.Mutex
 	timer   *time.Timer
-	crowded bool // the second send found no room, and tries again
+	noRoom  bool // the second send found no room, and tries again
 	ended   bool // the first send has ended
 	won     bool // the second was answered before
 	second  binding
@@ -66,14 +66,14 @@
 func (x *exchange) sendHedged(ctx context.Context, b binding) result {
 	delay := x.hedgeDelay(b)
 	if delay == 0 {
-		return x.record(x.send(ctx, b))
+		return x.recordIfFailed(x.send(ctx, b))
 	}
 	h := &hedge{x: x, delay: delay}
 	h.ctx, h.cancel = context.WithCancel(ctx)
 	defer h.cancel()
 	h.arm(delay)
 	defer h.timer.Stop()
-	return h.settle(x.send(h.ctx, b))
+	return h.resolve(x.send(h.ctx, b))
 }
 
 func (h *hedge) arm(delay time.Duration) {
@@ -107,10 +107,10 @@
 	if h.ended {
 		return false
 	}
-	second, err := h.x.bindHedge(h.ctx, h.delay, h.crowded)
-	if errors.Is(err, errLimit) || errors.Is(err, balancer.ErrNoSlot) {
-		h.crowded = true
-		h.timer.Reset(h.x.hintEvery())
+	second, err := h.x.bindHedge(h.ctx, h.delay, h.noRoom)
+	if errors.Is(err, errLimitReached) || errors.Is(err, balancer.ErrNoSlot) {
+		h.noRoom = true
+		h.timer.Reset(h.x.recheckDelay())
 	}
 	if err != nil {
 		return false
@@ -122,7 +122,7 @@
 
 // settle returns the first answer, or the second failure. First is the end of
 // the first send, which is its cancellation when the second has won.
-func (h *hedge) settle(first result) result {
+func (h *hedge) resolve(first result) result {
 	h.mu.Lock()
 	h.ended = true
 	won, second, results := h.won, h.second, h.results
@@ -134,14 +134,14 @@
 		x.emit(event.Event{Code: event.HedgeCancelled, Upstream: first.binding.upstream.ID, Attempt: first.binding.number})
 		return <-results
 	case results == nil:
-		return x.record(first)
+		return x.recordIfFailed(first)
 	case first.err != nil:
-		x.record(first)
-		return x.record(<-results)
+		x.recordIfFailed(first)
+		return x.recordIfFailed(<-results)
 	}
 	select {
 	case r := <-results: // it has failed already
-		x.record(r)
+		x.recordIfFailed(r)
 	default:
 		x.emit(event.Event{Code: event.HedgeCancelled, Upstream: second.upstream.ID, Attempt: second.number})
 	}
@@ -167,7 +167,7 @@
 		}
 		return binding{}, err
 	}
-	x.count()
+	x.countAttempt()
 	x.emit(event.Event{Code: event.HedgeSent, Upstream: b.upstream.ID, Attempt: b.number, Value: delay.Microseconds()})
 	return b, nil
 }
@@ -177,9 +177,9 @@
 }
 
 // record keeps what a failed send means for the request.
-func (x *exchange) record(r result) result {
+func (x *exchange) recordIfFailed(r result) result {
 	if r.err != nil {
-		x.failed(r)
+		x.recordFailure(r)
 	}
 	return r
 }
@@ -190,22 +190,22 @@
 func (x *exchange) tryHedge(ctx context.Context, n int) (binding, error) {
 	g := x.state.group
 	if !g.limiter.Acquire(limit.Headroom) {
-		return binding{}, errLimit
+		return binding{}, errLimitReached
 	}
-	return x.pickHeld(ctx, n, true)
+	return x.pickOrRelease(ctx, n, true)
 }
 
 // tryBind binds send number n if a place in the limit and a slot are free now.
 func (x *exchange) tryBind(ctx context.Context, n int) (binding, error) {
 	g := x.state.group
 	if !g.acquire(priorityOf(x.priority())) {
-		return binding{}, errLimit
+		return binding{}, errLimitReached
 	}
-	return x.pickHeld(ctx, n, false)
+	return x.pickOrRelease(ctx, n, false)
 }
 
 // pickHeld picks with a place in the limit held, or gives it back.
-func (x *exchange) pickHeld(ctx context.Context, n int, extra bool) (binding, error) {
+func (x *exchange) pickOrRelease(ctx context.Context, n int, extra bool) (binding, error) {
 	b, err := x.pick(ctx, n, 0, extra)
 	if err != nil {
 		x.state.group.limiter.Release(limit.Sample{Outcome: limit.Ignored})
--- a/internal/proxy/hedge_measure_test.go
+++ b/internal/proxy/hedge_measure_test.go
@@ -20,7 +20,7 @@
 // Stalls of the hedging measurement: one answer in stallOneIn takes stallTime
 // longer, as on a machine with noisy neighbours.
 const (
-	stallOneIn = 50
+	stallEvery = 50
 	stallTime  = 50 * time.Millisecond
 	hedgeSpan  = 20 * time.Second // virtual
 )
@@ -33,9 +33,9 @@
 
 // TestMeasureHedging prints the table of make measure-overload.
 func TestMeasureHedging(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	fmt.Printf("1 entry host, 10 upstreams of %d slots, mean %s, log-normal; 1 in %d stalls %s; %s virtual; budget 10 %%\n",
-		testSlots, testService, stallOneIn, stallTime, hedgeSpan)
+		testSlots, testService, stallEvery, stallTime, hedgeSpan)
 	fmt.Printf("%-28s %5s %9s %9s %9s %12s\n", "hedging", "load", "p50", "p99", "p99.9", "extra sends")
 	rows := []hedging{
 		{"off", config.Retry{}},
@@ -69,7 +69,7 @@
 		sender := senderFunc(func(ctx context.Context, address string, req *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 			mu.Lock()
 			sends++
-			stalls := random.IntN(stallOneIn) == 0
+			stalls := random.IntN(stallEvery) == 0
 			mu.Unlock()
 			if stalls {
 				select {
--- a/internal/proxy/limiting_test.go
+++ b/internal/proxy/limiting_test.go
@@ -25,28 +25,28 @@
 
 // Of what upstreams that name a limit bear.
 const (
-	limitWindow  = 4 * time.Second
-	limitOverage = 1.5
-	limitSlack   = 5
+	rateWindow  = 4 * time.Second
+	rateOverage = 1.5
+	rateSlack   = 5
 	// limitKnown is when all hosts keep to a limit after it was first named.
-	limitKnown = time.Second
+	limitPropagation = time.Second
 )
 
 // limiting are upstreams that name limits in their answers, by their addresses.
-type limiting struct {
+type limitedUpstreams struct {
 	mu       sync.Mutex
 	limits   map[string]string // empty names none
-	fails    map[string]bool   // answers 503 and runs nothing
+	rejects  map[string]bool   // answers 503 and runs nothing
 	work     time.Duration
 	arrivals map[string][]time.Time
 }
 
-func newLimiting() *limiting {
-	return &limiting{limits: make(map[string]string), fails: make(map[string]bool), work: 60 * time.Millisecond, arrivals: make(map[string][]time.Time)}
+func newLimitedUpstreams() *limitedUpstreams {
+	return &limitedUpstreams{limits: make(map[string]string), rejects: make(map[string]bool), work: 60 * time.Millisecond, arrivals: make(map[string][]time.Time)}
 }
 
 // name makes upstreams name a limit, or none if it is empty.
-func (u *limiting) name(limit string, upstreams ...string) {
+func (u *limitedUpstreams) setLimit(limit string, upstreams ...string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, id := range upstreams {
@@ -54,10 +54,10 @@
 	}
 }
 
-func (u *limiting) Do(ctx context.Context, address string, _ *httpwire.Request) (*httpwire.Response, *errkind.Error) {
+func (u *limitedUpstreams) Do(ctx context.Context, address string, _ *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 	u.mu.Lock()
 	u.arrivals[address] = append(u.arrivals[address], clock.Now())
-	fails := u.fails[address]
+	fails := u.rejects[address]
 	u.mu.Unlock()
 	if !fails {
 		select {
@@ -79,7 +79,7 @@
 }
 
 // between counts the requests at upstreams from a moment on and before another.
-func (u *limiting) between(from, to time.Time, upstreams ...string) int {
+func (u *limitedUpstreams) countBetween(from, to time.Time, upstreams ...string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	n := 0
@@ -94,13 +94,13 @@
 }
 
 // most returns the most that an upstream got in limitWindow, between two moments.
-func (u *limiting) most(id string, from, to time.Time) int {
+func (u *limitedUpstreams) maxInWindow(id string, from, to time.Time) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	times := slices.DeleteFunc(slices.Clone(u.arrivals[id]), func(at time.Time) bool { return at.Before(from) || at.After(to) })
 	most, first := 0, 0
 	for i, at := range times {
-		for at.Sub(times[first]) > limitWindow {
+		for at.Sub(times[first]) > rateWindow {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -109,12 +109,12 @@
 }
 
 // borne is what an upstream that names a limit bears in limitWindow.
-func borne(limit string) int {
+func allowedInWindow(limit string) int {
 	perSecond, err := strconv.ParseFloat(limit, 64)
 	if err != nil {
 		panic(err)
 	}
-	return int(limitOverage*perSecond*limitWindow.Seconds() + limitSlack)
+	return int(rateOverage*perSecond*rateWindow.Seconds() + rateSlack)
 }
 
 // limitHost is one host of a fleet.
@@ -122,10 +122,10 @@
 	Upstreams // panics where a test meets what it does not expect
 	fleet     *limitFleet
 	proxy     *Proxy
-	turns     *turns.Turns
-	book      *ratelimit.Book
+	schedule  *turns.Turns
+	registry  *ratelimit.Book
 	snapshot  *lifecycle.Snapshot
-	deaf      bool // hears nothing of other hosts, nor they of it
+	isolated  bool // hears nothing of other hosts, nor they of it
 }
 
 func (h *limitHost) Snapshot() *lifecycle.Snapshot { return h.snapshot }
@@ -133,50 +133,50 @@
 func (h *limitHost) Reported(string, time.Time)    {}
 
 // newsTakes is the way of news between hosts.
-const newsTakes = 2 * time.Millisecond
+const peerDelay = 2 * time.Millisecond
 
 // LimitHeard tells the other hosts.
 func (h *limitHost) LimitHeard(u *balancer.Upstream) {
 	news, known := u.Limit.News(clock.Now())
-	if !known || h.deaf {
+	if !known || h.isolated {
 		return
 	}
 	for _, other := range h.fleet.hosts {
-		if other != h && !other.deaf {
-			time.AfterFunc(newsTakes, func() { other.book.Hear(clock.Now(), []ratelimit.News{news}) })
+		if other != h && !other.isolated {
+			time.AfterFunc(peerDelay, func() { other.registry.Hear(clock.Now(), []ratelimit.News{news}) })
 		}
 	}
 }
 
 // Borrow implements Lenders.
 func (h *limitHost) Borrow(_ context.Context, host int, server ratelimit.Server) bool {
-	time.Sleep(newsTakes)
+	time.Sleep(peerDelay)
 	lender := h.fleet.hosts[host]
-	lent := !h.deaf && !lender.deaf && lender.book.Lend(clock.Now(), server)
-	time.Sleep(newsTakes)
+	lent := !h.isolated && !lender.isolated && lender.registry.Lend(clock.Now(), server)
+	time.Sleep(peerDelay)
 	return lent
 }
 
 // limitFleet is hosts in front of the same upstreams, in virtual time.
 type limitFleet struct {
 	hosts     []*limitHost
-	upstreams *limiting
+	upstreams *limitedUpstreams
 	ids       []string
 	random    *rand.Rand
 }
 
 // newLimitFleet starts hosts, of which the first is number 0.
 func newLimitFleet(hosts, upstreams int, policy string, rules ...config.Rule) *limitFleet {
-	f := &limitFleet{upstreams: newLimiting(), random: rand.New(rand.NewPCG(7, 7))}
+	f := &limitFleet{upstreams: newLimitedUpstreams(), random: rand.New(rand.NewPCG(7, 7))}
 	document := service(upstreams, rules...)
 	document.Groups[0].Policy = policy
 	for _, u := range document.Groups[0].Upstreams {
 		f.ids = append(f.ids, u.ID)
 	}
 	for i := range hosts {
-		h := &limitHost{fleet: f, turns: turns.New(strconv.Itoa(i)), snapshot: takesAll(upstreams)}
-		h.turns.Set(clock.Now(), turns.Place{Self: i, Hosts: hosts})
-		h.book = ratelimit.NewBook(h.turns)
+		h := &limitHost{fleet: f, schedule: turns.New(strconv.Itoa(i)), snapshot: allActive(upstreams)}
+		h.schedule.Set(clock.Now(), turns.Place{Self: i, Hosts: hosts})
+		h.registry = ratelimit.NewBook(h.schedule)
 		h.proxy = New("127.0.0.1", "test", f.upstreams, new(recorder), WithRandom(seeded(uint64(i+1))), WithUpstreams(h), WithLenders(h))
 		h.proxy.SetTable(routing.Compile(1, []*config.Service{document}, groupsFunc(h.group)))
 		f.hosts = append(f.hosts, h)
@@ -188,51 +188,51 @@
 func (h *limitHost) group(_ *config.Service, g *config.Group) *routing.Group {
 	members := records(g)
 	for _, u := range members {
-		u.Limit = h.book.Hold(u.ID, 0)
+		u.Limit = h.registry.Hold(u.ID, 0)
 	}
 	b, err := registry.Lookup(g.Policy)
 	if err != nil {
 		panic(err)
 	}
-	picker := b.Build(balancer.Options{Turns: h.turns, Limits: h.book}).Update(members)
+	picker := b.Build(balancer.Options{Turns: h.schedule, Limits: h.registry}).Update(members)
 	return &routing.Group{Config: g, Picker: picker, Upstreams: members}
 }
 
 // asking is the calls of a while, and how they ended.
-type asking struct {
-	mu      sync.Mutex
-	answers []limitAnswer
+type callLog struct {
+	mu        sync.Mutex
+	responses []loggedResponse
 }
 
-type limitAnswer struct {
+type loggedResponse struct {
 	*httpwire.Response
-	asked, answered time.Time
+	sentAt, answeredAt time.Time
 }
 
 // refused returns the answers that are not a success.
-func (a *asking) refused() []limitAnswer {
+func (a *callLog) refused() []loggedResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(a.answers), func(r limitAnswer) bool { return r.Status == http.StatusOK })
+	return slices.DeleteFunc(slices.Clone(a.responses), func(r loggedResponse) bool { return r.Status == http.StatusOK })
 }
 
-func (a *asking) number() int {
+func (a *callLog) count() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.answers)
+	return len(a.responses)
 }
 
 // press has each host get requests at random moments for a while, so many a second; host i
 // gets those of loads[i] modulo their number.
-func (f *limitFleet) press(method string, lasts time.Duration, loads ...float64) *asking {
-	out := new(asking)
+func (f *limitFleet) sendLoad(method string, lasts time.Duration, loads ...float64) *callLog {
+	out := new(callLog)
 	var all sync.WaitGroup
 	for i, h := range f.hosts {
 		perSecond := loads[i%len(loads)]
-		for at := f.gap(perSecond); at < lasts; at += f.gap(perSecond) {
+		for at := f.interArrival(perSecond); at < lasts; at += f.interArrival(perSecond) {
 			all.Go(func() {
 				time.Sleep(at)
-				f.ask(h, method, out)
+				f.call(h, method, out)
 			})
 		}
 	}
@@ -240,15 +240,15 @@
 	return out
 }
 
-func (f *limitFleet) gap(perSecond float64) time.Duration {
+func (f *limitFleet) interArrival(perSecond float64) time.Duration {
 	return time.Duration(f.random.ExpFloat64() / perSecond * float64(time.Second))
 }
 
-func (f *limitFleet) ask(h *limitHost, method string, out *asking) {
+func (f *limitFleet) call(h *limitHost, method string, out *callLog) {
 	req := request(method)
 	req.Received = clock.Now()
 	a := h.proxy.Serve(context.Background(), req)
 	out.mu.Lock()
 	defer out.mu.Unlock()
-	out.answers = append(out.answers, limitAnswer{a, req.Received, clock.Now()})
+	out.responses = append(out.responses, loggedResponse{a, req.Received, clock.Now()})
 }
--- a/internal/proxy/overdue_test.go
+++ b/internal/proxy/overdue_test.go
@@ -216,7 +216,7 @@
 				is.Equal(events.count(event.HedgeWon), tt.won)
 				is.Equal(events.count(event.HedgeCancelled), tt.cancelled)
 				synctest.Wait()
-				nothingLeft(t, p)
+				checkDrained(t, p)
 			})
 		})
 	}
@@ -240,6 +240,6 @@
 		wg.Wait()
 		is.Equal(time.Since(start), 2*testOverdue) // the third waited for the first two
 		synctest.Wait()
-		nothingLeft(t, p)
+		checkDrained(t, p)
 	})
 }
--- a/internal/proxy/overload_test.go
+++ b/internal/proxy/overload_test.go
@@ -25,7 +25,7 @@
 )
 
 // measuring skips a measurement unless make measure-overload asks for it.
-func measuring(t *testing.T) {
+func skipUnlessMeasuring(t *testing.T) {
 	if os.Getenv("MEASURE") == "" {
 		t.Skip("a measurement: run make measure-overload")
 	}
@@ -63,7 +63,7 @@
 	g := make(slottedGroup, n)
 	for i := range n {
 		u := newSlottedUpstream(seed + uint64(i)<<32)
-		u.silent = silent
+		u.noReports = silent
 		g["up-"+strconv.Itoa(i+1)] = u
 	}
 	return g
@@ -76,11 +76,11 @@
 // slottedUpstream serves 3 requests at a time, in order of arrival, with
 // log-normal service times. Cancelled work stops.
 type slottedUpstream struct {
-	slots  chan struct{}
-	active atomic.Int64
-	silent bool // sends no load report
-	mu     sync.Mutex
-	random *rand.Rand
+	slots     chan struct{}
+	active    atomic.Int64
+	noReports bool // sends no load report
+	mu        sync.Mutex
+	random    *rand.Rand
 }
 
 func newSlottedUpstream(seed uint64) *slottedUpstream {
@@ -105,7 +105,7 @@
 }
 
 func (u *slottedUpstream) report(resp *httpwire.Response) *httpwire.Response {
-	if !u.silent {
+	if !u.noReports {
 		resp.Header[HeaderLoad] = []string{strconv.FormatInt(u.active.Load(), 10)}
 	}
 	return resp
@@ -120,10 +120,10 @@
 
 // control is which parts are in use.
 type control struct {
-	name   string
-	limits bool
-	silent bool // upstreams send no load reports
-	groups groupsFunc
+	name      string
+	limits    bool
+	noReports bool // upstreams send no load reports
+	groups    groupsFunc
 }
 
 var (
@@ -137,7 +137,7 @@
 type tally struct {
 	good      int
 	latencies []time.Duration
-	given     []time.Duration // time until a give-up was answered
+	shedAfter []time.Duration // time until a give-up was answered
 	late      int             // deadlines that passed after the send
 	retryMs   []int
 }
@@ -173,7 +173,7 @@
 func simulate(t *testing.T, on shape, load float64, c control, seed uint64) *outcome {
 	out := &outcome{}
 	synctest.Test(t, func(t *testing.T) {
-		sender := newSlottedGroup(on.upstreams, seed, c.silent)
+		sender := newSlottedGroup(on.upstreams, seed, c.noReports)
 		var hosts []*Proxy
 		for i := range on.hosts {
 			hosts = append(hosts, c.host(on, sender, seed+uint64(i)))
@@ -194,14 +194,14 @@
 		wg.Wait()
 		synctest.Wait()
 		for _, p := range hosts {
-			nothingLeft(t, p)
+			checkDrained(t, p)
 		}
 	})
 	return out
 }
 
 // nothingLeft checks that every request left the queue and gave its place back.
-func nothingLeft(t *testing.T, p *Proxy) {
+func checkDrained(t *testing.T, p *Proxy) {
 	for _, g := range p.state.Load().groups {
 		if _, inFlight := g.limiter.Limit(); inFlight != 0 || g.waiting.Load() != 0 {
 			t.Errorf("%d in flight, %d waiting after the last answer", inFlight, g.waiting.Load())
@@ -244,7 +244,7 @@
 			t.Errorf("Retry-After: %v", err)
 		}
 		to.retryMs = append(to.retryMs, ms)
-		to.given = append(to.given, took)
+		to.shedAfter = append(to.shedAfter, took)
 	default:
 		to.late++
 	}
@@ -257,11 +257,11 @@
 		out := simulate(t, single, 2, c, 1)
 		calm := simulate(t, single, 0.8, c, 1)
 		is.True(out.goodput(single) >= 0.95)                                    // of capacity
-		is.Equal(len(out.high.given)+out.high.late, 0)                          // high is not shed
+		is.Equal(len(out.high.shedAfter)+out.high.late, 0)                      // high is not shed
 		is.True(p99(out.high.latencies) <= calm.high.p99()+10*time.Millisecond) // two service times
-		is.True(len(out.low.given) > 1000)
-		for _, took := range out.low.given {
-			is.True(took <= lowTimeout/2+hintInterval) // never held back until near the deadline
+		is.True(len(out.low.shedAfter) > 1000)
+		for _, took := range out.low.shedAfter {
+			is.True(took <= lowTimeout/2+recheckInterval) // never held back until near the deadline
 		}
 	}
 	is.True(simulate(t, single, 2, uncontrolled, 1).goodput(single) < 0.95)
@@ -304,7 +304,7 @@
 
 // TestMeasureOverload prints the table of make measure-overload.
 func TestMeasureOverload(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for _, on := range []shape{single, fleet} {
 		printTable(t, on)
 	}
@@ -354,32 +354,32 @@
 		sum/seeds*percent, (highest-lowest)*percent,
 		p99(all.high.latencies).Round(100*time.Microsecond), all.high.lost(),
 		p99(all.low.latencies).Round(100*time.Microsecond), all.low.lost(),
-		median(all.low.given).Round(100*time.Microsecond), p99(all.low.given).Round(100*time.Microsecond), back)
+		median(all.low.shedAfter).Round(100*time.Microsecond), p99(all.low.shedAfter).Round(100*time.Microsecond), back)
 }
 
 func (t *tally) add(o *tally) {
 	t.good += o.good
 	t.late += o.late
 	t.latencies = append(t.latencies, o.latencies...)
-	t.given = append(t.given, o.given...)
+	t.shedAfter = append(t.shedAfter, o.shedAfter...)
 	t.retryMs = append(t.retryMs, o.retryMs...)
 }
 
 // lost is the share of requests without a good answer, in percent.
 func (t *tally) lost() float64 {
-	bad := len(t.given) + t.late
+	bad := len(t.shedAfter) + t.late
 	return percent * float64(bad) / float64(max(bad+t.good, 1))
 }
 
 // TestMeasureNeighbours prints the rows of scripts/overload-neighbours.sh.
 func TestMeasureNeighbours(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for _, on := range []shape{single, fleet} {
 		for _, c := range []control{limited, unreported} {
 			out := simulate(t, on, 2, c, 1)
 			fmt.Printf("%2d hosts, %-27s goodput %5.1f%%, high p99 %7s, lost %4.1f%%, low p99 %7s, give-up p99 %7s\n",
 				on.hosts, c.name, out.goodput(on)*percent, out.high.p99().Round(100*time.Microsecond), out.high.lost(),
-				out.low.p99().Round(100*time.Microsecond), p99(out.low.given).Round(100*time.Microsecond))
+				out.low.p99().Round(100*time.Microsecond), p99(out.low.shedAfter).Round(100*time.Microsecond))
 		}
 	}
 }
--- a/internal/proxy/poison.go
+++ b/internal/proxy/poison.go
@@ -35,31 +35,31 @@
 }
 
 // WithPoisonNews tells the other hosts through n.
-func WithPoisonNews(n PoisonNews) Option { return func(p *Proxy) { p.poison.news = n } }
+func WithPoisonNews(n PoisonNews) Option { return func(p *Proxy) { p.poison.notifier = n } }
 
 // poisoned is what a proxy knows of requests under which upstreams end.
-type poisoned struct {
-	table     *poison.Table
-	news      PoisonNews   // nil for a host that has no others
-	examining atomic.Int64 // upstreams that are being looked at
+type poisonState struct {
+	table       *poison.Table
+	notifier    PoisonNews   // nil for a host that has no others
+	crashChecks atomic.Int64 // upstreams that are being looked at
 }
 
 const (
 	// examineTimeout bounds finding out whether an upstream ended. Round trips are below
 	// 10 ms; a host that is down says nothing, which proves nothing of the request.
-	examineTimeout = 250 * time.Millisecond
+	crashCheckTimeout = 250 * time.Millisecond
 	// examineWait is how long the request waits for that before it may be sent again: one
 	// end less of each request that is refused. Usually it is a round trip.
-	examineWait = 20 * time.Millisecond
+	crashCheckWait = 20 * time.Millisecond
 	// maxExamining bounds the upstreams looked at at the same time. Where more sends than
 	// that break together, no single request is the cause.
-	maxExamining = 64
+	maxCrashChecks = 64
 )
 
 // Why a quarantine began, as events state it.
 const (
-	quarantineSeen  = "seen-here"
-	quarantineHeard = "heard-of"
+	quarantineDetectedHere   = "seen-here"
+	quarantineReportedByPeer = "heard-of"
 )
 
 // Heard takes in what another host tells of ends of upstreams, and of requests that were
@@ -67,7 +67,7 @@
 func (p *Proxy) Heard(died []poison.Death, answered []poison.Fingerprint) {
 	now := clock.Now()
 	for _, d := range died {
-		p.died(now, d, quarantineHeard)
+		p.recordCrash(now, d, quarantineReportedByPeer)
 	}
 	for _, f := range answered {
 		if _, lifted := p.poison.table.RecordAnswer(now, f); lifted {
@@ -82,7 +82,7 @@
 }
 
 // died takes in an end, and reports whether it was not known.
-func (p *Proxy) died(now time.Time, d poison.Death, reason string) bool {
+func (p *Proxy) recordCrash(now time.Time, d poison.Death, reason string) bool {
 	news := p.poison.table.RecordCrash(now, d)
 	if news.NewlyRefused {
 		p.events.Emit(event.Event{
@@ -98,44 +98,44 @@
 }
 
 // examine finds out whether the request's upstream ended while it ran it.
-func (x *exchange) examine(ctx context.Context, b binding, start time.Time, err *errkind.Error) {
+func (x *exchange) detectCrash(ctx context.Context, b binding, start time.Time, err *errkind.Error) {
 	p := x.proxy
-	if err == nil || err.Kind != errkind.UpstreamBroken || ctx.Err() != nil || p.listeners == nil {
+	if err == nil || err.Kind != errkind.UpstreamBroken || ctx.Err() != nil || p.connChecker == nil {
 		return
 	}
-	if p.poison.examining.Add(1) > maxExamining {
-		p.poison.examining.Add(-1)
+	if p.poison.crashChecks.Add(1) > maxCrashChecks {
+		p.poison.crashChecks.Add(-1)
 		return
 	}
 	d := poison.Death{
 		Request:  x.fingerprint(),
-		Upstream: poison.Hash(x.state.group.owner, b.upstream.ID),
+		Upstream: poison.Hash(x.state.group.serviceName, b.upstream.ID),
 		Host:     poison.Hash(p.host, p.prefix),
 		Began:    start,
 		Ended:    clock.Now(),
 	}
 	known := make(chan struct{})
 	go func() {
-		defer p.poison.examining.Add(-1)
-		ended := x.upstreamEnded(b, d)
+		defer p.poison.crashChecks.Add(-1)
+		ended := x.confirmCrash(b, d)
 		close(known)
-		if ended && p.poison.news != nil {
-			p.poison.news.Died(d)
+		if ended && p.poison.notifier != nil {
+			p.poison.notifier.Died(d)
 		}
 	}()
 	select {
 	case <-known:
-	case <-time.After(examineWait):
+	case <-time.After(crashCheckWait):
 	}
 }
 
 // upstreamEnded looks whether an upstream ended, and remembers and reports it. The request
 // may have been answered by then, so that the event is not one of its own.
-func (x *exchange) upstreamEnded(b binding, d poison.Death) bool {
+func (x *exchange) confirmCrash(b binding, d poison.Death) bool {
 	p := x.proxy
-	ctx, cancel := context.WithTimeout(context.Background(), examineTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 	defer cancel()
-	if !p.listeners.RefusesConnections(ctx, b.upstream.Address) {
+	if !p.connChecker.RefusesConnections(ctx, b.upstream.Address) {
 		return false
 	}
 	p.events.Emit(event.Event{
@@ -143,7 +143,7 @@
 		Service: x.rule.Service.Name, Rule: x.rule.Config.Name, Upstream: b.upstream.ID,
 		Detail: "request " + x.id + " is " + d.Request.String(), Value: d.Ended.Sub(d.Began).Microseconds(),
 	})
-	return p.died(clock.Now(), d, quarantineSeen)
+	return p.recordCrash(clock.Now(), d, quarantineDetectedHere)
 }
 
 // fingerprint names the request by what it asks for, and the caller by its IP.
@@ -160,7 +160,7 @@
 }
 
 // suspect reports whether an upstream ended under the request.
-func (x *exchange) suspect() bool {
+func (x *exchange) isSuspect() bool {
 	table := x.proxy.poison.table
 	return table.HasSuspect(x.rule.Service.Name, x.req.Target) && table.CrashCount(x.fingerprint()) > 0
 }
@@ -178,7 +178,7 @@
 
 // answered takes in an answer: an upstream ran the request and lives. One that says
 // that the upstream failed, such as at the deadline, says nothing of a whole run.
-func (x *exchange) answered(r result) {
+func (x *exchange) recordResponse(r result) {
 	table := x.proxy.poison.table
 	if r.err != nil || r.resp.Status >= http.StatusInternalServerError || !table.HasSuspect(x.rule.Service.Name, x.req.Target) {
 		return
@@ -189,7 +189,7 @@
 	if lifted {
 		x.proxy.quarantineEnded(f)
 	}
-	if tell && x.proxy.poison.news != nil {
-		go x.proxy.poison.news.Answered(f)
+	if tell && x.proxy.poison.notifier != nil {
+		go x.proxy.poison.notifier.Answered(f)
 	}
 }
--- a/internal/proxy/poison_test.go
+++ b/internal/proxy/poison_test.go
@@ -23,14 +23,14 @@
 )
 
 // dyingSender is a Sender whose connections end without an answer.
-type dyingSender struct {
+type crashingSender struct {
 	senderFunc
-	gone bool // nothing listens afterwards
+	refuses bool // nothing listens afterwards
 }
 
-func (s dyingSender) RefusesConnections(context.Context, string) bool { return s.gone }
+func (s crashingSender) RefusesConnections(context.Context, string) bool { return s.refuses }
 
-func brokenOff(context.Context, string, *httpwire.Request) (*httpwire.Response, *errkind.Error) {
+func connectionClosed(context.Context, string, *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 	return nil, errkind.New(errkind.UpstreamBroken, "connection closed")
 }
 
@@ -44,7 +44,7 @@
 				rec := new(recorder)
 				rule := lookup()
 				rule.Retry.MaxAttempts = 1
-				p := newProxy(service(2, rule), leastOutstanding, dyingSender{brokenOff, gone}, rec)
+				p := newProxy(service(2, rule), leastOutstanding, crashingSender{connectionClosed, gone}, rec)
 				p.Serve(t.Context(), request("GET"))
 				p.Serve(t.Context(), request("GET"))
 				synctest.Wait()
@@ -54,14 +54,14 @@
 				}
 				ends := rec.all(event.UpstreamEnded)
 				is.Equal(len(ends), 2)
-				is.Equal(sameRequest(ends[0]), sameRequest(ends[1]))
+				is.Equal(fingerprintOf(ends[0]), fingerprintOf(ends[1]))
 			})
 		})
 	}
 }
 
 // sameRequest is what the event says of the request, without its id.
-func sameRequest(e event.Event) string {
+func fingerprintOf(e event.Event) string {
 	_, fingerprint, _ := strings.Cut(e.Detail, " is ")
 	return fingerprint
 }
@@ -85,7 +85,7 @@
 						return nil, errkind.New(errkind.CallerGone, "the other send was answered")
 					}
 				}
-				p := newProxy(service(4, rule), leastOutstanding, dyingSender{slow, false}, rec)
+				p := newProxy(service(4, rule), leastOutstanding, crashingSender{slow, false}, rec)
 				req := request("GET")
 				if ended {
 					f := poison.Of("GET", "test", req.Target, nil, "10.0.0.9")
@@ -101,25 +101,25 @@
 
 // shared is a service that several hosts use, whose upstreams end under one request. An
 // upstream that ended is back after a while.
-type shared struct {
-	mu    sync.Mutex
-	gone  map[string]time.Time // until when
-	ends  int
-	sends int // of the request under which they end
+type crashingUpstreams struct {
+	mu        sync.Mutex
+	awayUntil map[string]time.Time // until when
+	crashes   int
+	sends     int // of the request under which they end
 }
 
 const (
-	sharedAway = 2 * time.Second
-	sharedWork = 90 * time.Millisecond
+	restartTime = 2 * time.Second
+	serviceTime = 90 * time.Millisecond
 )
 
-func (s *shared) RefusesConnections(_ context.Context, address string) bool {
+func (s *crashingUpstreams) RefusesConnections(_ context.Context, address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Now().Before(s.gone[address])
+	return time.Now().Before(s.awayUntil[address])
 }
 
-func (s *shared) Do(_ context.Context, address string, req *httpwire.Request) (*httpwire.Response, *errkind.Error) {
+func (s *crashingUpstreams) Do(_ context.Context, address string, req *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 	if s.RefusesConnections(context.Background(), address) {
 		return nil, errkind.New(errkind.ConnectFailed, address)
 	}
@@ -130,26 +130,26 @@
 		s.sends++
 	}
 	s.mu.Unlock()
-	time.Sleep(sharedWork)
+	time.Sleep(serviceTime)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if deadly && time.Now().After(s.gone[address]) {
-		s.gone[address] = time.Now().Add(sharedAway)
-		s.ends++
+	if deadly && time.Now().After(s.awayUntil[address]) {
+		s.awayUntil[address] = time.Now().Add(restartTime)
+		s.crashes++
 	}
-	if s.gone[address].After(began) {
+	if s.awayUntil[address].After(began) {
 		return nil, errkind.New(errkind.UpstreamBroken, address)
 	}
 	return ok(), nil
 }
 
 // others tells the other hosts, five milliseconds away.
-type others struct {
+type peerNotifier struct {
 	hosts []*Proxy
 	self  int
 }
 
-func (o *others) each(f func(*Proxy)) {
+func (o *peerNotifier) eachPeer(f func(*Proxy)) {
 	for i, p := range o.hosts {
 		if i != o.self {
 			time.AfterFunc(5*time.Millisecond, func() { f(p) })
@@ -157,16 +157,16 @@
 	}
 }
 
-func (o *others) Died(d poison.Death) {
-	o.each(func(p *Proxy) { p.Heard([]poison.Death{d}, nil) })
+func (o *peerNotifier) Died(d poison.Death) {
+	o.eachPeer(func(p *Proxy) { p.Heard([]poison.Death{d}, nil) })
 }
 
-func (o *others) Answered(f poison.Fingerprint) {
-	o.each(func(p *Proxy) { p.Heard(nil, []poison.Fingerprint{f}) })
+func (o *peerNotifier) Answered(f poison.Fingerprint) {
+	o.eachPeer(func(p *Proxy) { p.Heard(nil, []poison.Fingerprint{f}) })
 }
 
 // from is a look-up of a target by a caller.
-func from(caller, target string) *httpwire.Request {
+func lookupFrom(caller, target string) *httpwire.Request {
 	r := request("GET")
 	r.Target, r.Path, r.RemoteAddr = target, target, caller+":4711"
 	return r
@@ -193,16 +193,16 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const hosts, upstreams, seconds = 18, 10, 20
-				s := &shared{gone: make(map[string]time.Time)}
+				s := &crashingUpstreams{awayUntil: make(map[string]time.Time)}
 				rec := new(recorder)
-				fleet := &others{}
+				fleet := &peerNotifier{}
 				for i := range hosts {
 					p := newProxy(service(upstreams, lookup()), lateBinding, s, rec)
-					p.poison.news = &others{self: i}
+					p.poison.notifier = &peerNotifier{self: i}
 					fleet.hosts = append(fleet.hosts, p)
 				}
 				for _, p := range fleet.hosts {
-					p.poison.news.(*others).hosts = fleet.hosts
+					p.poison.notifier.(*peerNotifier).hosts = fleet.hosts
 				}
 				var wg sync.WaitGroup
 				var asked, served, quarantined atomic.Int64
@@ -210,7 +210,7 @@
 				for i := range seconds * 50 {
 					p := fleet.hosts[random.IntN(hosts)]
 					wg.Go(func() {
-						req := from("10.0.1."+strconv.Itoa(i%40), "/lots/"+strconv.Itoa(i%7))
+						req := lookupFrom("10.0.1."+strconv.Itoa(i%40), "/lots/"+strconv.Itoa(i%7))
 						asked.Add(1)
 						resp := p.Serve(t.Context(), req)
 						if resp.Status == http.StatusOK {
@@ -223,23 +223,23 @@
 					if i%6 == 0 {
 						caller := "10.0.0." + strconv.Itoa(i/6%callers+1)
 						p := fleet.hosts[random.IntN(hosts)]
-						wg.Go(func() { p.Serve(t.Context(), from(caller, "/deadly")) })
+						wg.Go(func() { p.Serve(t.Context(), lookupFrom(caller, "/deadly")) })
 					}
 					time.Sleep(20 * time.Millisecond)
 				}
 				wg.Wait()
-				t.Logf("%d ends, %d sends, %d of %d others served", s.ends, s.sends, served.Load(), asked.Load())
+				t.Logf("%d ends, %d sends, %d of %d others served", s.crashes, s.sends, served.Load(), asked.Load())
 				is := is.New(t)
-				is.True(s.ends >= 3 && s.ends <= 6)
-				is.True(s.sends <= s.ends+1)
+				is.True(s.crashes >= 3 && s.crashes <= 6)
+				is.True(s.sends <= s.crashes+1)
 				is.Equal(quarantined.Load(), int64(0))
 				is.True(served.Load() >= asked.Load()*9/10)
 				is.True(rec.count(event.QuarantineBegun) >= hosts)
 				for _, e := range rec.all(event.QuarantineBegun) {
-					is.True(strings.HasPrefix(e.Detail, contentOf(from("10.0.0.1", "/deadly"))))
+					is.True(strings.HasPrefix(e.Detail, contentOf(lookupFrom("10.0.0.1", "/deadly"))))
 				}
 				for _, p := range fleet.hosts {
-					resp := p.Serve(t.Context(), from("10.0.0.1", "/deadly"))
+					resp := p.Serve(t.Context(), lookupFrom("10.0.0.1", "/deadly"))
 					is.Equal(resp.Status, http.StatusServiceUnavailable)
 					seconds, err := strconv.Atoi(resp.Header.Get(HeaderRetryAfter))
 					is.NoErr(err)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -33,25 +33,25 @@
 
 // Proxy implements httpwire.Handler.
 type Proxy struct {
-	host      string
-	prefix    string
-	sender    Sender
-	listeners ConnectionChecker // nil if the sender can't tell
-	poison    poisoned
-	executor  Executor
-	events    event.Sink
-	dialect   *Dialect
-	asker     LoadQuerier
-	lenders   Lenders
-	trails    Trails
-	tracer    *tracing.Tracer
-	upstreams Upstreams
-	quotas    Quotas      // nil keeps to none
-	keysKnown func() bool // nil if they always are
-	random    func() uint64
-	nextID    atomic.Uint64
-	state     atomic.Pointer[snapshot]
-	starting  *starting
+	host          string
+	prefix        string
+	sender        Sender
+	connChecker   ConnectionChecker // nil if the sender can't tell
+	poison        poisonState
+	executor      Executor
+	events        event.Sink
+	dialect       *Dialect
+	loadQuerier   LoadQuerier
+	slotBorrower  Lenders
+	requestLogger Trails
+	tracer        *tracing.Tracer
+	upstreams     Upstreams
+	quotas        Quotas      // nil keeps to none
+	keysKnown     func() bool // nil if they always are
+	random        func() uint64
+	nextID        atomic.Uint64
+	state         atomic.Pointer[snapshot]
+	starting      *starting
 
 	// entryHosts belongs to the control goroutine.
 	entryHosts int
@@ -97,11 +97,11 @@
 		host:       host,
 		prefix:     incarnation + "-",
 		sender:     sender,
-		executor:   sendOnce{},
+		executor:   directExecutor{},
 		events:     events,
 		dialect:    OwnDialect(),
 		random:     rand.Uint64,
-		poison:     poisoned{table: poison.NewTable()},
+		poison:     poisonState{table: poison.NewTable()},
 		entryHosts: 1,
 		starting:   newStarting(false),
 		newBudget:  retry.NewBudget,
@@ -110,7 +110,7 @@
 			return retry.NewBudget(config.DefaultBudgetPercent)
 		},
 	}
-	p.listeners, _ = sender.(ConnectionChecker)
+	p.connChecker, _ = sender.(ConnectionChecker)
 	for _, o := range options {
 		o(p)
 	}
@@ -120,7 +120,7 @@
 // SetTable publishes a routing table. The control goroutine calls it.
 func (p *Proxy) SetTable(t *routing.Table) {
 	p.state.Store(p.nextSnapshot(p.state.Load(), t))
-	p.starting.done()
+	p.starting.release()
 }
 
 // SetGroup publishes a newer snapshot of a group that the table has, when
@@ -130,7 +130,7 @@
 	if s == nil {
 		return
 	}
-	if g := s.groups[nameOf(service, group.Config)]; g != nil {
+	if g := s.groups[groupNameOf(service, group.Config)]; g != nil {
 		g.configure(group, p.entryHosts)
 	}
 }
@@ -182,7 +182,7 @@
 	x := p.newExchange(req)
 	defer x.hop.End()
 	resp := x.respond(ctx)
-	x.ended(resp)
+	x.logRequest(resp)
 	return resp
 }
 
@@ -203,7 +203,7 @@
 	}
 	err := x.admit()
 	if err == nil {
-		err = x.withinQuota(ctx)
+		err = x.takeQuota(ctx)
 	}
 	if err != nil {
 		return x.refuse(execution.RefusalBeforeExecute(x.req.Header, err))
@@ -219,7 +219,7 @@
 	if err := x.admit(); err != nil {
 		return x.refuse(err)
 	}
-	return x.serve(ctx, sendOnce{})
+	return x.serve(ctx, directExecutor{})
 }
 
 // RefuseUnread answers a request that was refused before it was read whole.
@@ -227,13 +227,13 @@
 	x := p.newExchange(&httpwire.Request{RemoteAddr: remoteAddr, Received: clock.Now(), Header: make(http.Header)})
 	defer x.hop.End()
 	resp := x.refuse(err)
-	x.ended(resp)
+	x.logRequest(resp)
 	return resp
 }
 
 func (p *Proxy) newExchange(req *httpwire.Request) *exchange {
 	x := &exchange{proxy: p, req: req, id: p.requestID(req)}
-	x.tried = x.triedFirst[:0]
+	x.tried = x.triedBuffer[:0]
 	x.hop = p.tracer.Begin(x.id, req.Header, clock.Wall(req.Received))
 	return x
 }
--- a/internal/proxy/ratelimit.go
+++ b/internal/proxy/ratelimit.go
@@ -44,7 +44,7 @@
 }
 
 // limited takes in what an answer says of the upstream's limit.
-func (x *exchange) limited(b binding, sent time.Time, resp *httpwire.Response) {
+func (x *exchange) recordLimit(b binding, sent time.Time, resp *httpwire.Response) {
 	if resp == nil {
 		return
 	}
@@ -64,8 +64,8 @@
 // confirm chooses an upstream whose limit may be over, for a policy that does not ask
 // upstreams for their load first: such an upstream is chosen as seldom as this host has a
 // turn there when a request comes, and nothing else tells that it takes more again.
-func (x *exchange) confirm(group *routing.Group, info balancer.PickInfo) (balancer.Result, bool) {
-	if info.Hedge || info.FinalAttempt || x.asks(group) {
+func (x *exchange) pickUnconfirmed(group *routing.Group, info balancer.PickInfo) (balancer.Result, bool) {
+	if info.Hedge || info.FinalAttempt || x.queriesLoad(group) {
 		return balancer.Result{}, false
 	}
 	for _, u := range group.Upstreams {
@@ -84,28 +84,28 @@
 }
 
 // WithLenders borrows turns through l where no upstream is open to this host.
-func WithLenders(l Lenders) Option { return func(p *Proxy) { p.lenders = l } }
+func WithLenders(l Lenders) Option { return func(p *Proxy) { p.slotBorrower = l } }
 
 // maxLenders is how many hosts are asked for a turn for one request. Where callers ask for
 // twice as much as all upstreams of a service take, two find 0.95 to 1.00 of what they take,
 // one 0.86 to 1.00, and without asking it is 0.01 to 1.00: the less, the more hosts there
 // are and the more unequal their loads.
-const maxLenders = 2
+const maxBorrowAttempts = 2
 
 // borrow chooses an upstream at which another host lends its turn.
-func (x *exchange) borrow(ctx context.Context, group *routing.Group, info balancer.PickInfo) (balancer.Result, bool) {
-	if x.proxy.lenders == nil || info.Hedge {
+func (x *exchange) borrowTimeSlot(ctx context.Context, group *routing.Group, info balancer.PickInfo) (balancer.Result, bool) {
+	if x.proxy.slotBorrower == nil || info.Hedge {
 		return balancer.Result{}, false
 	}
-	for x.asked < maxLenders {
-		x.asked++
-		u := x.lendable(group, info)
+	for x.borrowAttempts < maxBorrowAttempts {
+		x.borrowAttempts++
+		u := x.borrowable(group, info)
 		if u == nil {
 			return balancer.Result{}, false
 		}
 		host, ok := u.Limit.Lender(info.Now, x.proxy.random())
-		if ok && x.proxy.lenders.Borrow(ctx, host, u.Limit.Server()) && u.Rest.Try(clock.Now()) {
-			x.state.group.turns.RecordBorrowed(clock.Now())
+		if ok && x.proxy.slotBorrower.Borrow(ctx, host, u.Limit.Server()) && u.Rest.Try(clock.Now()) {
+			x.state.group.retrySchedule.RecordBorrowed(clock.Now())
 			return balancer.Result{Upstream: u, Reason: "borrowed-turn"}, true
 		}
 	}
@@ -114,7 +114,7 @@
 
 // lendable returns a random upstream that is shut for want of a turn alone; nil if there is
 // none.
-func (x *exchange) lendable(group *routing.Group, info balancer.PickInfo) *balancer.Upstream {
+func (x *exchange) borrowable(group *routing.Group, info balancer.PickInfo) *balancer.Upstream {
 	n := uint64(len(group.Upstreams))
 	first := x.proxy.random()
 	for i := range n {
@@ -128,7 +128,7 @@
 
 // turns returns how many requests a second this host may send to the group's upstreams, if
 // those that do not rest all name a limit; infinite else.
-func (x *exchange) turns() float64 {
+func (x *exchange) limitedRate() float64 {
 	now := clock.Now()
 	perSecond := 0.0
 	for _, u := range x.state.group.current.Load().Upstreams {
@@ -147,14 +147,14 @@
 
 // crowded reports whether too many requests wait before this one for a turn that would
 // still be in time.
-func (x *exchange) crowded() bool {
-	perSecond := x.turns()
+func (x *exchange) tooManyWaiting() bool {
+	perSecond := x.limitedRate()
 	if math.IsInf(perSecond, 1) {
 		return false
 	}
-	ahead := float64(x.state.group.held.Load())
-	wait := x.allShut() + seconds(ahead/perSecond)
-	return wait+x.usual() > clock.Until(x.usefulUntil())
+	ahead := float64(x.state.group.pending.Load())
+	wait := x.sendDelay() + seconds(ahead/perSecond)
+	return wait+x.expectedLatency() > clock.Until(x.usefulUntil())
 }
 
 // maxSeconds bounds a time that is worked out from a rate.
--- a/internal/proxy/ratelimit_test.go
+++ b/internal/proxy/ratelimit_test.go
@@ -50,18 +50,18 @@
 	limited := f.ids[:2]
 	from := clock.Now().Add(time.Second)
 	to := from.Add(lasts)
-	time.AfterFunc(time.Until(from), func() { f.upstreams.name(limit, limited...) })
-	time.AfterFunc(time.Until(to), func() { f.upstreams.name("", limited...) })
+	time.AfterFunc(time.Until(from), func() { f.upstreams.setLimit(limit, limited...) })
+	time.AfterFunc(time.Until(to), func() { f.upstreams.setLimit("", limited...) })
 	const after = 8 * time.Second // an upstream that takes nothing is tried every four
-	got := f.press(methodOf(rule), time.Second+lasts+after, load/float64(hosts))
+	got := f.sendLoad(methodOf(rule), time.Second+lasts+after, load/float64(hosts))
 	is.Equal(len(got.refused()), 0)
 	for _, id := range limited {
-		if most := f.upstreams.most(id, from.Add(limitKnown), to); most > borne(limit) {
-			t.Errorf("%s got %d in %v, bears %d", id, most, limitWindow, borne(limit))
+		if most := f.upstreams.maxInWindow(id, from.Add(limitPropagation), to); most > allowedInWindow(limit) {
+			t.Errorf("%s got %d in %v, bears %d", id, most, rateWindow, allowedInWindow(limit))
 		}
 	}
-	back := f.upstreams.between(to.Add(after/2+limitKnown), to.Add(after), limited...)
-	is.True(back >= int(load*(after/2-limitKnown).Seconds()*2/upstreams/2))
+	back := f.upstreams.countBetween(to.Add(after/2+limitPropagation), to.Add(after), limited...)
+	is.True(back >= int(load*(after/2-limitPropagation).Seconds()*2/upstreams/2))
 }
 
 func methodOf(r config.Rule) string {
@@ -79,12 +79,12 @@
 		from := clock.Now()
 		for i := range 40 {
 			time.AfterFunc(time.Duration(i)*500*time.Millisecond, func() {
-				f.upstreams.name(strconv.FormatFloat(1+float64(i%5)/4, 'f', 2, 64), f.ids[0])
+				f.upstreams.setLimit(strconv.FormatFloat(1+float64(i%5)/4, 'f', 2, 64), f.ids[0])
 			})
 		}
-		got := f.press(http.MethodGet, 20*time.Second, 5)
+		got := f.sendLoad(http.MethodGet, 20*time.Second, 5)
 		is.Equal(len(got.refused()), 0)
-		is.True(f.upstreams.most(f.ids[0], from.Add(limitKnown), clock.Now()) <= borne("2"))
+		is.True(f.upstreams.maxInWindow(f.ids[0], from.Add(limitPropagation), clock.Now()) <= allowedInWindow("2"))
 	})
 }
 
@@ -94,13 +94,13 @@
 		is := is.New(t)
 		f := newLimitFleet(18, 10, "least-outstanding", lookup())
 		for _, h := range f.hosts {
-			h.deaf = true
+			h.isolated = true
 		}
-		f.upstreams.name("1.2", f.ids[0])
+		f.upstreams.setLimit("1.2", f.ids[0])
 		from := clock.Now()
-		got := f.press(http.MethodGet, 20*time.Second, 5)
+		got := f.sendLoad(http.MethodGet, 20*time.Second, 5)
 		is.Equal(len(got.refused()), 0)
-		is.True(f.upstreams.most(f.ids[0], from.Add(4*time.Second), clock.Now()) <= borne("1.2"))
+		is.True(f.upstreams.maxInWindow(f.ids[0], from.Add(4*time.Second), clock.Now()) <= allowedInWindow("1.2"))
 	})
 }
 
@@ -109,12 +109,12 @@
 func TestRetriesKeepLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLimitFleet(4, 4, "least-outstanding", lookup())
-		f.upstreams.fails[f.ids[3]] = true
-		f.upstreams.name("1.2", f.ids[0], f.ids[1])
+		f.upstreams.rejects[f.ids[3]] = true
+		f.upstreams.setLimit("1.2", f.ids[0], f.ids[1])
 		from := clock.Now()
-		f.press(http.MethodGet, 20*time.Second, 5)
+		f.sendLoad(http.MethodGet, 20*time.Second, 5)
 		for _, id := range f.ids[:2] {
-			if most := f.upstreams.most(id, from.Add(limitKnown), clock.Now()); most > borne("1.2") {
+			if most := f.upstreams.maxInWindow(id, from.Add(limitPropagation), clock.Now()); most > allowedInWindow("1.2") {
 				t.Errorf("%s got %d", id, most)
 			}
 		}
@@ -150,32 +150,32 @@
 	rule := lookup()
 	rule.TargetLatency = config.Duration(250 * time.Millisecond)
 	f := newLimitFleet(hosts, upstreams, "least-outstanding", rule)
-	f.upstreams.name(limit, f.ids...)
+	f.upstreams.setLimit(limit, f.ids...)
 	for range 3 { // all are known to all
-		f.press(http.MethodGet, time.Second, 20/float64(hosts))
+		f.sendLoad(http.MethodGet, time.Second, 20/float64(hosts))
 	}
 	var scaled []float64
 	for _, l := range loads {
 		scaled = append(scaled, l*2*perSecond*upstreams/float64(hosts))
 	}
 	from := clock.Now()
-	got := f.press(http.MethodGet, lasts, scaled...)
+	got := f.sendLoad(http.MethodGet, lasts, scaled...)
 	refused := got.refused()
-	served := got.number() - len(refused)
+	served := got.count() - len(refused)
 	used := float64(served) / (perSecond * upstreams * lasts.Seconds())
-	t.Logf("%d asked, %d served: %.2f of what the upstreams take", got.number(), served, used)
+	t.Logf("%d asked, %d served: %.2f of what the upstreams take", got.count(), served, used)
 	is.True(used > 0.9)
 	for _, id := range f.ids {
-		if most := f.upstreams.most(id, from, clock.Now()); most > borne(limit) {
+		if most := f.upstreams.maxInWindow(id, from, clock.Now()); most > allowedInWindow(limit) {
 			t.Errorf("%s got %d", id, most)
 		}
 	}
 	late := 0
 	for _, r := range refused {
 		is.Equal(r.Header.Get(HeaderError), "upstreams-limited")
-		waited := r.answered.Sub(r.asked)
+		waited := r.answeredAt.Sub(r.sentAt)
 		is.True(waited <= 250*time.Millisecond)
-		if waited > 2*maxLenders*newsTakes+time.Millisecond {
+		if waited > 2*maxBorrowAttempts*peerDelay+time.Millisecond {
 			late++
 		}
 	}
@@ -191,27 +191,27 @@
 		rule := lookup()
 		rule.TargetLatency = config.Duration(250 * time.Millisecond)
 		f := newLimitFleet(1, 2, "least-outstanding", rule)
-		f.upstreams.name("2", f.ids...)
-		f.press(http.MethodGet, time.Second, 20)
+		f.upstreams.setLimit("2", f.ids...)
+		f.sendLoad(http.MethodGet, time.Second, 20)
 		time.Sleep(3 * time.Second)
-		first := new(asking)
+		first := new(callLog)
 		for range 20 {
-			go f.ask(f.hosts[0], http.MethodGet, first)
+			go f.call(f.hosts[0], http.MethodGet, first)
 		}
 		time.Sleep(time.Second)
-		back := new(asking)
+		back := new(callLog)
 		refused := first.refused()
 		is.True(len(refused) >= 14)
 		for _, r := range refused {
 			ms, err := strconv.Atoi(r.Header.Get(HeaderRetryAfterMs))
 			is.NoErr(err)
 			go func() {
-				time.Sleep(clock.Until(r.asked.Add(time.Duration(ms) * time.Millisecond)))
-				f.ask(f.hosts[0], http.MethodGet, back)
+				time.Sleep(clock.Until(r.sentAt.Add(time.Duration(ms) * time.Millisecond)))
+				f.call(f.hosts[0], http.MethodGet, back)
 			}()
 		}
 		time.Sleep(30 * time.Second)
-		is.Equal(back.number(), len(refused))
+		is.Equal(back.count(), len(refused))
 		is.Equal(len(back.refused()), 0)
 	})
 }
--- a/internal/proxy/rest.go
+++ b/internal/proxy/rest.go
@@ -24,7 +24,7 @@
 // rest is, and 4 and 5 callers were refused in two runs.
 
 // rested takes in what an answer says of rest.
-func (x *exchange) rested(b binding, resp *httpwire.Response) {
+func (x *exchange) recordBackoff(b binding, resp *httpwire.Response) {
 	read := x.proxy.dialect.Rest
 	if resp == nil || read == nil {
 		return
@@ -47,22 +47,22 @@
 
 // last reports whether the request could not be sent again if send number n were turned
 // away.
-func (x *exchange) last(n int) bool {
+func (x *exchange) isFinalAttempt(n int) bool {
 	return n >= maxAttempts(x.rule.Config) || x.isRetry || x.noRetry || x.state.budget.Exhausted()
 }
 
 // maxChoices bounds the choices for one send, of which all but the last met an upstream
 // that another request has tried first after its rest, or at which it used the turn.
-const maxChoices = 8
+const maxPicks = 8
 
 // choose lets the policy choose an upstream that does not rest, and takes this host's turn
 // at one that names a limit, or one that another host lends. The error is balancer.ErrNoSlot
 // where it is worth to wait.
 func (x *exchange) choose(ctx context.Context, group *routing.Group, info balancer.PickInfo) (balancer.Result, error) {
-	if choice, ok := x.confirm(group, info); ok {
+	if choice, ok := x.pickUnconfirmed(group, info); ok {
 		return choice, nil
 	}
-	for range maxChoices {
+	for range maxPicks {
 		choice, err := group.Picker.Pick(info)
 		switch {
 		case err == nil && choice.Upstream.Limit.Take(info.Now) && choice.Upstream.Rest.Try(info.Now):
@@ -73,11 +73,11 @@
 			info.FinalAttempt = false // none is left but those whose rest has just ended
 			continue
 		case errors.Is(err, balancer.ErrNoUpstream):
-			if borrowed, ok := x.borrow(ctx, group, info); ok {
+			if borrowed, ok := x.borrowTimeSlot(ctx, group, info); ok {
 				return borrowed, nil
 			}
 		}
-		if errors.Is(err, balancer.ErrNoUpstream) && x.opensShortly(info) {
+		if errors.Is(err, balancer.ErrNoUpstream) && x.worthWaiting(info) {
 			return choice, balancer.ErrNoSlot
 		}
 		return choice, err
@@ -89,10 +89,10 @@
 // soon enough that the request is still answered within its target if it waits here. For a
 // trial after a rest it waits as long as it has time at all. One without a target is told
 // when to come back rather than held up to its deadline.
-func (x *exchange) opensShortly(info balancer.PickInfo) bool {
-	left := x.shutFor(info.Exclude)
+func (x *exchange) worthWaiting(info balancer.PickInfo) bool {
+	left := x.sendDelayExcluding(info.Exclude)
 	switch {
-	case left == 0 || info.Waited == 0 && x.crowded():
+	case left == 0 || info.Waited == 0 && x.tooManyWaiting():
 		return false
 	case left <= rest.TrialTimeout:
 		return left+info.ExpectedLatency <= info.DeadlineLeft
@@ -104,10 +104,10 @@
 
 // allShut returns how long it takes until the first upstream of the group may be sent a
 // request; 0 if one may be now.
-func (x *exchange) allShut() time.Duration { return x.shutFor(nil) }
+func (x *exchange) sendDelay() time.Duration { return x.sendDelayExcluding(nil) }
 
 // shutFor is allShut without some upstreams.
-func (x *exchange) shutFor(without []*balancer.Upstream) time.Duration {
+func (x *exchange) sendDelayExcluding(without []*balancer.Upstream) time.Duration {
 	now := clock.Now()
 	var first time.Duration
 	for _, u := range x.state.group.current.Load().Upstreams {
@@ -126,15 +126,15 @@
 }
 
 // noUpstream says why there is no upstream to send to.
-func (x *exchange) noUpstream(err error) *errkind.Error {
+func (x *exchange) noUpstreamError(err error) *errkind.Error {
 	kind := errkind.NoUpstream
 	switch {
-	case !math.IsInf(x.turns(), 1):
+	case !math.IsInf(x.limitedRate(), 1):
 		kind = errkind.UpstreamsLimited
-		x.admitted(false)
-	case x.allShut() > 0:
+		x.recordAdmission(false)
+	case x.sendDelay() > 0:
 		kind = errkind.UpstreamsRest
-		x.admitted(false)
+		x.recordAdmission(false)
 	}
 	return errkind.Wrap(kind, err, x.state.group.current.Load().Config.Name)
 }
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -40,17 +40,17 @@
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
 					const pause = 7 * time.Millisecond
-					upstreams := newTurning()
-					upstreams.slow = 60 * time.Millisecond
-					upstreams.asks(word, "up-1")
+					upstreams := newRejectingUpstreams()
+					upstreams.slowWork = 60 * time.Millisecond
+					upstreams.reject(word, "up-1")
 					p := newProxy(service(4, rule), leastOutstanding, upstreams, new(recorder))
 					method := "GET"
 					if rule.Repeat != config.Repeatable {
 						method = "POST"
 					}
-					time.AfterFunc(10*time.Second, func() { upstreams.serves("up-1") })
+					time.AfterFunc(10*time.Second, func() { upstreams.serve("up-1") })
 					start := clock.Now()
-					answers := crowd(p, method, int(15*time.Second/pause), pause)
+					answers := serveEvery(p, method, int(15*time.Second/pause), pause)
 					is.Equal(refusals(answers), 0)
 					turned := 0
 					var until time.Time
@@ -61,7 +61,7 @@
 						if s.at.Before(until) && s.at.After(until.Add(-d+2*time.Millisecond)) {
 							t.Errorf("sent to within a rest, %v after the start", s.at.Sub(start))
 						}
-						if s.away {
+						if s.rejected {
 							until = s.at.Add(d)
 							turned++
 						}
@@ -69,7 +69,7 @@
 					is.True(turned >= int(10*time.Second/(d+rest.ResumeJitter)))
 					from := start.Add(10*time.Second + d + 500*time.Millisecond)
 					back := 0
-					for _, at := range upstreams.at("up-1") {
+					for _, at := range upstreams.arrivals("up-1") {
 						if at.After(from) && at.Before(from.Add(time.Second)) {
 							back++
 						}
@@ -131,14 +131,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		all := []string{"up-1", "up-2"}
-		upstreams := newTurning()
-		upstreams.asks("3", all...)
+		upstreams := newRejectingUpstreams()
+		upstreams.reject("3", all...)
 		rule := lookup()
 		rule.TargetLatency = config.Duration(target)
 		rule.Deadline = config.Duration(30 * time.Second)
 		p := newProxy(service(len(all), rule), leastOutstanding, upstreams, new(recorder))
-		crowd(p, "GET", 4, 10*time.Millisecond) // both have turned this host away
-		upstreams.serves(all...)
+		serveEvery(p, "GET", 4, 10*time.Millisecond) // both have turned this host away
+		upstreams.serve(all...)
 		sends := upstreams.count()
 		for range 20 {
 			asked := clock.Now()
@@ -172,19 +172,19 @@
 func TestRestThatEndsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		upstreams := newTurning()
-		upstreams.asks("0.1", "up-1")
+		upstreams := newRejectingUpstreams()
+		upstreams.reject("0.1", "up-1")
 		rule := lookup()
 		rule.TargetLatency = config.Duration(500 * time.Millisecond)
 		p := newProxy(service(1, rule), leastOutstanding, upstreams, new(recorder))
-		is.Equal(crowd(p, "GET", 1, 0)[0].Status, http.StatusServiceUnavailable)
-		upstreams.serves("up-1")
+		is.Equal(serveEvery(p, "GET", 1, 0)[0].Status, http.StatusServiceUnavailable)
+		upstreams.serve("up-1")
 		start := clock.Now()
-		answers := crowd(p, "GET", 5, time.Millisecond)
+		answers := serveEvery(p, "GET", 5, time.Millisecond)
 		is.Equal(refusals(answers), 0)
-		first := upstreams.at("up-1")[1]
+		first := upstreams.arrivals("up-1")[1]
 		is.True(first.Sub(start) >= 95*time.Millisecond && first.Sub(start) <= 230*time.Millisecond)
-		second := upstreams.at("up-1")[2]
+		second := upstreams.arrivals("up-1")[2]
 		is.True(second.Sub(first) >= 20*time.Millisecond) // the first goes alone
 	})
 }
@@ -194,13 +194,13 @@
 func TestLastSendTriesNoRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		upstreams := newTurning()
+		upstreams := newRejectingUpstreams()
 		once := lookup()
 		once.Retry.MaxAttempts = 1
 		p := newProxy(service(2, once), leastOutstanding, upstreams, new(recorder))
 		until := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0].Rest.Ask(clock.Now(), time.Second, 0)
-		crowd(p, "GET", 400, 5*time.Millisecond)
-		first := upstreams.at("up-1")[0]
+		serveEvery(p, "GET", 400, 5*time.Millisecond)
+		first := upstreams.arrivals("up-1")[0]
 		is.True(!first.Before(until.Add(rest.RetryableOnlyPeriod)))
 		is.True(first.Before(until.Add(500 * time.Millisecond)))
 	})
@@ -224,11 +224,11 @@
 		t.Run(word, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				upstreams := newTurning()
-				upstreams.asks(word, "up-1")
+				upstreams := newRejectingUpstreams()
+				upstreams.reject(word, "up-1")
 				events := new(recorder)
 				p := newProxy(service(1, lookup()), leastOutstanding, upstreams, events)
-				crowd(p, "GET", 1, 0)
+				serveEvery(p, "GET", 1, 0)
 				is.Equal(events.count(event.RestUnreadable), test.unreadable)
 				is.Equal(events.count(event.RestAsked) == 1, test.rests > 0)
 				u := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0]
@@ -247,13 +247,13 @@
 func TestRestOfAnEntryHostBelow(t *testing.T) {
 	is := is.New(t)
 	below := http.Header{HeaderNotRun: {flagSet}, HeaderRetryAfter: {"300"}, HeaderError: {"quarantined"}}
-	d, err := ownRest(http.StatusServiceUnavailable, below)
+	d, err := defaultBackoff(http.StatusServiceUnavailable, below)
 	is.NoErr(err)
 	is.Equal(d, time.Duration(0))
-	d, err = ownRest(http.StatusServiceUnavailable, http.Header{HeaderNotRun: {flagSet}, HeaderRetryAfter: {"3"}, HeaderRetryAfterMs: {"2500"}})
+	d, err = defaultBackoff(http.StatusServiceUnavailable, http.Header{HeaderNotRun: {flagSet}, HeaderRetryAfter: {"3"}, HeaderRetryAfterMs: {"2500"}})
 	is.NoErr(err)
 	is.Equal(d, 2500*time.Millisecond)
-	d, err = ownRest(http.StatusServiceUnavailable, http.Header{HeaderRetryAfter: {"3"}}) // an answer: it ran
+	d, err = defaultBackoff(http.StatusServiceUnavailable, http.Header{HeaderRetryAfter: {"3"}}) // an answer: it ran
 	is.NoErr(err)
 	is.Equal(d, time.Duration(0))
 }
@@ -267,10 +267,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				upstreams := newTurning()
-				upstreams.asks("3", "up-1")
+				upstreams := newRejectingUpstreams()
+				upstreams.reject("3", "up-1")
 				p := newProxy(service(1, lookup()), leastOutstanding, upstreams, new(recorder))
-				crowd(p, "GET", 1, 0)
+				serveEvery(p, "GET", 1, 0)
 				undo := clock.Skip(test.suspended)
 				defer undo()
 				u := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0]
@@ -285,7 +285,7 @@
 func TestRequestsThatWaitAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		upstreams := newTurning()
+		upstreams := newRejectingUpstreams()
 		upstreams.work = 200 * time.Millisecond
 		s := service(1, lookup())
 		s.Groups[0].Upstreams[0].Slots = 1
@@ -303,7 +303,7 @@
 				}
 			})
 		}
-		time.AfterFunc(100*time.Millisecond, func() { upstreams.asks("3", "up-1") })
+		time.AfterFunc(100*time.Millisecond, func() { upstreams.reject("3", "up-1") })
 		all.Wait()
 		is.Equal(upstreams.count(), 2)
 	})
@@ -312,18 +312,18 @@
 // TestRestAndLeavingAreTold: the host hears of both, by whichever answer.
 func TestRestAndLeavingAreTold(t *testing.T) {
 	is := is.New(t)
-	upstreams := newTurning()
+	upstreams := newRejectingUpstreams()
 	upstreams.work = 0
-	upstreams.says["up-1"] = func() http.Header {
+	upstreams.rejection["up-1"] = func() http.Header {
 		return http.Header{HeaderNotRun: {flagSet}, HeaderRetryAfter: {"3"}, lifecycle.HeaderLeaving: {"1"}}
 	}
-	news := new(restNews)
+	news := new(lifecycleRecorder)
 	p := New("127.0.0.1", "test", upstreams, new(recorder), WithRandom(seeded(1)), WithUpstreams(news))
 	p.SetTable(routing.Compile(1, []*config.Service{service(2, lookup())}, groupsFunc(leastOutstanding)))
 	for range 8 {
 		is.Equal(p.Serve(t.Context(), request("GET")).Status, http.StatusOK)
 	}
-	is.Equal(news.rests, []string{"up-1"})
-	is.Equal(len(news.left), 1)
-	is.Equal(news.left[0].Upstream, "up-1")
+	is.Equal(news.backingOff, []string{"up-1"})
+	is.Equal(len(news.leaving), 1)
+	is.Equal(news.leaving[0].Upstream, "up-1")
 }
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -23,19 +23,19 @@
 	for {
 		b, err := x.bind(ctx)
 		if err != nil {
-			x.notSent()
+			x.refundRetry()
 			if x.failure != nil {
 				return x.answer(*x.failure)
 			}
 			return x.refuse(x.finalError(err))
 		}
-		x.count()
+		x.countAttempt()
 		r := x.sendHedged(ctx, b)
 		if r.err == nil {
 			return x.answer(r)
 		}
-		x.keep(r)
-		if !x.retry(r) {
+		x.keepFailure(r)
+		if !x.shouldRetry(r) {
 			if x.failure != nil {
 				return x.answer(*x.failure)
 			}
@@ -46,14 +46,14 @@
 
 // keep remembers an upstream's own answer that says it failed. It is passed on
 // if no other answer comes.
-func (x *exchange) keep(r result) {
+func (x *exchange) keepFailure(r result) {
 	if r.failure != nil {
 		x.failure = &result{binding: r.binding, resp: r.failure}
 	}
 }
 
 // count records a send. The first fills the budget.
-func (x *exchange) count() {
+func (x *exchange) countAttempt() {
 	x.sent++
 	if x.sent == 1 {
 		x.state.budget.First()
@@ -61,7 +61,7 @@
 }
 
 // notSent gives back the token of a retry that found no upstream or no slot.
-func (x *exchange) notSent() {
+func (x *exchange) refundRetry() {
 	if x.sent > 0 {
 		x.state.budget.Refund()
 		x.emit(event.Event{Code: event.RetryDenied, Attempt: x.sent, Reason: string(retry.DeniedNoOtherUpstream), Value: x.state.budget.Remaining()})
@@ -69,7 +69,7 @@
 }
 
 // retry decides whether the request is sent again after r failed.
-func (x *exchange) retry(r result) bool {
+func (x *exchange) shouldRetry(r result) bool {
 	reason := retry.Decide(x.attemptState(r.err.Kind), x.state.budget)
 	code := event.RetryDenied
 	text := string(reason)
@@ -90,16 +90,16 @@
 		Sent:           x.sent,
 		MaxAttempts:    maxAttempts(x.rule.Config),
 		Quarantined:    x.quarantined() != nil,
-		Suspect:        x.suspect(),
+		Suspect:        x.isSuspect(),
 		ArrivedAsRetry: x.isRetry,
 		NoRetry:        x.noRetry,
-		Left:           x.left(),
+		Left:           x.timeLeft(),
 		Expected:       x.state.latency.Quantile(medianQuantile),
 	}
 }
 
 // failed records the failure of one send.
-func (x *exchange) failed(r result) {
+func (x *exchange) recordFailure(r result) {
 	x.emit(event.Event{Code: event.AttemptFailed, Upstream: r.binding.upstream.ID, Attempt: r.binding.number, Reason: r.err.Kind.String(), Detail: r.err.Error()})
 	x.noRetry = x.noRetry || r.noRetry
 	if x.first == nil {
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -14,7 +14,7 @@
 // immutable; what it points to is safe for concurrent use.
 type snapshot struct {
 	table  *routing.Table
-	rules  map[*routing.Rule]*shares
+	rules  map[*routing.Rule]*targetSplit
 	byRule map[targetName]*ruleState
 	groups map[groupName]*groupState
 }
@@ -25,7 +25,7 @@
 	service, group string
 }
 
-func nameOf(s *config.Service, g *config.Group) groupName {
+func groupNameOf(s *config.Service, g *config.Group) groupName {
 	if g.Registered != "" {
 		return groupName{group: g.Registered}
 	}
@@ -47,7 +47,7 @@
 
 // shares are the targets of one rule. With several, each request goes to the
 // one that is furthest behind its weight.
-type shares struct {
+type targetSplit struct {
 	states  []*ruleState
 	weights []int
 	total   int
@@ -57,7 +57,7 @@
 }
 
 // next returns the target of the next request.
-func (s *shares) next() *ruleState {
+func (s *targetSplit) next() *ruleState {
 	if len(s.states) == 1 {
 		return s.states[0]
 	}
@@ -76,14 +76,14 @@
 
 // start puts the targets at a random point of their turn, so that many entry
 // hosts with few requests each do not all begin with the same one.
-func (s *shares) start(random uint64) {
-	for range random % uint64(max(s.total, 1)) % maxStartTurns {
+func (s *targetSplit) randomizeStart(random uint64) {
+	for range random % uint64(max(s.total, 1)) % maxStartOffset {
 		s.next()
 	}
 }
 
 // maxStartTurns bounds the turns taken in advance.
-const maxStartTurns = 64
+const maxStartOffset = 64
 
 // nextSnapshot compiles t and carries over the state of the rules and groups
 // that were there before.
@@ -93,23 +93,23 @@
 	}
 	next := &snapshot{
 		table:  t,
-		rules:  make(map[*routing.Rule]*shares),
+		rules:  make(map[*routing.Rule]*targetSplit),
 		byRule: make(map[targetName]*ruleState),
 		groups: make(map[groupName]*groupState),
 	}
 	for _, s := range t.Services() {
 		for _, r := range s.Rules() {
-			next.rules[r] = p.sharesOf(old, next, r)
+			next.rules[r] = p.splitOf(old, next, r)
 		}
 	}
 	return next
 }
 
-func (p *Proxy) sharesOf(old, next *snapshot, r *routing.Rule) *shares {
-	out := new(shares)
+func (p *Proxy) splitOf(old, next *snapshot, r *routing.Rule) *targetSplit {
+	out := new(targetSplit)
 	for _, target := range r.Targets {
 		group := p.carryGroup(old, next, r.Service, target.Group)
-		key := targetName{r.Service.Name, r.Config.Name, nameOf(r.Service, target.Group.Config)}
+		key := targetName{r.Service.Name, r.Config.Name, groupNameOf(r.Service, target.Group.Config)}
 		rs := p.carryRule(old.byRule[key], r.Config, group)
 		next.byRule[key] = rs
 		out.states = append(out.states, rs)
@@ -118,7 +118,7 @@
 	}
 	out.credit = make([]int, len(out.states))
 	if len(out.states) > 1 {
-		out.start(p.random())
+		out.randomizeStart(p.random())
 	}
 	return out
 }
@@ -144,7 +144,7 @@
 }
 
 func (p *Proxy) carryGroup(old, next *snapshot, s *config.Service, group *routing.Group) *groupState {
-	key := nameOf(s, group.Config)
+	key := groupNameOf(s, group.Config)
 	g := next.groups[key]
 	if g != nil {
 		return g
--- a/internal/proxy/starting.go
+++ b/internal/proxy/starting.go
@@ -16,9 +16,9 @@
 	// startHold is the longest wait of one request. Where 473 hosts started at once, the
 	// first configuration, of 1,200 routes, was there after 35 ms for the first host and
 	// 410 ms for the middle one; the targets known are 200 to 2,000 ms.
-	startHold = 250 * time.Millisecond
+	maxStartWait = 250 * time.Millisecond
 	// maxHeld bounds the requests that wait.
-	maxHeld = 512
+	maxStartWaiters = 512
 )
 
 // starting holds requests that come before the first configuration. The platform's
@@ -28,7 +28,7 @@
 	until      time.Time
 	once       sync.Once
 	configured chan struct{}
-	held       atomic.Int64
+	waiting    atomic.Int64
 }
 
 // newStarting returns the state of a host that starts now, or of one that lets no
@@ -42,20 +42,20 @@
 }
 
 // done ends the wait of all requests.
-func (s *starting) done() { s.once.Do(func() { close(s.configured) }) }
+func (s *starting) release() { s.once.Do(func() { close(s.configured) }) }
 
 // recent reports whether the host has started a moment ago.
-func (s *starting) recent(now time.Time) bool { return now.Before(s.until) }
+func (s *starting) inStartWindow(now time.Time) bool { return now.Before(s.until) }
 
 // wait returns when there is a configuration, or when the request has waited for as
 // long as it may.
 func (s *starting) wait(ctx context.Context, now time.Time) {
-	longest := min(s.until.Sub(now), startHold)
+	longest := min(s.until.Sub(now), maxStartWait)
 	if longest <= 0 {
 		return
 	}
-	defer s.held.Add(-1)
-	if s.held.Add(1) > maxHeld {
+	defer s.waiting.Add(-1)
+	if s.waiting.Add(1) > maxStartWaiters {
 		return
 	}
 	timeout := time.NewTimer(longest)
--- a/internal/proxy/starting_test.go
+++ b/internal/proxy/starting_test.go
@@ -45,7 +45,7 @@
 		time.Sleep(120 * time.Millisecond)
 		p.SetTable(routing.Compile(1, []*config.Service{service(40, lookup())}, groupsFunc(leastOutstanding)))
 		all.Wait()
-		is.Equal(p.starting.held.Load(), int64(0))
+		is.Equal(p.starting.waiting.Load(), int64(0))
 	})
 }
 
@@ -58,7 +58,7 @@
 		waits     time.Duration
 		comesBack time.Duration // at the most
 	}{
-		{"early", 0, startHold, limit.RetryAfterStart(math.MaxUint64)},
+		{"early", 0, maxStartWait, limit.RetryAfterStart(math.MaxUint64)},
 		{"at the end of the first second", startWindow - 50*time.Millisecond, 50 * time.Millisecond, 2 * time.Second},
 		{"later", startWindow, 0, 2 * time.Second},
 	} {
@@ -87,7 +87,7 @@
 		p := startingProxy()
 		start := time.Now()
 		var all sync.WaitGroup
-		for range maxHeld {
+		for range maxStartWaiters {
 			all.Go(func() { p.Serve(t.Context(), request("GET")) })
 		}
 		synctest.Wait()
--- a/internal/proxy/trail.go
+++ b/internal/proxy/trail.go
@@ -18,43 +18,43 @@
 }
 
 // WithTrails hands the events of each request to t when it has ended.
-func WithTrails(t Trails) Option { return func(p *Proxy) { p.trails = t } }
+func WithTrails(t Trails) Option { return func(p *Proxy) { p.requestLogger = t } }
 
 // trail gathers the events of one request. Sends of a hedged request run at
 // the same time.
-type trail struct {
+type eventLog struct {
 	mu     sync.Mutex
 	events []event.Event
-	ended  bool
+	closed bool
 }
 
 // typicalTrail is the number of events of an ordinary request.
-const typicalTrail = 4
+const typicalEvents = 4
 
-func (t *trail) add(e event.Event) {
+func (t *eventLog) add(e event.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ended {
+	if t.closed {
 		return
 	}
 	if t.events == nil {
-		t.events = make([]event.Event, 0, typicalTrail)
+		t.events = make([]event.Event, 0, typicalEvents)
 	}
 	t.events = append(t.events, e)
 }
 
 // end returns the events; later ones are dropped.
-func (t *trail) end() []event.Event {
+func (t *eventLog) close() []event.Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ended = true
+	t.closed = true
 	return t.events
 }
 
 // ended hands the trail over.
-func (x *exchange) ended(resp *httpwire.Response) {
-	if x.proxy.trails != nil {
-		x.proxy.trails.Ended(x.trail.end(), x.notable(resp))
+func (x *exchange) logRequest(resp *httpwire.Response) {
+	if x.proxy.requestLogger != nil {
+		x.proxy.requestLogger.Ended(x.eventLog.close(), x.notable(resp))
 	}
 }
 
--- a/internal/proxy/turning_test.go
+++ b/internal/proxy/turning_test.go
@@ -17,30 +17,30 @@
 )
 
 // turning is a Sender whose upstreams turn requests away, by their addresses.
-type turning struct {
-	mu    sync.Mutex
-	says  map[string]func() http.Header // nil serves
-	work  time.Duration
-	slow  time.Duration // work of one send in ten; 0 is as the others
-	sends []sent
+type rejectingUpstreams struct {
+	mu        sync.Mutex
+	rejection map[string]func() http.Header // nil serves
+	work      time.Duration
+	slowWork  time.Duration // work of one send in ten; 0 is as the others
+	attempts  []recordedAttempt
 }
 
-type sent struct {
+type recordedAttempt struct {
 	upstream string
 	at       time.Time
-	away     bool
+	rejected bool
 }
 
-func newTurning() *turning {
-	return &turning{says: make(map[string]func() http.Header), work: 20 * time.Millisecond}
+func newRejectingUpstreams() *rejectingUpstreams {
+	return &rejectingUpstreams{rejection: make(map[string]func() http.Header), work: 20 * time.Millisecond}
 }
 
 // asks makes upstreams turn requests away with a word for rest.
-func (u *turning) asks(word string, upstreams ...string) {
+func (u *rejectingUpstreams) reject(word string, upstreams ...string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, id := range upstreams {
-		u.says[id] = func() http.Header {
+		u.rejection[id] = func() http.Header {
 			h := http.Header{HeaderNotRun: {flagSet}}
 			if word != "" {
 				h[HeaderRetryAfter] = []string{word}
@@ -51,22 +51,22 @@
 }
 
 // serves makes upstreams serve again.
-func (u *turning) serves(upstreams ...string) {
+func (u *rejectingUpstreams) serve(upstreams ...string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, id := range upstreams {
-		delete(u.says, id)
+		delete(u.rejection, id)
 	}
 }
 
-func (u *turning) Do(ctx context.Context, address string, _ *httpwire.Request) (*httpwire.Response, *errkind.Error) {
+func (u *rejectingUpstreams) Do(ctx context.Context, address string, _ *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 	u.mu.Lock()
-	says := u.says[address]
+	says := u.rejection[address]
 	work := u.work
-	if u.slow > 0 && len(u.sends)%10 == 0 {
-		work = u.slow
+	if u.slowWork > 0 && len(u.attempts)%10 == 0 {
+		work = u.slowWork
 	}
-	u.sends = append(u.sends, sent{address, clock.Now(), says != nil})
+	u.attempts = append(u.attempts, recordedAttempt{address, clock.Now(), says != nil})
 	u.mu.Unlock()
 	if says != nil {
 		time.Sleep(time.Millisecond)
@@ -81,20 +81,20 @@
 }
 
 // all returns what was sent so far, in order.
-func (u *turning) all() []sent {
+func (u *rejectingUpstreams) all() []recordedAttempt {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return slices.Clone(u.sends)
+	return slices.Clone(u.attempts)
 }
 
-func (u *turning) count() int { return len(u.all()) }
+func (u *rejectingUpstreams) count() int { return len(u.all()) }
 
 // at returns when requests reached upstreams.
-func (u *turning) at(upstreams ...string) []time.Time {
+func (u *rejectingUpstreams) arrivals(upstreams ...string) []time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var out []time.Time
-	for _, s := range u.sends {
+	for _, s := range u.attempts {
 		if slices.Contains(upstreams, s.upstream) {
 			out = append(out, s.at)
 		}
@@ -103,7 +103,7 @@
 }
 
 // crowd sends requests, one each pause, and returns the answers in order.
-func crowd(p *Proxy, method string, n int, pause time.Duration) []*httpwire.Response {
+func serveEvery(p *Proxy, method string, n int, pause time.Duration) []*httpwire.Response {
 	out := make([]*httpwire.Response, n)
 	var all sync.WaitGroup
 	for i := range n {
@@ -129,21 +129,25 @@
 }
 
 // restNews records what a proxy tells of rest and of leaving.
-type restNews struct {
+type lifecycleRecorder struct {
 	Upstreams
-	left  []lifecycle.UpstreamKey
-	rests []string
+	leaving    []lifecycle.UpstreamKey
+	backingOff []string
 }
 
-func (n *restNews) Snapshot() *lifecycle.Snapshot               { return takesAll(2) }
-func (n *restNews) Waking() bool                                { return false }
-func (n *restNews) Reported(string, time.Time)                  {}
-func (n *restNews) Leaving(k lifecycle.UpstreamKey, _ uint64)   { n.left = append(n.left, k) }
-func (n *restNews) LimitHeard(*balancer.Upstream)               {}
-func (n *restNews) Rests(u *balancer.Upstream, until time.Time) { n.rests = append(n.rests, u.ID) }
+func (n *lifecycleRecorder) Snapshot() *lifecycle.Snapshot { return allActive(2) }
+func (n *lifecycleRecorder) Waking() bool                  { return false }
+func (n *lifecycleRecorder) Reported(string, time.Time)    {}
+func (n *lifecycleRecorder) Leaving(k lifecycle.UpstreamKey, _ uint64) {
+	n.leaving = append(n.leaving, k)
+}
+func (n *lifecycleRecorder) LimitHeard(*balancer.Upstream) {}
+func (n *lifecycleRecorder) Rests(u *balancer.Upstream, until time.Time) {
+	n.backingOff = append(n.backingOff, u.ID)
+}
 
 // takesAll is a lifecycle in which the upstreams of service take requests.
-func takesAll(upstreams int) *lifecycle.Snapshot {
+func allActive(upstreams int) *lifecycle.Snapshot {
 	r := lifecycle.NewRegistry(lifecycle.DefaultConfig(), event.Discard{})
 	var listings []lifecycle.UpstreamSpec
 	for i := range upstreams {
--- a/internal/proxy/upstreams.go
+++ b/internal/proxy/upstreams.go
@@ -37,24 +37,24 @@
 	Waking() bool
 }
 
-const wakingDetail = "waking from a pause"
+const resumingDetail = "waking from a pause"
 
 // WithUpstreams checks each send against u and reports to it.
 func WithUpstreams(u Upstreams) Option { return func(p *Proxy) { p.upstreams = u } }
 
 func (x *exchange) upstreamKey(b binding) lifecycle.UpstreamKey {
-	return lifecycle.UpstreamKey{Service: x.state.group.owner, Upstream: b.upstream.ID}
+	return lifecycle.UpstreamKey{Service: x.state.group.serviceName, Upstream: b.upstream.ID}
 }
 
 // mayStillSend is the last check before a send: the upstream may have left
 // since it was chosen, or since this process was paused.
-func (x *exchange) mayStillSend(b binding) *errkind.Error {
+func (x *exchange) checkLifecycle(b binding) *errkind.Error {
 	u := x.proxy.upstreams
 	if u == nil {
 		return nil
 	}
 	if u.Waking() {
-		return errkind.New(errkind.NotReady, wakingDetail)
+		return errkind.New(errkind.NotReady, resumingDetail)
 	}
 	switch u.Snapshot().CheckSend(x.upstreamKey(b), b.lifecycle) {
 	case lifecycle.Send:
@@ -68,7 +68,7 @@
 }
 
 // report tells what a send taught about the lifecycle of its upstream.
-func (x *exchange) report(b binding, resp *httpwire.Response, err *errkind.Error) {
+func (x *exchange) reportLifecycle(b binding, resp *httpwire.Response, err *errkind.Error) {
 	u := x.proxy.upstreams
 	if u == nil {
 		return
--- a/internal/proxy/wait.go
+++ b/internal/proxy/wait.go
@@ -18,10 +18,10 @@
 
 // hintInterval is how long the queue may stand still before its first request
 // tries again without an answer that frees a slot.
-const hintInterval = 5 * time.Millisecond
+const recheckInterval = 5 * time.Millisecond
 
 // askInterval is hintInterval where upstreams are asked for their load.
-const askInterval = 25 * time.Millisecond
+const queryRecheckInterval = 25 * time.Millisecond
 
 // waiter is a request in its group's queue. Exactly one signal follows each
 // time that the queue takes the entry out: Kept hands over a place in the
@@ -38,14 +38,14 @@
 		return binding{}, err
 	}
 	g := x.state.group
-	ends := g.ends.Load()
+	ends := g.finished.Load()
 	b, err := x.tryBind(ctx, x.sent+1)
 	switch {
 	case err == nil:
-		x.admitted(true)
+		x.recordAdmission(true)
 		return b, nil
-	case errors.Is(err, balancer.ErrNoUpstream), errors.Is(err, errLimit) && x.crowded():
-		return binding{}, x.noUpstream(err)
+	case errors.Is(err, balancer.ErrNoUpstream), errors.Is(err, errLimitReached) && x.tooManyWaiting():
+		return binding{}, x.noUpstreamError(err)
 	default:
 		return x.wait(ctx, err, ends)
 	}
@@ -61,14 +61,14 @@
 		return binding{}, x.shed(reason)
 	}
 	x.emit(event.Event{Code: event.RequestQueued, Attempt: x.sent + 1, Reason: full.Error(), Value: g.waiting.Load()})
-	if errors.Is(full, errLimit) || g.ends.Load() != ends {
+	if errors.Is(full, errLimitReached) || g.finished.Load() != ends {
 		g.wake(clock.Now(), 1)
 	}
-	g.held.Add(1)
-	defer g.held.Add(-1)
+	g.pending.Add(1)
+	defer g.pending.Add(-1)
 	b, err := x.awaitSlot(ctx, w, start)
 	if err == nil {
-		x.admitted(true)
+		x.recordAdmission(true)
 		x.emit(event.Event{Code: event.QueueLeft, Upstream: b.upstream.ID, Attempt: b.number, Value: clock.Since(start).Microseconds()})
 	}
 	return b, err
@@ -77,7 +77,7 @@
 // awaitSlot picks each time that the request is woken, until it is bound.
 func (x *exchange) awaitSlot(ctx context.Context, w *waiter, start time.Time) (binding, *errkind.Error) {
 	g := x.state.group
-	interval := x.hintEvery()
+	interval := x.recheckDelay()
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
@@ -87,24 +87,24 @@
 				return binding{}, x.shed(reason)
 			}
 		case <-tick.C:
-			g.hint(clock.Now(), interval)
+			g.recheck(clock.Now(), interval)
 			continue
 		case <-ctx.Done():
-			x.leave(w)
+			x.abandonWait(w)
 			return binding{}, x.expired(ctx)
 		}
-		ends := g.ends.Load()
+		ends := g.finished.Load()
 		b, err := x.pick(ctx, x.sent+1, clock.Since(start), false)
 		if err == nil {
 			return b, nil
 		}
 		if errors.Is(err, balancer.ErrNoUpstream) {
 			g.release(clock.Now(), feedback{outcome: limit.Ignored})
-			return binding{}, x.noUpstream(err)
+			return binding{}, x.noUpstreamError(err)
 		}
 		g.limiter.Release(limit.Sample{Outcome: limit.Ignored})
-		g.putBack(w)
-		if g.ends.Load() != ends {
+		g.requeue(w)
+		if g.finished.Load() != ends {
 			g.wake(clock.Now(), 1)
 		}
 	}
@@ -112,16 +112,16 @@
 
 // hintEvery is how long the queue may stand still: where upstreams are asked
 // before each choice, a try costs questions.
-func (x *exchange) hintEvery() time.Duration {
+func (x *exchange) recheckDelay() time.Duration {
 	if x.state.group.current.Load().Config.HealthPath != "" {
-		return askInterval
+		return queryRecheckInterval
 	}
-	return hintInterval
+	return recheckInterval
 }
 
 // leave takes w out of the queue when the request ended. A place in the limit
 // that was handed over meanwhile goes to the next.
-func (x *exchange) leave(w *waiter) {
+func (x *exchange) abandonWait(w *waiter) {
 	g := x.state.group
 	if g.remove(w) {
 		return
@@ -133,17 +133,17 @@
 
 // shed gives the request up before it was sent.
 func (x *exchange) shed(reason queue.Reason) *errkind.Error {
-	x.admitted(false)
+	x.recordAdmission(false)
 	x.emit(event.Event{Code: event.RequestShed, Attempt: x.sent + 1, Reason: string(reason), Value: x.state.group.waiting.Load()})
 	kind := errkind.Overloaded
-	if !math.IsInf(x.turns(), 1) {
+	if !math.IsInf(x.limitedRate(), 1) {
 		kind = errkind.UpstreamsLimited
 	}
 	return errkind.New(kind, string(reason))
 }
 
 // admitted records whether a first send found a place.
-func (x *exchange) admitted(ok bool) {
+func (x *exchange) recordAdmission(ok bool) {
 	if x.sent == 0 {
 		x.state.group.excess.Observe(ok)
 	}
@@ -156,14 +156,14 @@
 		Priority: priorityOf(x.priority()),
 		Target:   x.usefulUntil(),
 		Deadline: x.deadline,
-		Service:  x.usual(),
+		Service:  x.expectedLatency(),
 	}
 	return w
 }
 
 // usual is how long upstreams usually take for requests like this one. Until the
 // rule has samples, it is the group's mean.
-func (x *exchange) usual() time.Duration {
+func (x *exchange) expectedLatency() time.Duration {
 	if d := x.state.latency.Quantile(medianQuantile); d > 0 {
 		return d
 	}
