--- a/internal/proxy/allocs_test.go
+++ b/internal/proxy/allocs_test.go
@@ -18,11 +18,11 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// maxAllocations bounds the allocations of a request that is sent once, those
-// of the test's own request and answer included.
+// maxAllocations bounds the allocations of a request with one attempt, including those
+// for the test's request and response.
 const maxAllocations = 18
 
-func TestAllocationsOfARequest(t *testing.T) {
+func TestRequestAllocations(t *testing.T) {
 	is := is.New(t)
 	sender := senderFunc(func(context.Context, string, *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 		return ok(), nil
@@ -33,9 +33,9 @@
 	is.True(n <= maxAllocations)
 }
 
-// TestAKeptAnswerDoesNotKeepTheRequest guards the bound on the memory of kept
-// answers: a request's body must go when it is answered.
-func TestAKeptAnswerDoesNotKeepTheRequest(t *testing.T) {
+// TestStoredResponseDoesNotRetainRequest protects the memory bound of stored responses: the
+// body of a request must be collectable once the request has its response.
+func TestStoredResponseDoesNotRetainRequest(t *testing.T) {
 	is := is.New(t)
 	sender := senderFunc(func(context.Context, string, *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 		return ok(), nil
@@ -47,15 +47,15 @@
 	resp := p.Serve(context.Background(), req)
 	req = nil
 	runtime.GC()
-	is.True(gone.Value() == nil) // nothing refers to the request
+	is.True(gone.Value() == nil) // nothing references the request
 	is.Equal(resp.Header[HeaderUpstream], []string{"up-1"})
 	runtime.KeepAlive(resp)
 	runtime.KeepAlive(p)
 }
 
-// TestEachSendHasItsOwnHeader lets two sends of a request run side by side, and
-// a third follow: each keeps what it was given until it ends.
-func TestEachSendHasItsOwnHeader(t *testing.T) {
+// TestEachAttemptHasItsOwnHeader runs two concurrent attempts of a request and a third one
+// after them. The header of an attempt must not change while it runs.
+func TestEachAttemptHasItsOwnHeader(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	var sends []string
--- a/internal/proxy/amplification_test.go
+++ b/internal/proxy/amplification_test.go
@@ -22,7 +22,7 @@
 	chainRequests = 300
 )
 
-// variant switches off parts of the protection against amplification.
+// variant selects parts of the protection against retry amplification.
 type variant struct {
 	name   string
 	budget bool
@@ -35,8 +35,8 @@
 	protected  = variant{"budget and marks", true, true}
 )
 
-// chain nests levels proxies above upstreams that refuse with the given
-// probability, and returns the top with a counter of sends to the upstreams.
+// chain stacks proxies, as many as levels, above upstreams that fail with the given
+// probability. It returns the top proxy and a counter of attempts at the upstreams.
 func chain(levels int, failure float64, v variant, how errkind.Kind) (*Proxy, *int) {
 	random := rand.New(rand.NewPCG(7, uint64(levels)))
 	sends := 0
@@ -64,10 +64,11 @@
 	return top, &sends
 }
 
-// hop sends to the proxy below as an upstream; without marks it strips them.
+// downstreamSender sends to the proxy below as if it were an upstream. Without marks, it
+// removes the retry headers.
 func downstreamSender(below *Proxy, v variant) Sender {
 	return senderFunc(func(ctx context.Context, _ string, req *httpwire.Request) (*httpwire.Response, *errkind.Error) {
-		own := *req // what arrives below is another request, with a header of its own
+		own := *req // the proxy below gets another request, with its own header
 		own.Header = maps.Clone(req.Header)
 		if !v.marks {
 			delete(own.Header, HeaderAttempt)
@@ -80,8 +81,8 @@
 	})
 }
 
-// attempts returns the sends to upstreams, and the answers, per request at the
-// top.
+// attempts returns the attempts at upstreams, and the successful responses, per request at
+// the top.
 func attempts(t *testing.T, levels int, failure float64, v variant) (sent, answered float64) {
 	top, sends := chain(levels, failure, v, errkind.UpstreamRefused)
 	n := chainRequests
@@ -97,7 +98,8 @@
 	return float64(*sends) / float64(n), float64(good) / float64(n)
 }
 
-// TestRetriesDoNotMultiply compares six levels with and without protection.
+// TestRetriesDoNotMultiply checks that six levels of proxies multiply the attempts without
+// protection, and that with it the attempts stay within the budget of one level.
 func TestRetriesDoNotMultiply(t *testing.T) {
 	is := is.New(t)
 	const levels = 6
@@ -110,9 +112,9 @@
 	}
 }
 
-// TestBrokenAnswersDoNotMultiply breaks connections instead of refusing: the layers
-// above see an answer with an unknown outcome and pass it on.
-func TestBrokenAnswersDoNotMultiply(t *testing.T) {
+// TestBrokenResponsesDoNotMultiply breaks connections instead of refusing requests. The
+// layers above get a response with an unknown outcome and return it without a retry.
+func TestBrokenResponsesDoNotMultiply(t *testing.T) {
 	is := is.New(t)
 	top, sends := chain(6, 1, protected, errkind.UpstreamBroken)
 	for range chainRequests {
@@ -122,7 +124,7 @@
 	is.True(float64(*sends)/chainRequests <= 1.1+float64(retry.ReserveTokens)/chainRequests)
 }
 
-// TestMeasureAmplification prints the table of make measure-overload.
+// TestMeasureAmplification prints the amplification table of make measure-overload.
 func TestMeasureAmplification(t *testing.T) {
 	skipUnlessMeasuring(t)
 	fmt.Printf("Sends to upstreams per request; max_attempts %d, budget 10 %% and a reserve of %d, %d requests\n",
--- a/internal/proxy/ask.go
+++ b/internal/proxy/ask.go
@@ -9,17 +9,17 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// LoadQuerier asks upstreams for their load.
+// LoadQuerier queries upstreams for their load.
 type LoadQuerier interface {
-	// Ask asks all of them at once, at the path, and returns when each has
-	// answered or was given up. What they said is in their records then.
+	// Query queries all upstreams concurrently, at the group's health path. It returns when
+	// each has responded or timed out; their records then hold the reported loads.
 	Ask(ctx context.Context, group *routing.Group, upstreams []*balancer.Upstream)
 }
 
-// WithAsker asks upstreams through a for policies that choose on fresh reports.
+// WithLoadQuerier sets the querier for policies that pick by fresh load reports.
 func WithAsker(a LoadQuerier) Option { return func(p *Proxy) { p.loadQuerier = a } }
 
-// ask lets a policy learn what it needs for the choice that comes next.
+// queryLoad queries the upstreams whose load the policy needs for the next pick.
 func (x *exchange) queryLoad(ctx context.Context, group *routing.Group, info *balancer.PickInfo) {
 	if !x.queriesLoad(group) {
 		return
@@ -36,48 +36,48 @@
 	}
 }
 
-// asks reports whether upstreams of the group are asked for their load before a choice.
+// queriesLoad reports whether upstreams of the group are queried for their load before a pick.
 func (x *exchange) queriesLoad(group *routing.Group) bool {
 	_, ok := group.Picker.(balancer.LoadQuerier)
 	return ok && x.proxy.loadQuerier != nil && group.Config.HealthPath != ""
 }
 
-// The bound on questions: upstreams pay for them with slot time.
+// Bounds on load queries, which take slot time at the upstreams.
 const (
-	// questionsPerRequest is what each request adds, on average.
+	// queriesPerRequest is the number of queries that each request adds to the budget.
 	queriesPerRequest = 6
-	// questionsPerLook is what each look of a waiting request adds when no send of
-	// this host has ended for a while. With two, 17 hosts asked 5,800 times a second
-	// in a burst; at 6 ms each that is a slot of each of 32 upstreams.
+	// queriesPerRecheck is the number of queries that each recheck of a queued request adds
+	// when no attempt of this host has ended for a while. With 2, a burst at 17 hosts sent
+	// 5,800 queries a second; at 6 ms each that occupies one slot of each of 32 upstreams.
 	queriesPerRecheck = 1
-	// maxQuestions is the most that can be saved up.
+	// maxSavedQueries is the most queries that can accumulate in the budget.
 	maxSavedQueries = 60
 )
 
-// questions bounds how often a group's upstreams are asked, by the requests
-// that the group gets. It is safe for concurrent use.
+// queryBudget limits the load queries to a group's upstreams in proportion to the
+// requests that the group gets. It is safe for concurrent use.
 type queryBudget struct {
 	available atomic.Int64
 }
 
-// arrived adds what one request allows.
+// addRequest adds the queries of one request.
 func (q *queryBudget) addRequest() { q.add(queriesPerRequest) }
 
-// looked adds what one look of a waiting request allows.
+// addRecheck adds the queries of one recheck of a queued request.
 func (q *queryBudget) addRecheck() { q.add(queriesPerRecheck) }
 
 func (q *queryBudget) add(n int64) {
-	if left := q.available.Load(); left < maxSavedQueries {
-		q.available.CompareAndSwap(left, min(left+n, maxSavedQueries))
+	if available := q.available.Load(); available < maxSavedQueries {
+		q.available.CompareAndSwap(available, min(available+n, maxSavedQueries))
 	}
 }
 
-// take returns how many of n questions may be asked now.
+// take withdraws up to n queries and returns how many may be sent now.
 func (q *queryBudget) take(n int) int {
 	for {
-		left := q.available.Load()
-		granted := min(int64(n), max(left, 0))
-		if granted == 0 || q.available.CompareAndSwap(left, left-granted) {
+		available := q.available.Load()
+		granted := min(int64(n), max(available, 0))
+		if granted == 0 || q.available.CompareAndSwap(available, available-granted) {
 			return int(granted)
 		}
 	}
--- a/internal/proxy/ask_test.go
+++ b/internal/proxy/ask_test.go
@@ -15,7 +15,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// askPicker asks for its members until they were asked.
+// queryingPicker requests load queries to its members until they were queried.
 type queryingPicker struct {
 	members []*balancer.Upstream
 	queried map[*balancer.Upstream]bool
@@ -39,25 +39,26 @@
 
 func (f querierFunc) Ask(_ context.Context, _ *routing.Group, list []*balancer.Upstream) { f(list) }
 
-// TestQuestionsAreBounded asks for ever, and is cut at what requests allow.
+// TestQuestionsAreBounded uses a policy that requests load queries without end. The queries
+// that are sent must not exceed the budget.
 func TestQuestionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	s := registeredService(lookup(), map[string]int{"a": 1})
 	s.Groups[0].HealthPath = "/health"
 	picker := &queryingPicker{members: []*balancer.Upstream{{ID: "a-1"}, {ID: "a-2"}}}
-	asked := 0
+	queries := 0
 	sender := senderFunc(func(context.Context, string, *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 		return &httpwire.Response{Status: 200, Header: http.Header{testSignature: {"s"}}}, nil
 	})
 	p := New("127.0.0.1", "test", sender, event.Discard{}, WithRandom(seeded(1)), WithDialect(testDialect()),
-		WithAsker(querierFunc(func(list []*balancer.Upstream) { asked += len(list) })))
+		WithAsker(querierFunc(func(list []*balancer.Upstream) { queries += len(list) })))
 	p.SetTable(routing.Compile(1, []*config.Service{s}, groupsFunc(func(_ *config.Service, g *config.Group) *routing.Group {
 		return &routing.Group{Config: g, Picker: picker}
 	})))
 	for range 50 {
 		is.Equal(p.Serve(t.Context(), dialectRequest("GET")).Status, 200)
 	}
-	is.Equal(asked, 50*queriesPerRequest)
+	is.Equal(queries, 50*queriesPerRequest)
 }
 
 func TestLooksEarnQuestions(t *testing.T) {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -18,49 +18,50 @@
 	"github.com/dapplespindle/dapplespindle/pkg/limit"
 )
 
-// This file holds every call of the balancer: Pick, Begin and Finish.
+// All calls to the balancer (Pick, Begin and Finish) are in this file, except that choose
+// in rest.go calls Pick.
 
-// binding is a request bound to an upstream, with its place in the limit held.
+// binding assigns an attempt to an upstream and holds its permit from the limiter.
 // It must be sent or released.
 type binding struct {
 	upstream *balancer.Upstream
 	call     balancer.Call
 	number   int
-	// lifecycle is the version of the lifecycle snapshot that the choice was
-	// made from, and view what it said of the upstream.
+	// lifecycle is the version of the lifecycle snapshot that the upstream was
+	// picked from, and view the upstream's entry in it.
 	lifecycle uint64
 	view      lifecycle.View
-	// overdue is the time from the send after which the policy expects no answer
-	// any more; 0 if it has no opinion.
+	// overdue is the time after which the policy considers the response overdue;
+	// 0 if the policy gives none.
 	overdue time.Duration
 }
 
-// result is the end of one send. Exactly one of resp and err is set.
+// result is the outcome of one attempt. Exactly one of resp and err is set.
 type result struct {
 	binding binding
 	resp    *httpwire.Response
 	err     *errkind.Error
 	noRetry bool
-	// failure is the upstream's whole answer if it says that it failed; err is
-	// then set.
+	// failure is the upstream's complete response if it reports a failure; err is
+	// set as well.
 	failure *httpwire.Response
 }
 
-// feedback is what a send teaches the balancer and the limit.
+// feedback is what the balancer and the limiter learn from an attempt.
 type feedback struct {
 	latency time.Duration
 	outcome limit.Outcome
-	// failed states that the upstream or the connection to it is at fault.
+	// failed is set if the upstream or the connection to it is at fault.
 	failed bool
-	// refused states that the upstream declared that it did not run the request.
+	// refused is set if the upstream declared that it did not run the request.
 	refused bool
-	// load is the upstream's report.
+	// load is the upstream's load report.
 	load balancer.Report
-	// slots is the number of requests that the upstream serves at the same time.
+	// slots is the number of requests that the upstream serves concurrently.
 	slots int
 }
 
-// pressure is the reported load per slot, or 0 without a report.
+// pressure returns the reported load per slot, or 0 without a report.
 func (f feedback) pressure() float64 {
 	if !f.load.Valid {
 		return 0
@@ -68,8 +69,9 @@
 	return float64(f.load.InFlight) / float64(max(f.slots, 1))
 }
 
-// balancer converts f. A deadline says nothing on the upstream: callers choose
-// theirs, and the policy sees the age of what is in flight.
+// balancer converts f for the balancer. A passed deadline is not held against the
+// upstream: callers choose their deadlines, and the policy sees the age of the requests
+// in flight.
 func (f feedback) balancer(now time.Time) balancer.Feedback {
 	out := balancer.Feedback{Now: now, Latency: f.latency, Report: f.load}
 	switch {
@@ -83,18 +85,18 @@
 	return out
 }
 
-// pick chooses an upstream for send number n. The place in the limit must be
-// held already. The error is balancer.ErrNoSlot or balancer.ErrNoUpstream.
-// Waited is how long the request has been in the queue, and extra says that
-// another send is still running.
-func (x *exchange) pick(ctx context.Context, n int, waited time.Duration, extra bool) (binding, error) {
+// pick chooses an upstream for attempt number n. The permit from the limiter must
+// already be held. The error is balancer.ErrNoSlot or balancer.ErrNoUpstream.
+// Waited is the time that the request has spent in the queue; isHedge is set if another
+// attempt is still running.
+func (x *exchange) pick(ctx context.Context, n int, waited time.Duration, isHedge bool) (binding, error) {
 	group := x.state.group.current.Load()
 	info := balancer.PickInfo{
 		Now:             clock.Now(),
 		Random:          x.proxy.random(),
 		Exclude:         x.tried,
 		Waited:          waited,
-		Hedge:           extra,
+		Hedge:           isHedge,
 		ExpectedLatency: x.expectedLatency(),
 		TargetLeft:      clock.Until(x.usefulUntil()),
 		DeadlineLeft:    x.timeLeft(),
@@ -117,7 +119,7 @@
 	return b, nil
 }
 
-// loadOf states what was known of the load of a chosen upstream.
+// loadOf returns the known load of a picked upstream, or nil.
 func loadOf(u *balancer.Upstream, now time.Time) *event.Load {
 	l := u.Load()
 	if l == nil {
@@ -126,7 +128,7 @@
 	return &event.Load{InFlight: l.InFlight, Slots: l.Slots, Slowdown: l.Slowdown, Age: now.Sub(l.At)}
 }
 
-// send sends the bound request and ends the binding.
+// send sends the request to the upstream of b and ends the binding.
 func (x *exchange) send(ctx context.Context, b binding) result {
 	if !x.guard.begin(x.repeatable()) {
 		x.emit(event.Event{Code: event.NonRepeatableResend, Upstream: b.upstream.ID, Attempt: b.number})
@@ -155,8 +157,9 @@
 	return r
 }
 
-// clear asks those who may forbid the send. The order matters: what single
-// execution records as sent is sent.
+// checkBeforeSend runs the checks that can still prevent the attempt.
+// execution.BeforeSend must come last, since a request that it records as sent must
+// then be sent.
 func (x *exchange) checkBeforeSend(ctx context.Context, b binding) *errkind.Error {
 	if err := x.checkLifecycle(b); err != nil {
 		return err
@@ -170,13 +173,13 @@
 	return execution.BeforeSend(ctx)
 }
 
-// done reports the end of a send to the balancer, the limit and the queue.
+// finish reports the end of an attempt to the balancer, the limiter and the queue.
 func (x *exchange) finish(b binding, f feedback) {
 	now := clock.Now()
 	x.state.group.inFlight.Add(-1)
-	told := f.balancer(now)
-	told.Target = x.rule.Config.TargetLatency.Std()
-	balancer.Finish(x.state.group.current.Load().Picker, b.call, told)
+	out := f.balancer(now)
+	out.Target = x.rule.Config.TargetLatency.Std()
+	balancer.Finish(x.state.group.current.Load().Picker, b.call, out)
 	if f.outcome == limit.Answered {
 		x.state.latency.Observe(f.latency)
 	}
@@ -186,8 +189,8 @@
 	}
 }
 
-// interpret tells an upstream's declared refusal from its answers. A plain 503
-// is an answer: the upstream ran something.
+// interpret distinguishes a refusal declared by an upstream from its responses. A plain
+// 503 is an ordinary response: the upstream has processed the request.
 func (x *exchange) interpret(b binding, resp *httpwire.Response, err *errkind.Error) result {
 	if err != nil {
 		return result{binding: b, err: err}
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/retry"
 )
 
-// BenchmarkServe measures a request through the proxy with a Sender that
-// answers at once: with every part, without them, and with hedging armed.
+// BenchmarkServe measures a request through the proxy with a Sender that responds at once:
+// without budget and limiter, with them, and with a hedge timer as well.
 func BenchmarkServe(b *testing.B) {
 	sender := senderFunc(func(context.Context, string, *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 		return ok(), nil
--- a/internal/proxy/customer.go
+++ b/internal/proxy/customer.go
@@ -10,35 +10,35 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// This file finds the customer that a request belongs to, and keeps customers to their
-// quotas.
+// This file identifies the customer of a request and enforces customer quotas.
 
-// Quotas keeps the customers' requests to their quotas over all entry hosts. Its methods run
-// on traffic goroutines.
+// Quotas enforces the customers' quotas over all entry hosts. Its methods are called on
+// traffic goroutines.
 type Quotas interface {
-	// Take uses room for one request of a customer. If there is none, wait says when there
-	// may be. It returns early when ctx ends.
+	// Take takes quota for one request of a customer. If none is left, wait is the time
+	// until some may be available. It returns early when ctx ends.
 	Take(ctx context.Context, c *config.Customer) (wait time.Duration, ok bool)
-	// Return gives back room that was taken for a request which did not run.
+	// Return returns the quota of a request that did not run.
 	Return(c *config.Customer)
 }
 
-// WithQuotas keeps to quotas through q. Without it there are none.
+// WithQuotas enforces quotas through q. Without it, requests are not limited.
 func WithQuotas(q Quotas) Option { return func(p *Proxy) { p.quotas = q } }
 
-// WithKeysKnown has requests with a key refused while known reports that keys may have been
-// revoked of which this host does not know. It runs on traffic goroutines.
+// WithKeysKnown refuses requests with a key while known returns false, which means that
+// this host may have missed a revocation. Known is called on traffic goroutines.
 func WithKeysKnown(known func() bool) Option { return func(p *Proxy) { p.keysKnown = known } }
 
-// caller is whose a request is.
+// caller is the origin of a request.
 type caller struct {
 	customer   *config.Customer // nil without a key
 	key        config.KeyDigest
-	quotaWait  time.Duration // until there is room in the quota, as it said
-	holdsQuota bool          // room of the quota
+	quotaWait  time.Duration // until quota may be available, from Quotas.Take
+	holdsQuota bool          // quota was taken and not returned
 }
 
-// identify finds the customer by the request's key, and has upstreams told its name alone.
+// identify finds the customer by the request's key. Upstreams get the customer's name, but
+// not the key.
 func (x *exchange) identify(t *routing.Table) *errkind.Error {
 	d := x.proxy.dialect
 	if t.Customers == nil || d.Key == "" {
@@ -54,7 +54,7 @@
 		return x.unknownKey(len(keys))
 	}
 	if x.proxy.keysKnown != nil && !x.proxy.keysKnown() {
-		return errkind.New(errkind.NotReady, "keys may have been revoked unknown to this host")
+		return errkind.New(errkind.NotReady, "customer keys on this host may be out of date")
 	}
 	key := config.DigestKey(keys[0])
 	c := t.Customers.ByKey(key)
@@ -71,19 +71,19 @@
 	return nil
 }
 
-// unknownKey refuses a request with a number of keys.
+// unknownKey returns the error for a request without a single valid key.
 func (x *exchange) unknownKey(keys int) *errkind.Error {
 	switch keys {
 	case 0:
 		return errkind.New(errkind.UnknownKey, "no key")
 	case 1:
-		return errkind.New(errkind.UnknownKey, "the key is not known")
+		return errkind.New(errkind.UnknownKey, "unknown key")
 	}
-	return errkind.New(errkind.UnknownKey, "several keys")
+	return errkind.New(errkind.UnknownKey, "more than one key")
 }
 
-// stillKnown refuses a request whose key was revoked, or went to another customer, while it
-// waited.
+// checkKeyValid returns an error if, while the request waited, its key was revoked or
+// reassigned to another customer.
 func (x *exchange) checkKeyValid() *errkind.Error {
 	c := x.caller.customer
 	if c == nil {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// withinQuota takes room of the customer's quota.
+// takeQuota takes quota of the customer for this request.
 func (x *exchange) takeQuota(ctx context.Context) *errkind.Error {
 	c := x.caller.customer
 	if c == nil || x.proxy.quotas == nil || c.RatePerSecond == 0 {
@@ -118,7 +118,7 @@
 	return errkind.New(errkind.QuotaExceeded, "customer "+c.Name)
 }
 
-// returnRoom gives back the room of a request that is refused and did not run.
+// returnQuota returns the quota of a refused request that did not run.
 func (x *exchange) returnQuota(answer errkind.Answer) {
 	if x.caller.holdsQuota && answer.Outcome == errkind.NotRun {
 		x.caller.holdsQuota = false
@@ -126,7 +126,7 @@
 	}
 }
 
-// priority is the customer's, or else the rule's.
+// priority returns the customer's priority, or the rule's if the customer has none.
 func (x *exchange) priority() config.Priority {
 	if c := x.caller.customer; c != nil && c.Priority != "" {
 		return c.Priority
--- a/internal/proxy/customer_test.go
+++ b/internal/proxy/customer_test.go
@@ -18,7 +18,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// keyedTable is the document in force with customers whose keys are their names.
+// keyedTable returns a routing table with customers whose keys are their names.
 func keyedTable(revision uint64, s *config.Service, names ...string) *routing.Table {
 	t := routing.Compile(revision, []*config.Service{s}, groupsFunc(lateBinding))
 	var list []config.Customer
@@ -36,7 +36,8 @@
 	return req
 }
 
-// TestKeyRevokedWhileWaiting: a request in the queue whose key is revoked runs nowhere.
+// TestKeyRevokedWhileWaiting checks that a queued request is refused if its key is revoked
+// before it is sent.
 func TestKeyRevokedWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -63,18 +64,18 @@
 		waiting := make(chan *httpwire.Response, 1)
 		go func() { waiting <- p.Serve(t.Context(), requestOf("a")) }()
 		synctest.Wait()
-		is.Equal(sends.Load(), sent) // it waits
+		is.Equal(sends.Load(), sent) // it is queued
 		p.SetTable(keyedTable(2, s, "b"))
 		close(busy)
 		resp := <-waiting
 		is.Equal(resp.Status, http.StatusUnauthorized)
 		is.Equal(resp.Header.Get(HeaderOutcome), errkind.NotRun.String())
 		synctest.Wait()
-		is.Equal(sends.Load(), int64(s.Groups[0].Upstreams[0].Slots)) // those of b alone
+		is.Equal(sends.Load(), int64(s.Groups[0].Upstreams[0].Slots)) // only those of b
 	})
 }
 
-// fakeQuotas grants some requests.
+// fakeQuotas grants a fixed number of requests.
 type fakeQuotas struct {
 	room     int
 	returned int
@@ -90,8 +91,8 @@
 
 func (q *fakeQuotas) Return(*config.Customer) { q.room, q.returned = q.room+1, q.returned+1 }
 
-// TestQuota: a request beyond it is told when to come back, and one that takes room and does
-// not run gives it back.
+// TestQuota checks that a request over the quota gets a Retry-After, and that a request that
+// took quota and did not run returns it.
 func TestQuota(t *testing.T) {
 	is := is.New(t)
 	answer := ok()
@@ -113,8 +114,8 @@
 	is.Equal(p.Serve(t.Context(), requestOf("x")).Status, http.StatusUnauthorized)
 }
 
-// TestCustomersPriority goes before the rule's.
-func TestCustomersPriority(t *testing.T) {
+// TestCustomerPriority checks that a customer's priority overrides the rule's.
+func TestCustomerPriority(t *testing.T) {
 	is := is.New(t)
 	x := &exchange{rule: &routing.Rule{Config: &config.Rule{Priority: config.PriorityLow}}}
 	is.Equal(x.priority(), config.PriorityLow)
--- a/internal/proxy/deadline.go
+++ b/internal/proxy/deadline.go
@@ -11,8 +11,9 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-// limitDeadline sets the earlier of the rule's and the caller's deadline. A
-// caller's value that is not a positive number of milliseconds is ignored.
+// limitDeadline sets and returns the request's deadline, which is the earlier of the
+// rule's and the caller's. A caller's value that is not a positive number of
+// milliseconds is ignored.
 func (x *exchange) limitDeadline() time.Time {
 	limit := x.rule.Config.Deadline.Std()
 	if value := x.req.Header.Get(x.proxy.dialect.Timeout); value != "" {
@@ -25,17 +26,17 @@
 	return x.deadline
 }
 
-// left is the time to the deadline.
+// timeLeft returns the time until the deadline.
 func (x *exchange) timeLeft() time.Duration { return clock.Until(x.deadline) }
 
-// timeoutValue tells an upstream how much of the deadline is left, in whole
-// milliseconds.
+// timeoutValue returns the time left for the upstream, in whole milliseconds and at
+// least 1.
 func (x *exchange) timeoutValue() string {
 	return strconv.FormatInt(max(x.timeLeft().Milliseconds(), 1), 10)
 }
 
-// expired reports the end of ctx, or a passed deadline, before anything was
-// sent.
+// expired returns an error if ctx has ended or the deadline has passed before the request
+// was sent.
 func (x *exchange) expired(ctx context.Context) *errkind.Error {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return errkind.New(errkind.CallerGone, "before send")
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -13,52 +13,54 @@
 	"github.com/dapplespindle/dapplespindle/pkg/rest"
 )
 
-// Dialect is how requests and answers are spoken: the names of headers and the
-// forms of their values. It decides nothing. All fields are set before the
-// proxy is built and not changed afterwards.
+// Dialect defines the names of headers and the formats of their values in requests and
+// responses. It makes no decisions. All fields are set before the proxy is created and
+// not changed afterwards.
 type Dialect struct {
 	// RequestID is the header with the caller's request id.
 	RequestID string
 	// Timeout is the header with the time left, in milliseconds.
 	Timeout string
-	// Expect is the header that names the upstream which a request is for; any
-	// other refuses it. Empty is not sent.
+	// Expect is the header that names the upstream for which a request is intended; any
+	// other upstream refuses it. If empty, the header is not sent.
 	Expect string
-	// Signature is the header without which a success is not the upstream's own
-	// answer. Empty is not asked for.
+	// Signature is the header without which a success is not taken as the upstream's own
+	// response. If empty, no signature is required.
 	Signature string
-	// Key is the header with a customer's key, of which upstreams are told nothing, and
-	// Customer the one that tells them the customer's name. Empty reads no keys.
+	// Key is the header with a customer's key, which is not forwarded to upstreams, and
+	// Customer the header that gives them the customer's name. If Key is empty, no keys are
+	// read.
 	Key, Customer string
-	// Echoes states that upstreams return the request id in their answers.
+	// EchoesRequestID is set if upstreams return the request ID in their responses.
 	Echoes bool
-	// Annotates states that the product's own headers are sent: what the caller
-	// learns of the outcome, and what the layers below learn of the way.
+	// SendsOwnHeaders is set if the product's own headers are sent: those that tell the
+	// caller the outcome, and those that tell the layers below the request's path.
 	Annotates bool
-	// FractionalRetryAfter writes Retry-After with fractions of a second.
+	// FractionalRetryAfter is set if Retry-After is written with fractions of a second.
 	FractionalRetryAfter bool
-	// Load reads the load report of an answer.
+	// Load parses the load report of a response.
 	Load func(http.Header) balancer.Report
-	// Cold reads how much longer an upstream stays cold from the answer to a question
-	// about its load; false if it does not say. Nil reads nothing.
+	// Cold parses how much longer an upstream stays cold from the response to a load query;
+	// false if it does not say. If nil, nothing is parsed.
 	Cold func(http.Header) (time.Duration, bool)
 	// NotRun reports whether an upstream declares that it did not run the request.
 	NotRun func(status int, h http.Header) bool
-	// Leaving reports whether an answer says that the upstream leaves. Nil reads nothing.
+	// Leaving reports whether a response declares that the upstream is leaving. If nil,
+	// nothing is parsed.
 	Leaving func(status int, h http.Header) bool
-	// Instance reads which upstream answered a question about its load; empty if it does
-	// not say. Nil reads nothing.
+	// Instance parses the ID of the upstream that responded to a load query; empty if it does
+	// not say. If nil, nothing is parsed.
 	Instance func(http.Header) string
-	// Rest reads for how long an upstream that turned a request away wants nothing more
-	// from this host; 0 if it does not say, an error if its word can't be read. Nil reads
-	// nothing.
+	// Backoff parses how long an upstream that rejected a request wants no more requests
+	// from this host; 0 if it does not say, an error if the value is invalid. If nil, nothing
+	// is parsed.
 	Rest func(status int, h http.Header) (time.Duration, error)
-	// Limit reads what an answer says of the requests a second that the upstream takes from
-	// all hosts together; an error if its word can't be read. Nil reads nothing.
+	// Limit parses the number of requests per second that the upstream accepts from all
+	// hosts together; an error if the value is invalid. If nil, nothing is parsed.
 	Limit func(status int, h http.Header) (ratelimit.Word, error)
 }
 
-// OwnDialect is the product's own: docs/OVERLOAD.md.
+// DefaultDialect returns the product's own dialect, described in docs/OVERLOAD.md.
 func OwnDialect() *Dialect {
 	return &Dialect{
 		RequestID: HeaderRequestID,
@@ -78,8 +80,8 @@
 	}
 }
 
-// ownRest reads the product's own word for rest. An entry host below refuses for the
-// caller's sake, and its time to come back is about that request alone.
+// defaultBackoff parses a backoff in the default dialect. The Retry-After of a refusal by
+// a downstream entry host is not one: it applies to that request alone.
 func defaultBackoff(status int, h http.Header) (time.Duration, error) {
 	if status != http.StatusServiceUnavailable || h.Get(HeaderNotRun) != flagSet || h.Get(HeaderError) != "" {
 		return 0, nil
@@ -90,8 +92,8 @@
 	return rest.Seconds(h.Get(HeaderRetryAfter))
 }
 
-// ownLimit reads the product's own word for a limit. An entry host below speaks for
-// itself where it gives no upstream's answer; a refusal that names none says nothing.
+// defaultLimit parses a limit in the default dialect. Without the header, a refusal, or a
+// response generated by a downstream entry host itself, says nothing about the limit.
 func defaultLimit(status int, h http.Header) (ratelimit.Word, error) {
 	value := h.Get(HeaderLimit)
 	if value == "" && (h.Get(HeaderError) != "" || status == http.StatusServiceUnavailable) {
@@ -100,10 +102,10 @@
 	return ratelimit.Read(value)
 }
 
-// WithDialect speaks d instead of the product's own dialect.
+// WithDialect uses d instead of the default dialect.
 func WithDialect(d *Dialect) Option { return func(p *Proxy) { p.dialect = d } }
 
-// promises are the statuses that tell a caller that the request did not run
+// impliesNotRun reports whether the status tells a caller that the request did not run
 // and never will.
 func impliesNotRun(status int) bool {
 	switch status {
@@ -114,8 +116,8 @@
 	return false
 }
 
-// Mine reports whether an answer belongs to a request: a connection may carry
-// a late second answer to the request before.
+// Matches reports whether a response belongs to a request: a connection may carry a late
+// second response to the previous request.
 func (d *Dialect) Mine(req *httpwire.Request, h http.Header) bool {
 	if !d.Echoes {
 		return true
@@ -124,27 +126,27 @@
 	return echo == "" || echo == req.Header.Get(d.RequestID)
 }
 
-// fault returns why a whole answer can't be passed on, or nil. A success needs
-// the upstream's signature and a body as the upstream has it; a status that
-// promises "not run" needs the upstream's own word, which NotRun has read.
+// checkResponse returns why a complete response can't be returned to the caller, or nil. A
+// success needs the upstream's signature and an unencoded body. A status that implies "not
+// run" needs the upstream's declaration; NotRun has handled responses that have one.
 func (d *Dialect) checkResponse(resp *httpwire.Response) *errkind.Error {
 	if d.Signature == "" {
 		return nil
 	}
 	if resp.Header.Get("Content-Encoding") != "" {
-		return errkind.New(errkind.UpstreamBroken, "encoded body")
+		return errkind.New(errkind.UpstreamBroken, "response body is encoded")
 	}
 	success := resp.Status < http.StatusMultipleChoices
 	if success && resp.Header.Get(d.Signature) == "" {
-		return errkind.New(errkind.UpstreamBroken, "success without signature")
+		return errkind.New(errkind.UpstreamBroken, "success response without signature")
 	}
 	if impliesNotRun(resp.Status) {
-		return errkind.New(errkind.UpstreamBroken, "status "+strconv.Itoa(resp.Status)+" without a declaration that it was not run")
+		return errkind.New(errkind.UpstreamBroken, "status "+strconv.Itoa(resp.Status)+" without a declaration that the request was not run")
 	}
 	return nil
 }
 
-// retryAfter sets the time to come back.
+// retryAfter sets the Retry-After headers.
 func (d *Dialect) retryAfter(h http.Header, wait time.Duration) {
 	if d.FractionalRetryAfter {
 		h[HeaderRetryAfter] = []string{strconv.FormatFloat(wait.Seconds(), 'f', 3, 64)}
--- a/internal/proxy/dialect_test.go
+++ b/internal/proxy/dialect_test.go
@@ -20,7 +20,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// Headers of the dialect that these tests speak.
+// Headers of the dialect of these tests.
 const (
 	testID        = "Test-Id"
 	testTimeout   = "Test-Left"
@@ -38,7 +38,7 @@
 	}
 }
 
-// registeredService has one rule over groups of registered services.
+// registeredService returns a service with one rule over groups of registered services.
 func registeredService(rule config.Rule, weights map[string]int) *config.Service {
 	s := &config.Service{Name: "test", Match: config.Match{PathPrefix: "/"}}
 	for _, name := range []string{"a", "b"} {
@@ -52,7 +52,7 @@
 	return s
 }
 
-// twoOfEach gives each group two upstreams named after it.
+// twoOfEach builds groups with two upstreams each, named after the group.
 func twoOfEach(_ *config.Service, g *config.Group) *routing.Group {
 	members := []*balancer.Upstream{{ID: g.Name + "-1", Address: g.Name + "-1"}, {ID: g.Name + "-2", Address: g.Name + "-2"}}
 	return &routing.Group{Config: g, Picker: leastoutstanding.Builder{}.Build(balancer.Options{}).Update(members)}
@@ -71,8 +71,8 @@
 	return r
 }
 
-// TestAnswersThatAreNotTheUpstreamsOwn: one row for each way in which a whole
-// answer can't be taken at its word.
+// TestAnswersThatAreNotTheUpstreamsOwn has a row for each way in which a complete response
+// is rejected, and for responses that are accepted.
 func TestAnswersThatAreNotTheUpstreamsOwn(t *testing.T) {
 	signed := http.Header{testSignature: {"s"}}
 	encoded := http.Header{testSignature: {"s"}, "Content-Encoding": {"gzip"}}
@@ -80,9 +80,9 @@
 	for name, test := range map[string]struct {
 		status       int
 		header       http.Header
-		lookup, sale int // the caller's status
-		lookups      int // sends of a lookup
-		sales        int
+		lookup, sale int // status that the caller gets
+		lookups      int // attempts of a lookup
+		sales        int // attempts of a sale
 	}{
 		"signed":               {200, signed, 200, 200, 1, 1},
 		"unsigned success":     {200, http.Header{}, 502, 502, 2, 1},
@@ -107,7 +107,7 @@
 			resp := p.Serve(t.Context(), dialectRequest("GET"))
 			is.Equal(resp.Status, test.lookup)
 			is.Equal(int(sends.Load()), test.lookups)
-			is.True(resp.Status != 502 || resp.Header.Get(testSignature) == "") // an answer of ours is not signed
+			is.True(resp.Status != 502 || resp.Header.Get(testSignature) == "") // the proxy's own responses are not signed
 			sends.Store(0)
 			p = dialectProxy(registeredService(sale(), map[string]int{"a": 1}), sender, event.Discard{})
 			resp = p.Serve(t.Context(), dialectRequest("POST"))
@@ -138,10 +138,10 @@
 	is.NoErr(err)
 	is.True(left > 0 && left <= 1000) // the rule's deadline is shorter than the caller's
 	is.Equal(len(got["Connection"])+len(got[headerVia])+len(got[headerForwardedFor])+len(got[HeaderAttempt]), 0)
-	is.Equal(len(resp.Header), 1) // nothing of ours on an upstream's answer
+	is.Equal(len(resp.Header), 1) // no headers are added to an upstream's response
 }
 
-// TestNoIDIsNotInvented: a request without an id reaches the upstream so.
+// TestNoIDIsNotInvented checks that a request without an ID is forwarded without one.
 func TestNoIDIsNotInvented(t *testing.T) {
 	is := is.New(t)
 	sender := senderFunc(func(_ context.Context, _ string, r *httpwire.Request) (*httpwire.Response, *errkind.Error) {
@@ -157,13 +157,13 @@
 	d := testDialect()
 	req := dialectRequest("GET")
 	is.True(d.Mine(req, http.Header{testID: {"id-1"}}))
-	is.True(d.Mine(req, http.Header{})) // its connection says whose it is
+	is.True(d.Mine(req, http.Header{})) // without an ID, the response belongs to the request on its connection
 	is.True(!d.Mine(req, http.Header{testID: {"id-0"}}))
 	is.True(OwnDialect().Mine(req, http.Header{HeaderRequestID: {"id-0"}}))
 }
 
-// TestSplitKeepsItsWeights: over any stretch each group is within one request
-// of its share, also beside a group that fails.
+// TestSplitKeepsItsWeights checks that each group gets its share to within one request, even
+// if another group fails.
 func TestSplitKeepsItsWeights(t *testing.T) {
 	is := is.New(t)
 	sends := make(map[byte]int)
@@ -184,21 +184,22 @@
 	is.Equal(sends['a']+sends['b'], 200)
 }
 
-// TestRefusalsTellWhenToComeBack in seconds with fractions.
-func TestRefusalsTellWhenToComeBack(t *testing.T) {
+// TestRefusalsSetRetryAfter checks the fractional form of Retry-After.
+func TestRefusalsSetRetryAfter(t *testing.T) {
 	is := is.New(t)
 	p := New("127.0.0.1", "test", nil, event.Discard{}, WithRandom(seeded(1)), WithDialect(testDialect()))
 	resp := p.Serve(t.Context(), dialectRequest("GET"))
-	is.Equal(resp.Status, 503) // knows no configuration yet
+	is.Equal(resp.Status, 503) // no configuration yet
 	wait, err := time.ParseDuration(resp.Header.Get(HeaderRetryAfter) + "s")
 	is.NoErr(err)
 	is.True(wait > 0)
 }
 
-// TestShedByUpstreamsComesBackSoon: upstreams that have room refuse a request, and
-// the budget allows no other send. The caller can still be answered in time, if it
-// may come back soon; where others wait for room, it can't.
-func TestShedByUpstreamsComesBackSoon(t *testing.T) {
+// TestRetryAfterOfUpstreamRefusal checks the Retry-After of a request that upstreams refused
+// although no other request was queued, and that can't be retried. The delay must be short,
+// so that the caller can still get a response within its target. It must be longer if
+// requests are queued.
+func TestRetryAfterOfUpstreamRefusal(t *testing.T) {
 	is := is.New(t)
 	const target = 600 * time.Millisecond
 	rule := lookup()
@@ -208,15 +209,15 @@
 	})
 	p := dialectProxy(registeredService(rule, map[string]int{"a": 1}), sender, event.Discard{})
 	longest := func() time.Duration {
-		most := time.Duration(0)
+		longest := time.Duration(0)
 		for range 100 {
 			resp := p.Serve(t.Context(), dialectRequest("GET"))
 			is.Equal(resp.Status, 503)
 			wait, err := time.ParseDuration(resp.Header.Get(HeaderRetryAfter) + "s")
 			is.NoErr(err)
-			most = max(most, wait)
+			longest = max(longest, wait)
 		}
-		return most
+		return longest
 	}
 	is.True(longest() <= target/8)
 	g := p.state.Load().groups[groupName{group: "a"}]
@@ -225,12 +226,12 @@
 	is.True(x.retryAfter(errkind.UpstreamRefused) >= target/retryAfterDivisor)
 	g.waiting.Store(0)
 	is.True(x.retryAfter(errkind.Overloaded) >= target/retryAfterDivisor)
-	rule.TargetLatency = 0 // nothing says what soon is
+	rule.TargetLatency = 0 // without a target, the base delay applies
 	x.proxy.random = func() uint64 { return 1 << 63 }
 	is.Equal(x.retryAfter(errkind.UpstreamRefused), limit.RetryAfterBase/2)
 }
 
-// trailRecorder keeps what Ended was told.
+// requestRecorder records the last call of Ended.
 type requestRecorder struct {
 	codes   []event.Code
 	notable bool
@@ -238,15 +239,15 @@
 	version uint64
 }
 
-func (r *requestRecorder) Ended(trail []event.Event, notable bool) {
+func (r *requestRecorder) Ended(events []event.Event, notable bool) {
 	r.codes, r.notable, r.load = nil, notable, nil
-	for _, e := range trail {
+	for _, e := range events {
 		r.codes = append(r.codes, e.Code)
 		r.version = e.Version
 	}
 }
 
-func TestTrailHoldsTheWholeWay(t *testing.T) {
+func TestRequestLoggerGetsAllEvents(t *testing.T) {
 	is := is.New(t)
 	status := 200
 	sender := senderFunc(func(context.Context, string, *httpwire.Request) (*httpwire.Response, *errkind.Error) {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -13,9 +13,9 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// exchange is the state of one request on this hop. The goroutine that serves
-// the request owns it; a send on a goroutine of its own only reads the fields
-// set before the first send, and guard and those under sendMu.
+// exchange is the state of one request on this hop. It is owned by the goroutine that
+// serves the request. An attempt on another goroutine only reads the fields set before
+// the first attempt, and uses guard and the fields protected by sendMu.
 type exchange struct {
 	proxy    *Proxy
 	req      *httpwire.Request
@@ -31,25 +31,26 @@
 	sent           int
 	tried          []*balancer.Upstream
 	unknown        *errkind.Error // the first failure after which the request may have run
-	first          *errkind.Error // the first failure of a send
+	first          *errkind.Error // the first failure of an attempt
 	noRetry        bool           // an upstream said not to retry
-	failure        *result        // the newest answer of an upstream that says it failed
+	failure        *result        // the latest failure response of an upstream
 	guard          guard
-	borrowAttempts int // hosts that were asked for a turn
+	borrowAttempts int // hosts that were asked for a time slot
 
-	triedBuffer [typicalAttempts]*balancer.Upstream // memory of tried
+	triedBuffer [typicalAttempts]*balancer.Upstream // backing array of tried
 
-	eventLog eventLog // used with Trails
+	eventLog eventLog // used if the proxy has a requestLogger
 
 	sendMu      sync.Mutex
-	requestUsed bool   // req was given to a send
-	values      values // of the headers that are set
+	requestUsed bool   // req was passed to an attempt
+	values      values // backing of the headers that are set
 }
 
-// typicalTries is the number of upstreams tried without more memory.
+// typicalAttempts is the number of attempts that need no allocation for tried.
 const typicalAttempts = 2
 
-// admit finds the rule of the request. A process that was paused learns first.
+// admit finds the rule of the request. A process that was paused refuses requests until it
+// has caught up with its peers.
 func (x *exchange) admit() *errkind.Error {
 	if u := x.proxy.upstreams; u != nil && u.Waking() {
 		return errkind.New(errkind.NotReady, resumingDetail)
@@ -79,7 +80,7 @@
 
 func (x *exchange) repeatable() bool { return x.rule.Config.Repeat == config.Repeatable }
 
-// emit completes and sends a decision event.
+// emit fills in the fields common to all events of the request and emits e.
 func (x *exchange) emit(e event.Event) {
 	e.At = time.Now()
 	e.EntryHost = x.proxy.host
--- a/internal/proxy/executor.go
+++ b/internal/proxy/executor.go
@@ -7,14 +7,14 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// Executor decides whether a non-repeatable request may run here and now. Run
-// sends the request and returns the answer; Execute calls it at most once, on
-// the calling goroutine, and returns its answer or one of its own.
+// Executor decides whether a non-repeatable request may run on this host now. Run
+// sends the request and returns the response. Execute calls it at most once, on the
+// calling goroutine, and returns its response or generates one.
 type Executor interface {
 	Execute(ctx context.Context, req *httpwire.Request, rule *routing.Rule, run func(ctx context.Context) *httpwire.Response) *httpwire.Response
 }
 
-// sendOnce is the Executor without tickets or keys: it runs what arrives.
+// directExecutor is the Executor without tickets or keys. It runs every request.
 type directExecutor struct{}
 
 // Execute implements Executor.
--- a/internal/proxy/fakes_test.go
+++ b/internal/proxy/fakes_test.go
@@ -17,14 +17,14 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// senderFunc is a Sender without sockets.
+// senderFunc adapts a function to Sender.
 type senderFunc func(ctx context.Context, address string, req *httpwire.Request) (*httpwire.Response, *errkind.Error)
 
 func (f senderFunc) Do(ctx context.Context, address string, req *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 	return f(ctx, address, req)
 }
 
-// recorder keeps the events of a test.
+// recorder is an event sink that records events.
 type recorder struct {
 	mu     sync.Mutex
 	events []event.Event
@@ -48,7 +48,7 @@
 	return n
 }
 
-// all returns the events with a code.
+// all returns the recorded events with code c.
 func (r *recorder) all(c event.Code) []event.Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,7 +72,7 @@
 	return ""
 }
 
-// groupsFunc builds compiled groups for tests.
+// groupsFunc adapts a function to the group builder of routing.Compile.
 type groupsFunc func(*config.Service, *config.Group) *routing.Group
 
 func (f groupsFunc) Group(s *config.Service, g *config.Group) *routing.Group { return f(s, g) }
@@ -85,13 +85,13 @@
 	return out
 }
 
-// leastOutstanding never reports a missing slot.
+// leastOutstanding builds groups whose policy never returns ErrNoSlot.
 func leastOutstanding(_ *config.Service, g *config.Group) *routing.Group {
 	members := records(g)
 	return &routing.Group{Config: g, Picker: leastoutstanding.Builder{}.Build(balancer.Options{}).Update(members), Upstreams: members}
 }
 
-// lateBinding reports ErrNoSlot when every upstream is full.
+// lateBinding builds groups whose policy returns ErrNoSlot if every upstream is full.
 func lateBinding(_ *config.Service, g *config.Group) *routing.Group {
 	members := records(g)
 	return &routing.Group{Config: g, Picker: &slotPicker{members: members}, Upstreams: members}
@@ -123,7 +123,7 @@
 	return balancer.Result{Upstream: best, Reason: "free-slot"}, nil
 }
 
-// service returns a document with one upstream group and the given rules.
+// service returns a service with one upstream group and the given rules.
 func service(upstreams int, rules ...config.Rule) *config.Service {
 	s := &config.Service{Name: "test", Match: config.Match{PathPrefix: "/"}, Groups: []config.Group{{Name: "main"}}, Rules: rules}
 	for i := range upstreams {
@@ -145,7 +145,7 @@
 	return config.Rule{Name: "sale", Methods: []string{"POST"}, Repeat: config.NonRepeatable}
 }
 
-// newProxy returns a proxy with the document in force and a fixed seed.
+// newProxy returns a proxy that serves s, with a fixed random seed.
 func newProxy(s *config.Service, groups groupsFunc, sender Sender, events event.Sink) *Proxy {
 	p := New("127.0.0.1", "test", sender, events, WithRandom(seeded(1)))
 	p.SetTable(routing.Compile(1, []*config.Service{s}, groups))
@@ -173,7 +173,7 @@
 	return &httpwire.Response{Status: http.StatusOK, Header: http.Header{}}
 }
 
-// refusal is an upstream's declaration that it did not run the request.
+// refusal returns an upstream's declaration that it did not run the request.
 func refusal() *httpwire.Response {
 	return &httpwire.Response{Status: http.StatusServiceUnavailable, Header: http.Header{HeaderNotRun: {flagSet}}}
 }
--- a/internal/proxy/group.go
+++ b/internal/proxy/group.go
@@ -13,33 +13,35 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// errLimit means that the group's limit is reached, or that others wait.
+// errLimitReached means that the group's limit is reached or that other requests are queued.
 var errLimitReached = errors.New("limit reached")
 
-// groupState is the limit and the queue of one group on this entry host. It
-// outlives snapshots and is safe for concurrent use.
+// groupState holds the limiter and the queue of one group on this entry host. It is
+// carried over between snapshots and is safe for concurrent use.
 type groupState struct {
-	// owner is the service that the lifecycle knows the upstreams under.
+	// serviceName is the service of the upstreams in the lifecycle registry.
 	serviceName string
 	current     currentGroup
 	limiter     *limit.Limiter // nil without a limit
-	// budget is what all rules of a registered service share; else nil.
+	// budget is shared by all rules of a registered service; nil for other groups.
 	budget *retry.Budget
-	// questions bounds how often the upstreams are asked for their load.
+	// queryBudget limits the load queries to the upstreams.
 	queryBudget queryBudget
 	service     queue.ServiceTime
 	excess      limit.Excess
-	// turns are those promised to callers that were refused for want of one.
+	// retrySchedule assigns times to return to callers that were refused because no time
+	// slot was left.
 	retrySchedule limit.RetrySchedule
-	// waiting mirrors the queue's length, so that the usual case takes no lock.
+	// waiting mirrors the queue's length, so that the common case needs no lock.
 	waiting atomic.Int64
-	// held counts the requests that wait, those included that were woken and look for a slot.
+	// pending counts the requests that wait, including those that were woken and are looking
+	// for a slot.
 	pending atomic.Int64
-	// ends counts sends that ended, to notice one between a pick and a push.
+	// finished counts ended attempts, to detect one that ends between a pick and a push.
 	finished atomic.Uint64
-	// inFlight counts this host's requests at the upstreams.
+	// inFlight counts this host's requests in flight at the upstreams.
 	inFlight atomic.Int64
-	// lastWake is when a waiting request was last woken, in Unix nanoseconds.
+	// lastWake is the time when a queued request was last woken, in Unix nanoseconds.
 	lastWake atomic.Int64
 
 	mu    sync.Mutex
@@ -50,8 +52,8 @@
 	return &groupState{serviceName: owner, limiter: limiter, queue: queue.New[*waiter](maxWaiting)}
 }
 
-// configure takes a new snapshot of the group into use, on one of hosts entry
-// hosts.
+// configure applies a new snapshot of the group; hosts is the number of entry hosts that
+// share it.
 func (g *groupState) configure(group *routing.Group, hosts int) {
 	g.current.Store(group)
 	g.limiter.SetBounds(limit.GroupBounds(slotsOf(group.Config), hosts))
@@ -60,14 +62,15 @@
 	g.queue.SetMax(group.Config.Queue.MaxWaiting)
 }
 
-// acquire takes a place in the limit for a request that doesn't wait. It fails
-// while others wait, so that none is overtaken.
+// acquire takes a permit from the limiter for a request that is not queued. It fails
+// while others are queued, so that none of them is overtaken.
 func (g *groupState) acquire(p queue.Priority) bool {
 	return g.waiting.Load() == 0 && g.limiter.Acquire(headroom(p))
 }
 
-// headroom lets the high priority go beyond the limit. The queues that this
-// makes at the upstreams shrink the limit, and so the low priority's share.
+// headroom returns how far a priority may exceed the limit. High priority may: the queues
+// that this builds at the upstreams lower the limit and thereby the share of the low
+// priority.
 func headroom(p queue.Priority) float64 {
 	if p == queue.High {
 		return limit.Headroom
@@ -75,7 +78,7 @@
 	return 0
 }
 
-// release ends a send and wakes the requests that wait for its place.
+// release records the end of an attempt and wakes requests that wait for its permit.
 func (g *groupState) release(now time.Time, f feedback) limit.Reason {
 	if f.outcome == limit.Answered {
 		g.service.Observe(f.latency)
@@ -88,9 +91,9 @@
 	return reason
 }
 
-// wakeCount is the number of waiting requests to wake when one ended: one, and
-// one more where the limit has grown. Waking more lets them race for one slot,
-// and the lower priority may win.
+// wakeCount returns the number of queued requests to wake when an attempt ends: one, and
+// one more if the limit has increased. If more were woken, they would race for one slot
+// and the lower priority might win.
 func wakeCount(reason limit.Reason) int {
 	if reason == limit.Grew || reason == limit.Relearned {
 		return 2
@@ -98,7 +101,7 @@
 	return 1
 }
 
-// push lets w wait. It returns queue.Kept or why it was refused.
+// push adds w to the queue. It returns queue.Queued or the reason of the refusal.
 func (g *groupState) push(now time.Time, w *waiter) queue.Reason {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -110,7 +113,7 @@
 	return reason
 }
 
-// putBack lets w wait on after it was woken and found no slot.
+// requeue returns w to the queue after it was woken and found no slot.
 func (g *groupState) requeue(w *waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -118,8 +121,8 @@
 	g.waiting.Store(int64(g.queue.Len()))
 }
 
-// remove takes w out of the queue. It reports false when w was already taken
-// out and has, or will have, a signal.
+// remove removes w from the queue. It returns false if w was already removed and has
+// received, or will receive, a signal.
 func (g *groupState) remove(w *waiter) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -128,14 +131,14 @@
 	return removed
 }
 
-// wake gives up the requests that can't be served in time and hands a place
-// in the limit to each of the next n.
+// wake drops the requests that can't be served in time and passes a permit to each of the
+// next n.
 func (g *groupState) wake(now time.Time, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.lastWake.Store(now.UnixNano())
-	for _, given := range g.queue.GiveUp(now, g.pace()) {
-		given.Entry.Value.signal <- given.Reason
+	for _, dropped := range g.queue.GiveUp(now, g.pace()) {
+		dropped.Entry.Value.signal <- dropped.Reason
 	}
 	for range n {
 		e := g.queue.Take()
@@ -151,8 +154,8 @@
 	g.waiting.Store(int64(g.queue.Len()))
 }
 
-// hint wakes one waiting request if none was woken for interval: a slot may
-// have become free without an answer to this entry host.
+// recheck wakes one queued request if none was woken for interval: a slot may have become
+// free without a response to this entry host.
 func (g *groupState) recheck(now time.Time, interval time.Duration) {
 	if now.UnixNano()-g.lastWake.Load() >= int64(interval) {
 		g.queryBudget.addRecheck()
@@ -160,7 +163,7 @@
 	}
 }
 
-// pace is how fast this entry host gets answers from the group.
+// pace returns the rate at which this entry host gets responses from the group.
 func (g *groupState) pace() queue.Pace {
 	return queue.Pace{Service: g.service.Mean(), Parallel: int(g.inFlight.Load())}
 }
--- a/internal/proxy/group_test.go
+++ b/internal/proxy/group_test.go
@@ -13,9 +13,9 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// TestPaceOfARegisteredService: its group has no limit that counts the requests at
-// the upstreams, and its queue is served as fast all the same.
-func TestPaceOfARegisteredService(t *testing.T) {
+// TestPaceOfRegisteredService checks that the pace of a registered service counts its
+// requests in flight. Its group has no limiter that could count them.
+func TestPaceOfRegisteredService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		answer := make(chan struct{})
--- a/internal/proxy/guard.go
+++ b/internal/proxy/guard.go
@@ -6,17 +6,17 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-// guard is the invariant that a non-repeatable request is never sent again
-// after a send that may have reached an upstream. It counts on its own, apart
-// from the decisions that should already hold to it.
+// guard enforces the invariant that a non-repeatable request is never sent again after an
+// attempt that may have reached an upstream. It counts independently of the decisions
+// that should already ensure this.
 type guard struct {
 	mu sync.Mutex
-	// open counts the sends that were begun and not proven not to have run.
+	// open counts the started attempts that are not known not to have run.
 	open int
 }
 
-// begin records a send. It reports false when a non-repeatable request has a
-// send that may have run; nothing must be sent then.
+// begin records an attempt. It returns false if the request is non-repeatable and has an
+// attempt that may have run; nothing must be sent then.
 func (g *guard) begin(repeatable bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -27,7 +27,7 @@
 	return true
 }
 
-// end records how a send ended. Only a certain "not run" closes it.
+// end records the result of an attempt. Only a definite "not run" takes it off the count.
 func (g *guard) end(err *errkind.Error) {
 	if err == nil || err.Kind.Answer().Outcome != errkind.NotRun {
 		return
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -15,35 +15,35 @@
 // Headers that the entry host reads or sets. docs/OVERLOAD.md describes the
 // contract with upstreams.
 const (
-	// HeaderRequestID is the caller's request id.
+	// HeaderRequestID is the caller's request ID.
 	HeaderRequestID = "X-Request-Id"
 	// HeaderTimeout is the time left, in milliseconds.
 	HeaderTimeout = "X-Request-Timeout-Ms"
-	// HeaderOutcome on an answer is ran, not-run or unknown.
+	// HeaderOutcome on a response is ran, not-run or unknown.
 	HeaderOutcome = "Dapplespindle-Outcome"
-	// HeaderError on an answer is the error kind.
+	// HeaderError on a response is the error kind.
 	HeaderError = "Dapplespindle-Error"
-	// HeaderUpstream on an answer is the upstream's id.
+	// HeaderUpstream on a response is the upstream's ID.
 	HeaderUpstream = "Dapplespindle-Upstream"
-	// HeaderAttempt counts the sends of a request, from 1. A request that
-	// arrives with a higher number is a retry of the layer above.
+	// HeaderAttempt is the number of the attempt, from 1. A request that arrives with a
+	// higher number is a retry by the layer above.
 	HeaderAttempt = "Dapplespindle-Attempt"
-	// HeaderKey is a customer's key; it goes to no upstream.
+	// HeaderKey is a customer's key; it is not forwarded to upstreams.
 	HeaderKey = "X-Customer-Key"
 	// HeaderCustomer tells an upstream the name of the customer that owns the key.
 	HeaderCustomer = "X-Customer"
-	// HeaderNoRetry on an answer asks the layers above not to retry.
+	// HeaderNoRetry on a response asks the layers above not to retry.
 	HeaderNoRetry = "Dapplespindle-No-Retry"
 	// HeaderNotRun with status 503 declares that the request was not run.
 	HeaderNotRun = "Dapplespindle-Not-Run"
-	// HeaderLoad on an answer is the number of requests in flight at the upstream.
+	// HeaderLoad on a response is the number of requests in flight at the upstream.
 	HeaderLoad = "X-Load-Active"
-	// HeaderLimit on an answer is how many requests a second the upstream takes from all
-	// entry hosts together, for as long as its answers say so.
+	// HeaderLimit on a response is the number of requests per second that the upstream
+	// accepts from all entry hosts together. It applies as long as responses carry it.
 	HeaderLimit = "X-Limit-Per-Second"
 	// HeaderRetryAfter is the standard header, in seconds.
 	HeaderRetryAfter = "Retry-After"
-	// HeaderRetryAfterMs is the same in milliseconds.
+	// HeaderRetryAfterMs is the same delay in milliseconds.
 	HeaderRetryAfterMs = "Dapplespindle-Retry-After-Ms"
 
 	headerForwardedFor = "X-Forwarded-For"
@@ -54,7 +54,7 @@
 	maxRequestIDSize = 64
 )
 
-// requestID returns the caller's id, or a new one.
+// requestID returns the caller's request ID, or a new one.
 func (p *Proxy) requestID(req *httpwire.Request) string {
 	if id := req.Header.Get(p.dialect.RequestID); id != "" && len(id) <= maxRequestIDSize {
 		return id
@@ -62,12 +62,12 @@
 	return p.prefix + strconv.FormatUint(p.nextID.Add(1), 36)
 }
 
-// viaValues is the Via header of a request that came without one.
+// viaValues is the Via header of a request that arrived without one.
 var viaValues = []string{viaValue}
 
-// prepareHeader builds what all sends of the request have in common. All other
-// end-to-end headers, such as traceparent, are carried on as they are. The
-// request belongs to the proxy, so that its map is used.
+// prepareHeader sets the headers that all attempts of the request share. Other
+// end-to-end headers, such as traceparent, are forwarded unchanged. The proxy owns the
+// request, so its header map is modified in place.
 func (x *exchange) prepareHeader() {
 	httpwire.RemoveHopByHop(x.req.Header)
 	if !x.proxy.dialect.Annotates {
@@ -86,7 +86,7 @@
 	}
 }
 
-// appended joins value to a list header without touching the old slice.
+// appended returns a list header with value added. It does not modify the old slice.
 func (x *exchange) appended(old []string, value string) []string {
 	if len(old) == 0 {
 		return x.values.one(value)
@@ -94,10 +94,9 @@
 	return append(slices.Clip(old), value)
 }
 
-// attemptRequest returns the request for one send. The first to be sent is
-// the caller's own, with its map; the next, which may run beside it, has a
-// copy. The lock orders the copy behind what is set in the map here; nothing
-// is set in it afterwards.
+// attemptRequest returns the request for one attempt. The first attempt uses the caller's
+// request with its header map; later ones, which may run concurrently, use a copy. The lock
+// orders the copy after the writes to the map here; the map is not written afterwards.
 func (x *exchange) attemptRequest(b binding) *httpwire.Request {
 	x.sendMu.Lock()
 	defer x.sendMu.Unlock()
@@ -121,17 +120,17 @@
 	return req
 }
 
-// valueSlots is the number of header values that a request sent twice needs.
+// valueSlots is the number of header values of a request with two attempts.
 const valueSlots = 6
 
-// values holds the values of a request's headers with one value, so that each
-// needs no memory of its own. One goroutine may use it at a time.
+// values is a buffer for the header values of a request, which avoids an allocation for
+// each single-valued header. It is not safe for concurrent use.
 type values struct {
 	slots [valueSlots]string
 	used  int
 }
 
-// one returns a list of one value. It has no room, so that appending copies.
+// one returns a slice of one value. It has no spare capacity, so that append copies it.
 func (v *values) one(value string) []string {
 	if v.used == valueSlots {
 		return []string{value}
@@ -142,7 +141,8 @@
 	return v.slots[at:v.used:v.used]
 }
 
-// attemptValue marks every send below a retry as a retry, at any depth.
+// attemptValue returns the attempt header. Below a retry, every attempt is marked as a
+// retry, at any depth.
 func (x *exchange) attemptValue(n int) string {
 	if x.isRetry {
 		n++
@@ -153,13 +153,13 @@
 func arrivedAsRetry(h http.Header) bool {
 	value := h.Get(HeaderAttempt)
 	if value == "" {
-		return false // the usual case; a failed conversion allocates
+		return false // the common case; a failed conversion allocates
 	}
 	n, err := strconv.Atoi(value)
 	return err == nil && n > 1
 }
 
-// callerIP returns the IP of an address that it has checked.
+// callerIP returns the IP of a valid IP:port address, or an empty string.
 func callerIP(remote string) string {
 	if _, err := netip.ParseAddrPort(remote); err != nil {
 		return ""
@@ -171,7 +171,7 @@
 	return ip
 }
 
-// ownLoad reads the product's own load report: the requests in flight.
+// defaultLoad parses the load report of the default dialect: the requests in flight.
 func defaultLoad(h http.Header) balancer.Report {
 	value := h.Get(HeaderLoad)
 	if value == "" {
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -15,13 +15,13 @@
 	"github.com/dapplespindle/dapplespindle/pkg/retry"
 )
 
-// percent is the whole of a percentile.
+// percent converts between percentages and fractions.
 const percent = 100
 
-// hedgeDelay returns how long to wait for the answer to b before a second send,
-// or 0 for no hedging. Where the rule sets no delay, it is the policy's word on
-// when the answer is overdue. A percentile without enough samples hedges only
-// after a fixed delay, if the rule sets one.
+// hedgeDelay returns how long to wait for the response to b before a hedge, or 0 for no
+// hedging. If the rule sets no delay, it is the time after which the policy considers the
+// response overdue. While a percentile has too few samples, only the rule's fixed delay
+// applies, if it sets one.
 func (x *exchange) hedgeDelay(b binding) time.Duration {
 	rule := x.rule.Config.Retry
 	if !x.repeatable() || x.isRetry || x.sent >= rule.MaxAttempts {
@@ -40,29 +40,28 @@
 	return delay
 }
 
-// hedge is the second send of one request, if there is one. The goroutine that
-// serves the request makes the first send itself; a timer starts the second, so
-// that a request which is answered in time costs no goroutine.
+// hedge coordinates the first attempt of a request with its hedge, the second one. The
+// goroutine that serves the request makes the first attempt itself; a timer starts the
+// second, so that a request with a timely response needs no extra goroutine.
 type hedge struct {
 	x      *exchange
 	delay  time.Duration
 	ctx    context.Context
-	cancel context.CancelFunc // ends both sends
+	cancel context.CancelFunc // ends both attempts
 
-	// mu orders the start of the second send against the end of the first. The
-	// exchange belongs to the timer's goroutine while it holds mu.
+	// mu orders the start of the second attempt against the end of the first. While it
+	// holds mu, the timer's goroutine owns the exchange.
 	mu      sync.Mutex
 	timer   *time.Timer
-	noRoom  bool // the second send found no room, and tries again
-	ended   bool // the first send has ended
-	won     bool // the second was answered before
+	noRoom  bool // no permit or slot was free for the second attempt; it is tried again
+	ended   bool // the first attempt has ended
+	won     bool // the second attempt got a response before the first ended
 	second  binding
-	results chan result // nil without a second send
+	results chan result // nil without a second attempt
 }
 
-// sendHedged sends b and, if no answer comes in time and every bound allows
-// it, a second time to another upstream. The first answer wins and the other
-// send is cancelled.
+// sendHedged sends b and, if no response arrives in time and every limit allows it, a hedge
+// to another upstream. The first response wins and the other attempt is cancelled.
 func (x *exchange) sendHedged(ctx context.Context, b binding) result {
 	delay := x.hedgeDelay(b)
 	if delay == 0 {
@@ -82,7 +81,7 @@
 	h.timer = time.AfterFunc(delay, h.run)
 }
 
-// run makes the second send on the timer's goroutine.
+// run makes the second attempt on the timer's goroutine.
 func (h *hedge) run() {
 	if !h.start() {
 		return
@@ -98,9 +97,8 @@
 	}
 }
 
-// start binds the second send, unless the first has ended. Where the limit or
-// the upstreams have no room now, it tries again: other requests that are stuck
-// may hold it.
+// start binds the second attempt, unless the first has ended. If no permit or slot is
+// free now, it rearms the timer: stuck requests may hold them.
 func (h *hedge) start() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -120,8 +118,8 @@
 	return true
 }
 
-// settle returns the first answer, or the second failure. First is the end of
-// the first send, which is its cancellation when the second has won.
+// resolve returns the first response, or the second failure. First is the result of the
+// first attempt, which is its cancellation if the second has won.
 func (h *hedge) resolve(first result) result {
 	h.mu.Lock()
 	h.ended = true
@@ -140,7 +138,7 @@
 		return x.recordIfFailed(<-results)
 	}
 	select {
-	case r := <-results: // it has failed already
+	case r := <-results: // it has already failed
 		x.recordIfFailed(r)
 	default:
 		x.emit(event.Event{Code: event.HedgeCancelled, Upstream: second.upstream.ID, Attempt: second.number})
@@ -148,12 +146,12 @@
 	return first
 }
 
-// errHedgeDenied means that a bound on extra sends denied the second send.
+// errHedgeDenied means that a limit on extra attempts denied the hedge.
 var errHedgeDenied = errors.New("hedge denied")
 
-// bindHedge binds a second send without waiting for a slot. Again is true when
-// it found no room before; the event about that is not repeated.
-func (x *exchange) bindHedge(ctx context.Context, delay time.Duration, again bool) (binding, error) {
+// bindHedge binds a second attempt without waiting for a slot. Retried is set if an earlier
+// try found no permit or slot; the event is then not repeated.
+func (x *exchange) bindHedge(ctx context.Context, delay time.Duration, retried bool) (binding, error) {
 	reason := retry.Decide(x.attemptState(errkind.None), x.state.budget)
 	if reason != retry.Allowed {
 		x.hedgeDenied(reason, delay)
@@ -162,7 +160,7 @@
 	b, err := x.tryHedge(ctx, x.sent+1)
 	if err != nil {
 		x.state.budget.Refund()
-		if !again {
+		if !retried {
 			x.hedgeDenied(retry.DeniedNoOtherUpstream, delay)
 		}
 		return binding{}, err
@@ -176,7 +174,7 @@
 	x.emit(event.Event{Code: event.HedgeDenied, Attempt: x.sent + 1, Reason: string(reason), Value: delay.Microseconds()})
 }
 
-// record keeps what a failed send means for the request.
+// recordIfFailed records the failure of r, if any, and returns r.
 func (x *exchange) recordIfFailed(r result) result {
 	if r.err != nil {
 		x.recordFailure(r)
@@ -184,9 +182,9 @@
 	return r
 }
 
-// tryHedge binds send number n as a hedge. Its request holds a place in the
-// limit already, and an upstream that is stuck holds many: so a hedge may go
-// beyond the limit as far as the high priority, and past those who wait.
+// tryHedge binds attempt number n as a hedge. Its request already holds a permit, and a
+// stuck upstream holds many, so a hedge may exceed the limit as far as the high priority
+// does, and bypasses the queue.
 func (x *exchange) tryHedge(ctx context.Context, n int) (binding, error) {
 	g := x.state.group
 	if !g.limiter.Acquire(limit.Headroom) {
@@ -195,7 +193,7 @@
 	return x.pickOrRelease(ctx, n, true)
 }
 
-// tryBind binds send number n if a place in the limit and a slot are free now.
+// tryBind binds attempt number n if a permit and a slot are free now.
 func (x *exchange) tryBind(ctx context.Context, n int) (binding, error) {
 	g := x.state.group
 	if !g.acquire(priorityOf(x.priority())) {
@@ -204,9 +202,10 @@
 	return x.pickOrRelease(ctx, n, false)
 }
 
-// pickHeld picks with a place in the limit held, or gives it back.
-func (x *exchange) pickOrRelease(ctx context.Context, n int, extra bool) (binding, error) {
-	b, err := x.pick(ctx, n, 0, extra)
+// pickOrRelease picks an upstream while holding a permit, and releases the permit if it
+// fails.
+func (x *exchange) pickOrRelease(ctx context.Context, n int, isHedge bool) (binding, error) {
+	b, err := x.pick(ctx, n, 0, isHedge)
 	if err != nil {
 		x.state.group.limiter.Release(limit.Sample{Outcome: limit.Ignored})
 	}
--- a/internal/proxy/hedge_measure_test.go
+++ b/internal/proxy/hedge_measure_test.go
@@ -17,21 +17,21 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// Stalls of the hedging measurement: one answer in stallOneIn takes stallTime
-// longer, as on a machine with noisy neighbours.
+// Stalls of the hedging measurement: one response in stallEvery takes stallTime longer, as
+// on a machine with noisy neighbours.
 const (
 	stallEvery = 50
 	stallTime  = 50 * time.Millisecond
-	hedgeSpan  = 20 * time.Second // virtual
+	hedgeSpan  = 20 * time.Second // virtual time
 )
 
-// hedging is the setting of one row.
+// hedging is the configuration of one table row.
 type hedging struct {
 	name  string
 	retry config.Retry
 }
 
-// TestMeasureHedging prints the table of make measure-overload.
+// TestMeasureHedging prints the hedging table of make measure-overload.
 func TestMeasureHedging(t *testing.T) {
 	skipUnlessMeasuring(t)
 	fmt.Printf("1 entry host, 10 upstreams of %d slots, mean %s, log-normal; 1 in %d stalls %s; %s virtual; budget 10 %%\n",
@@ -58,7 +58,8 @@
 	}
 }
 
-// simulateHedging returns the sorted latencies of good answers and the sends.
+// simulateHedging returns the sorted latencies of successful requests and the number of
+// attempts.
 func simulateHedging(t *testing.T, load float64, r config.Retry) ([]time.Duration, int) {
 	var latencies []time.Duration
 	sends := 0
--- a/internal/proxy/limiting_test.go
+++ b/internal/proxy/limiting_test.go
@@ -21,31 +21,34 @@
 	"github.com/dapplespindle/dapplespindle/pkg/turns"
 )
 
-// This file has upstreams that name limits, and a fleet of hosts in front of them.
+// This file simulates upstreams that announce rate limits and a fleet of hosts in front of
+// them.
 
-// Of what upstreams that name a limit bear.
+// Arrivals that an upstream with a limit tolerates.
 const (
 	rateWindow  = 4 * time.Second
 	rateOverage = 1.5
 	rateSlack   = 5
-	// limitKnown is when all hosts keep to a limit after it was first named.
+	// limitPropagation is the time from the first announcement of a limit until all hosts
+	// respect it.
 	limitPropagation = time.Second
 )
 
-// limiting are upstreams that name limits in their answers, by their addresses.
+// limitedUpstreams is a Sender whose upstreams announce limits in their responses. All maps
+// are keyed by address.
 type limitedUpstreams struct {
-	mu       sync.Mutex
-	limits   map[string]string // empty names none
-	rejects  map[string]bool   // answers 503 and runs nothing
-	work     time.Duration
-	arrivals map[string][]time.Time
+	mu          sync.Mutex
+	limits      map[string]string // empty announces none
+	rejects     map[string]bool   // responds with a refusal
+	serviceTime time.Duration
+	arrivals    map[string][]time.Time
 }
 
 func newLimitedUpstreams() *limitedUpstreams {
-	return &limitedUpstreams{limits: make(map[string]string), rejects: make(map[string]bool), work: 60 * time.Millisecond, arrivals: make(map[string][]time.Time)}
+	return &limitedUpstreams{limits: make(map[string]string), rejects: make(map[string]bool), serviceTime: 60 * time.Millisecond, arrivals: make(map[string][]time.Time)}
 }
 
-// name makes upstreams name a limit, or none if it is empty.
+// setLimit makes upstreams announce a limit, or none if it is empty.
 func (u *limitedUpstreams) setLimit(limit string, upstreams ...string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -57,17 +60,17 @@
 func (u *limitedUpstreams) Do(ctx context.Context, address string, _ *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 	u.mu.Lock()
 	u.arrivals[address] = append(u.arrivals[address], clock.Now())
-	fails := u.rejects[address]
+	rejects := u.rejects[address]
 	u.mu.Unlock()
-	if !fails {
+	if !rejects {
 		select {
-		case <-time.After(u.work):
+		case <-time.After(u.serviceTime):
 		case <-ctx.Done():
 			return nil, errkind.New(errkind.CallerGone, "fake")
 		}
 	}
 	resp := ok()
-	if fails {
+	if rejects {
 		resp = refusal()
 	}
 	u.mu.Lock()
@@ -78,7 +81,7 @@
 	return resp, nil
 }
 
-// between counts the requests at upstreams from a moment on and before another.
+// countBetween counts the arrivals at upstreams in [from, to).
 func (u *limitedUpstreams) countBetween(from, to time.Time, upstreams ...string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -93,22 +96,22 @@
 	return n
 }
 
-// most returns the most that an upstream got in limitWindow, between two moments.
+// maxInWindow returns the maximum arrivals of an upstream in any rateWindow in [from, to].
 func (u *limitedUpstreams) maxInWindow(id string, from, to time.Time) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	times := slices.DeleteFunc(slices.Clone(u.arrivals[id]), func(at time.Time) bool { return at.Before(from) || at.After(to) })
-	most, first := 0, 0
+	highest, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) > rateWindow {
 			first++
 		}
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
 
-// borne is what an upstream that names a limit bears in limitWindow.
+// allowedInWindow returns the arrivals in rateWindow that an upstream with a limit tolerates.
 func allowedInWindow(limit string) int {
 	perSecond, err := strconv.ParseFloat(limit, 64)
 	if err != nil {
@@ -119,36 +122,36 @@
 
 // limitHost is one host of a fleet.
 type limitHost struct {
-	Upstreams // panics where a test meets what it does not expect
+	Upstreams // nil: methods that a test does not expect panic
 	fleet     *limitFleet
 	proxy     *Proxy
 	schedule  *turns.Turns
 	registry  *ratelimit.Book
 	snapshot  *lifecycle.Snapshot
-	isolated  bool // hears nothing of other hosts, nor they of it
+	isolated  bool // exchanges no messages with other hosts
 }
 
 func (h *limitHost) Snapshot() *lifecycle.Snapshot { return h.snapshot }
 func (h *limitHost) Waking() bool                  { return false }
 func (h *limitHost) Reported(string, time.Time)    {}
 
-// newsTakes is the way of news between hosts.
+// peerDelay is the one-way delay of messages between hosts.
 const peerDelay = 2 * time.Millisecond
 
-// LimitHeard tells the other hosts.
+// LimitChanged sends the limit to the other hosts.
 func (h *limitHost) LimitHeard(u *balancer.Upstream) {
-	news, known := u.Limit.News(clock.Now())
+	update, known := u.Limit.News(clock.Now())
 	if !known || h.isolated {
 		return
 	}
 	for _, other := range h.fleet.hosts {
 		if other != h && !other.isolated {
-			time.AfterFunc(peerDelay, func() { other.registry.Hear(clock.Now(), []ratelimit.News{news}) })
+			time.AfterFunc(peerDelay, func() { other.registry.Hear(clock.Now(), []ratelimit.News{update}) })
 		}
 	}
 }
 
-// Borrow implements Lenders.
+// Borrow implements SlotBorrower.
 func (h *limitHost) Borrow(_ context.Context, host int, server ratelimit.Server) bool {
 	time.Sleep(peerDelay)
 	lender := h.fleet.hosts[host]
@@ -157,7 +160,7 @@
 	return lent
 }
 
-// limitFleet is hosts in front of the same upstreams, in virtual time.
+// limitFleet is a set of hosts in front of the same upstreams, in virtual time.
 type limitFleet struct {
 	hosts     []*limitHost
 	upstreams *limitedUpstreams
@@ -165,12 +168,12 @@
 	random    *rand.Rand
 }
 
-// newLimitFleet starts hosts, of which the first is number 0.
+// newLimitFleet creates a fleet. The first host has position 0.
 func newLimitFleet(hosts, upstreams int, policy string, rules ...config.Rule) *limitFleet {
 	f := &limitFleet{upstreams: newLimitedUpstreams(), random: rand.New(rand.NewPCG(7, 7))}
-	document := service(upstreams, rules...)
-	document.Groups[0].Policy = policy
-	for _, u := range document.Groups[0].Upstreams {
+	s := service(upstreams, rules...)
+	s.Groups[0].Policy = policy
+	for _, u := range s.Groups[0].Upstreams {
 		f.ids = append(f.ids, u.ID)
 	}
 	for i := range hosts {
@@ -178,13 +181,13 @@
 		h.schedule.Set(clock.Now(), turns.Place{Self: i, Hosts: hosts})
 		h.registry = ratelimit.NewBook(h.schedule)
 		h.proxy = New("127.0.0.1", "test", f.upstreams, new(recorder), WithRandom(seeded(uint64(i+1))), WithUpstreams(h), WithLenders(h))
-		h.proxy.SetTable(routing.Compile(1, []*config.Service{document}, groupsFunc(h.group)))
+		h.proxy.SetTable(routing.Compile(1, []*config.Service{s}, groupsFunc(h.group)))
 		f.hosts = append(f.hosts, h)
 	}
 	return f
 }
 
-// group builds a group whose records know limits.
+// group builds a group whose upstream records track limits.
 func (h *limitHost) group(_ *config.Service, g *config.Group) *routing.Group {
 	members := records(g)
 	for _, u := range members {
@@ -198,7 +201,7 @@
 	return &routing.Group{Config: g, Picker: picker, Upstreams: members}
 }
 
-// asking is the calls of a while, and how they ended.
+// callLog records calls and their responses.
 type callLog struct {
 	mu        sync.Mutex
 	responses []loggedResponse
@@ -209,7 +212,7 @@
 	sentAt, answeredAt time.Time
 }
 
-// refused returns the answers that are not a success.
+// refused returns the responses that are not a success.
 func (a *callLog) refused() []loggedResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -222,8 +225,8 @@
 	return len(a.responses)
 }
 
-// press has each host get requests at random moments for a while, so many a second; host i
-// gets those of loads[i] modulo their number.
+// sendLoad sends requests to each host for a duration, with exponential inter-arrival times.
+// Host i gets loads[i%len(loads)] requests per second. It waits for all responses.
 func (f *limitFleet) sendLoad(method string, lasts time.Duration, loads ...float64) *callLog {
 	out := new(callLog)
 	var all sync.WaitGroup
--- a/internal/proxy/overdue_test.go
+++ b/internal/proxy/overdue_test.go
@@ -21,10 +21,10 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// testOverdue is when the policy of these tests calls an answer overdue.
+// testOverdue is the time after which the policy of these tests considers a response overdue.
 const testOverdue = 20 * time.Millisecond
 
-// overduePicker is least outstanding with an opinion, and keeps the outcomes.
+// overduePicker is least outstanding with an overdue time. It records the outcomes.
 type overduePicker struct {
 	balancer.Picker
 	mu       sync.Mutex
@@ -48,10 +48,10 @@
 	return &routing.Group{Config: g, Picker: p}
 }
 
-// stuckFirst never answers a first send, and answers a second at once.
+// stuckFirst never responds to a first attempt, and responds to a second one at once.
 type stuckFirst struct {
 	mu    sync.Mutex
-	sends map[string][]string // upstreams by request
+	sends map[string][]string // upstreams by request ID
 }
 
 func (s *stuckFirst) Do(ctx context.Context, address string, req *httpwire.Request) (*httpwire.Response, *errkind.Error) {
@@ -66,8 +66,8 @@
 	return nil, errkind.Wrap(errkind.DeadlineAfterSend, ctx.Err(), address)
 }
 
-// TestHedgeWhenOverdue checks where the delay comes from, and that the loser
-// ends as cancelled.
+// TestHedgeWhenOverdue checks which setting determines the hedge delay, and that the losing
+// attempt is reported as cancelled.
 func TestHedgeWhenOverdue(t *testing.T) {
 	const callerTimeout = 100 * time.Millisecond
 	tests := []struct {
@@ -76,7 +76,7 @@
 		took  time.Duration
 		sends int
 	}{
-		{"the policy's word by default", config.Retry{}, testOverdue, 2},
+		{"the policy's delay by default", config.Retry{}, testOverdue, 2},
 		{"off", config.Retry{Hedge: config.HedgeOff}, callerTimeout, 1},
 		{"the rule's own delay", config.Retry{HedgeAfter: config.Duration(30 * time.Millisecond)}, 30 * time.Millisecond, 2},
 		{"a percentile without samples", config.Retry{HedgePercentile: 95}, callerTimeout, 1},
@@ -99,7 +99,7 @@
 				synctest.Wait()
 				for _, to := range sender.sends {
 					is.Equal(len(to), tt.sends)
-					is.Equal(len(slices.Compact(slices.Sorted(slices.Values(to)))), tt.sends) // never twice to one upstream
+					is.Equal(len(slices.Compact(slices.Sorted(slices.Values(to)))), tt.sends) // no upstream gets two attempts
 				}
 				if tt.sends == 2 {
 					is.Equal(picker.outcomes, []balancer.Outcome{balancer.Answered, balancer.Cancelled})
@@ -109,7 +109,8 @@
 	}
 }
 
-// TestOverdueHedgesStayWithinBudget sends requests that all get stuck.
+// TestOverdueHedgesStayWithinBudget checks that hedges stay within the budget if the first
+// attempts of all requests get stuck.
 func TestOverdueHedgesStayWithinBudget(t *testing.T) {
 	const (
 		requests = 200
@@ -132,7 +133,8 @@
 	})
 }
 
-// TestNoOverdueHedgeBeforeTheDeadline has less time left than a send takes.
+// TestNoOverdueHedgeBeforeTheDeadline checks that a request is not hedged if less time is
+// left than an attempt is expected to take.
 func TestNoOverdueHedgeBeforeTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -150,8 +152,9 @@
 	})
 }
 
-// TestActionIsNotHedgedWhenOverdue keeps a non-repeatable request single.
-func TestActionIsNotHedgedWhenOverdue(t *testing.T) {
+// TestNonRepeatableIsNotHedgedWhenOverdue checks that a non-repeatable request has one
+// attempt, even if its response is overdue.
+func TestNonRepeatableIsNotHedgedWhenOverdue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		events := &recorder{}
@@ -165,9 +168,9 @@
 	})
 }
 
-// TestHedgeEnds walks through the ways in which two sends can end; the second
-// starts after 20 ms.
-func TestHedgeEnds(t *testing.T) {
+// TestHedgeOutcomes covers the orders in which two attempts can end. The second starts after
+// 20 ms.
+func TestHedgeOutcomes(t *testing.T) {
 	type send struct {
 		lasts time.Duration
 		fails bool
@@ -222,9 +225,9 @@
 	}
 }
 
-// TestHedgeGoesBeyondALimitFullOfStuckRequests has more requests than the
-// limit has places, all with a first send that gets stuck.
-func TestHedgeGoesBeyondALimitFullOfStuckRequests(t *testing.T) {
+// TestHedgeExceedsLimitFullOfStuckRequests checks that hedges are sent although stuck first
+// attempts hold all permits of the limiter.
+func TestHedgeExceedsLimitFullOfStuckRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		events := &recorder{}
@@ -238,7 +241,7 @@
 		synctest.Wait()
 		is.Equal(events.count(event.RequestQueued), 1)
 		wg.Wait()
-		is.Equal(time.Since(start), 2*testOverdue) // the third waited for the first two
+		is.Equal(time.Since(start), 2*testOverdue) // the last request waited for the others' hedges
 		synctest.Wait()
 		checkDrained(t, p)
 	})
--- a/internal/proxy/overload_test.go
+++ b/internal/proxy/overload_test.go
@@ -24,17 +24,17 @@
 	"github.com/dapplespindle/dapplespindle/pkg/limit"
 )
 
-// measuring skips a measurement unless make measure-overload asks for it.
+// skipUnlessMeasuring skips a measurement unless it is run by make measure-overload.
 func skipUnlessMeasuring(t *testing.T) {
 	if os.Getenv("MEASURE") == "" {
 		t.Skip("a measurement: run make measure-overload")
 	}
 }
 
-// shape is the entry hosts and upstreams of a run.
+// shape is the number of entry hosts and upstreams of a run, and its duration.
 type shape struct {
 	hosts, upstreams int
-	span             time.Duration // virtual
+	span             time.Duration // virtual time
 }
 
 var (
@@ -43,7 +43,7 @@
 	fleet = shape{15, 10, 8 * time.Second}
 )
 
-// capacity is what the upstreams serve, per second.
+// capacity returns the requests per second that the upstreams can serve.
 func (s shape) capacity() float64 {
 	return float64(s.upstreams) * testSlots / testService.Seconds()
 }
@@ -56,14 +56,14 @@
 	lowTimeout  = 500 * time.Millisecond
 )
 
-// slottedGroup sends to the slotted upstream of each address.
+// slottedGroup is a Sender with a slottedUpstream for each address.
 type slottedGroup map[string]*slottedUpstream
 
-func newSlottedGroup(n int, seed uint64, silent bool) slottedGroup {
+func newSlottedGroup(n int, seed uint64, noReports bool) slottedGroup {
 	g := make(slottedGroup, n)
 	for i := range n {
 		u := newSlottedUpstream(seed + uint64(i)<<32)
-		u.noReports = silent
+		u.noReports = noReports
 		g["up-"+strconv.Itoa(i+1)] = u
 	}
 	return g
@@ -73,8 +73,8 @@
 	return g[address].Do(ctx, address, req)
 }
 
-// slottedUpstream serves 3 requests at a time, in order of arrival, with
-// log-normal service times. Cancelled work stops.
+// slottedUpstream serves testSlots requests concurrently, in order of arrival, with
+// log-normal service times. A cancelled request frees its slot at once.
 type slottedUpstream struct {
 	slots     chan struct{}
 	active    atomic.Int64
@@ -118,7 +118,7 @@
 	return time.Duration(float64(testService) * math.Exp(u.random.NormFloat64()*sigma-sigma*sigma/2))
 }
 
-// control is which parts are in use.
+// control selects the overload controls of a run.
 type control struct {
 	name      string
 	limits    bool
@@ -133,21 +133,21 @@
 	unreported   = control{"limit and queue, no reports", true, true, leastOutstanding}
 )
 
-// tally is what callers of one priority saw.
+// tally collects the results of the callers of one priority.
 type tally struct {
 	good      int
 	latencies []time.Duration
-	shedAfter []time.Duration // time until a give-up was answered
-	late      int             // deadlines that passed after the send
+	shedAfter []time.Duration // time until a request was shed
+	late      int             // deadlines that passed after the request was sent
 	retryMs   []int
 }
 
-// outcome is a run's tallies by priority.
+// outcome holds a run's tallies by priority.
 type outcome struct {
 	high, low tally
 }
 
-// goodput is the good answers as a share of the capacity.
+// goodput returns the successful responses as a fraction of the capacity.
 func (o *outcome) goodput(s shape) float64 {
 	return float64(o.high.good+o.low.good) / s.span.Seconds() / s.capacity()
 }
@@ -168,8 +168,8 @@
 	return d[len(d)/2]
 }
 
-// simulate offers load times the capacity for testSpan of virtual time. High
-// is the same at every load; the rest is low.
+// simulate offers load times the capacity for on.span of virtual time. The rate of
+// high-priority requests is the same at every load; all other requests have low priority.
 func simulate(t *testing.T, on shape, load float64, c control, seed uint64) *outcome {
 	out := &outcome{}
 	synctest.Test(t, func(t *testing.T) {
@@ -200,16 +200,16 @@
 	return out
 }
 
-// nothingLeft checks that every request left the queue and gave its place back.
+// checkDrained checks that no request is queued and that all permits were released.
 func checkDrained(t *testing.T, p *Proxy) {
 	for _, g := range p.state.Load().groups {
 		if _, inFlight := g.limiter.Limit(); inFlight != 0 || g.waiting.Load() != 0 {
-			t.Errorf("%d in flight, %d waiting after the last answer", inFlight, g.waiting.Load())
+			t.Errorf("%d in flight, %d queued after the last response", inFlight, g.waiting.Load())
 		}
 	}
 }
 
-// host returns one entry host with the parts that c uses.
+// host returns an entry host with the controls that c selects.
 func (c control) host(on shape, sender Sender, seed uint64) *Proxy {
 	high := config.Rule{Name: "high", Methods: []string{"GET"}, Repeat: config.Repeatable, Priority: config.PriorityHigh, Deadline: config.Duration(highTimeout)}
 	low := config.Rule{Name: "low", Methods: []string{"HEAD"}, Repeat: config.Repeatable, Priority: config.PriorityLow, Deadline: config.Duration(lowTimeout)}
@@ -223,8 +223,8 @@
 	return p
 }
 
-// call sends one request and tallies what the caller saw. What ends after the
-// run is left out, so that work saved up in queues does not count as goodput.
+// call sends one request and records its result. Requests that end after the run are not
+// counted, so that queued work does not add to the goodput.
 func call(t *testing.T, p *Proxy, method string, end time.Time, to *tally, mu *sync.Mutex) {
 	req := request(method)
 	resp := p.Serve(t.Context(), req)
@@ -250,18 +250,19 @@
 	}
 }
 
-// TestSheddingKeepsGoodput offers twice the capacity, in virtual time.
+// TestSheddingKeepsGoodput offers twice the capacity of one upstream to one entry host.
+// Goodput must stay near the capacity, and only low-priority requests may be shed.
 func TestSheddingKeepsGoodput(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []control{limited, lateBound} {
 		out := simulate(t, single, 2, c, 1)
 		calm := simulate(t, single, 0.8, c, 1)
 		is.True(out.goodput(single) >= 0.95)                                    // of capacity
-		is.Equal(len(out.high.shedAfter)+out.high.late, 0)                      // high is not shed
+		is.Equal(len(out.high.shedAfter)+out.high.late, 0)                      // no high-priority request is shed
 		is.True(p99(out.high.latencies) <= calm.high.p99()+10*time.Millisecond) // two service times
 		is.True(len(out.low.shedAfter) > 1000)
 		for _, took := range out.low.shedAfter {
-			is.True(took <= lowTimeout/2+recheckInterval) // never held back until near the deadline
+			is.True(took <= lowTimeout/2+recheckInterval) // not held until near the deadline
 		}
 	}
 	is.True(simulate(t, single, 2, uncontrolled, 1).goodput(single) < 0.95)
@@ -269,8 +270,9 @@
 
 func (t *tally) p99() time.Duration { return p99(t.latencies) }
 
-// TestGiveUpIsAnsweredAtOnce fills the only upstream and the queue.
-func TestGiveUpIsAnsweredAtOnce(t *testing.T) {
+// TestFullQueueRefusesAtOnce checks that a request is refused at once if the only upstream
+// and the queue are full.
+func TestFullQueueRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		block := senderFunc(func(ctx context.Context, address string, _ *httpwire.Request) (*httpwire.Response, *errkind.Error) {
@@ -302,7 +304,7 @@
 	})
 }
 
-// TestMeasureOverload prints the table of make measure-overload.
+// TestMeasureOverload prints the overload table of make measure-overload.
 func TestMeasureOverload(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, on := range []shape{single, fleet} {
@@ -316,7 +318,7 @@
 	fmt.Printf("%-28s %5s %16s %9s %9s %9s %9s %12s %9s %9s\n", "control", "load", "goodput", "high p99", "high lost", "low p99", "low lost", "give-up p50", "p99", "back p50")
 	controls := []control{uncontrolled, limited, unreported}
 	if on == single {
-		controls = append(controls, lateBound) // its picker knows one host's requests only
+		controls = append(controls, lateBound) // its picker knows the requests of one host only
 	}
 	for _, c := range controls {
 		for _, load := range []float64{0.8, 1, 2, 4} {
@@ -325,7 +327,7 @@
 	}
 }
 
-// TestFleetKeepsGoodput offers twice the capacity to 15 entry hosts.
+// TestFleetKeepsGoodput offers twice the capacity to 15 entry hosts that share 10 upstreams.
 func TestFleetKeepsGoodput(t *testing.T) {
 	is := is.New(t)
 	short := shape{fleet.hosts, fleet.upstreams, 3 * time.Second}
@@ -365,7 +367,7 @@
 	t.retryMs = append(t.retryMs, o.retryMs...)
 }
 
-// lost is the share of requests without a good answer, in percent.
+// lost returns the percentage of requests without a successful response.
 func (t *tally) lost() float64 {
 	bad := len(t.shedAfter) + t.late
 	return percent * float64(bad) / float64(max(bad+t.good, 1))
--- a/internal/proxy/poison.go
+++ b/internal/proxy/poison.go
@@ -12,61 +12,62 @@
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 )
 
-// This file keeps a request under which upstreams end away from the others. Without it
-// one look-up, asked nine times a second at any of four hosts, ended 51 upstreams in six
-// seconds, and 91 of 148 other look-ups were served; with it 3 ended, and all 148 were
-// served (eight upstreams that come back after 0.7 s; test of the platform's adapter).
+// This file quarantines requests that crash upstreams. Without quarantine, one look-up sent
+// nine times a second to any of four hosts crashed upstreams 51 times in six seconds, and
+// 91 of 148 other look-ups were served; with it there were 3 crashes, and all 148 were
+// served (eight upstreams that restart within 0.7 s; a test of the platform adapter).
 
-// ConnectionChecker is what a Sender may be besides: it tells an upstream that ended from one
-// that only closed a connection.
+// ConnectionChecker is an optional interface of a Sender. It distinguishes an upstream that
+// crashed from one that only closed a connection.
 type ConnectionChecker interface {
-	// RefusesConnections reports whether connections to address are refused, so that no process
-	// listens there. Silence says nothing.
+	// RefusesConnections reports whether connections to address are refused, which means that
+	// no process listens there. It returns false if there is no reply at all.
 	RefusesConnections(ctx context.Context, address string) bool
 }
 
-// PoisonNews tells the other entry hosts what this one saw. Its methods are called on
-// goroutines of their own.
+// PoisonNotifier notifies the other entry hosts of crashes and responses that this host
+// observed. Each method call has its own goroutine.
 type PoisonNews interface {
-	// Died tells of an end of an upstream.
+	// NotifyCrash reports a crash of an upstream.
 	Died(d poison.Death)
-	// Answered tells that a request under which upstreams ended was answered.
+	// NotifyAnswer reports that a request that had crashed upstreams got a response.
 	Answered(f poison.Fingerprint)
 }
 
-// WithPoisonNews tells the other hosts through n.
+// WithPoisonNotifier notifies the other hosts through n.
 func WithPoisonNews(n PoisonNews) Option { return func(p *Proxy) { p.poison.notifier = n } }
 
-// poisoned is what a proxy knows of requests under which upstreams end.
+// poisonState holds what a proxy knows about requests that crash upstreams.
 type poisonState struct {
 	table       *poison.Table
-	notifier    PoisonNews   // nil for a host that has no others
-	crashChecks atomic.Int64 // upstreams that are being looked at
+	notifier    PoisonNews   // nil if there are no other hosts
+	crashChecks atomic.Int64 // crash checks in progress
 }
 
 const (
-	// examineTimeout bounds finding out whether an upstream ended. Round trips are below
-	// 10 ms; a host that is down says nothing, which proves nothing of the request.
+	// crashCheckTimeout bounds the check whether an upstream crashed. Round trips are below
+	// 10 ms. A machine that is down does not reply, which proves nothing about the request.
 	crashCheckTimeout = 250 * time.Millisecond
-	// examineWait is how long the request waits for that before it may be sent again: one
-	// end less of each request that is refused. Usually it is a round trip.
+	// crashCheckWait is how long the request waits for the check before it may be sent again,
+	// which saves one crash for each request that is then refused. The check usually takes
+	// one round trip.
 	crashCheckWait = 20 * time.Millisecond
-	// maxExamining bounds the upstreams looked at at the same time. Where more sends than
-	// that break together, no single request is the cause.
+	// maxCrashChecks bounds the concurrent checks. If more attempts than that break at the
+	// same time, no single request is the cause.
 	maxCrashChecks = 64
 )
 
-// Why a quarantine began, as events state it.
+// Event reasons for the start of a quarantine.
 const (
 	quarantineDetectedHere   = "seen-here"
 	quarantineReportedByPeer = "heard-of"
 )
 
-// Heard takes in what another host tells of ends of upstreams, and of requests that were
-// answered. It may be called on any goroutine.
-func (p *Proxy) Heard(died []poison.Death, answered []poison.Fingerprint) {
+// ApplyPeerCrashes applies another host's reports of upstream crashes, and of suspect
+// requests that got a response. It may be called on any goroutine.
+func (p *Proxy) Heard(crashes []poison.Death, answered []poison.Fingerprint) {
 	now := clock.Now()
-	for _, d := range died {
+	for _, d := range crashes {
 		p.recordCrash(now, d, quarantineReportedByPeer)
 	}
 	for _, f := range answered {
@@ -76,28 +77,28 @@
 	}
 }
 
-// RecentDeaths returns what a host that missed it should hear of.
+// RecentCrashes returns the crashes that a host that missed them should be told.
 func (p *Proxy) RecentDeaths(now time.Time, within time.Duration) []poison.Death {
 	return p.poison.table.RecentCrashes(now, within)
 }
 
-// died takes in an end, and reports whether it was not known.
+// recordCrash records a crash and reports whether it was new.
 func (p *Proxy) recordCrash(now time.Time, d poison.Death, reason string) bool {
-	news := p.poison.table.RecordCrash(now, d)
-	if news.NewlyRefused {
+	result := p.poison.table.RecordCrash(now, d)
+	if result.NewlyRefused {
 		p.events.Emit(event.Event{
 			Code: event.QuarantineBegun, At: time.Now(), EntryHost: p.host, Reason: reason,
-			Detail: d.Request.String() + " until " + clock.Wall(news.RefusedUntil).UTC().Format(time.RFC3339), Value: int64(news.Crashes),
+			Detail: d.Request.String() + " until " + clock.Wall(result.RefusedUntil).UTC().Format(time.RFC3339), Value: int64(result.Crashes),
 		})
 	}
-	return news.New
+	return result.New
 }
 
 func (p *Proxy) quarantineEnded(f poison.Fingerprint) {
 	p.events.Emit(event.Event{Code: event.QuarantineEnded, At: time.Now(), EntryHost: p.host, Detail: f.String()})
 }
 
-// examine finds out whether the request's upstream ended while it ran it.
+// detectCrash checks whether the upstream crashed while it ran the request.
 func (x *exchange) detectCrash(ctx context.Context, b binding, start time.Time, err *errkind.Error) {
 	p := x.proxy
 	if err == nil || err.Kind != errkind.UpstreamBroken || ctx.Err() != nil || p.connChecker == nil {
@@ -114,23 +115,23 @@
 		Began:    start,
 		Ended:    clock.Now(),
 	}
-	known := make(chan struct{})
+	checked := make(chan struct{})
 	go func() {
 		defer p.poison.crashChecks.Add(-1)
-		ended := x.confirmCrash(b, d)
-		close(known)
-		if ended && p.poison.notifier != nil {
+		crashed := x.confirmCrash(b, d)
+		close(checked)
+		if crashed && p.poison.notifier != nil {
 			p.poison.notifier.Died(d)
 		}
 	}()
 	select {
-	case <-known:
+	case <-checked:
 	case <-time.After(crashCheckWait):
 	}
 }
 
-// upstreamEnded looks whether an upstream ended, and remembers and reports it. The request
-// may have been answered by then, so that the event is not one of its own.
+// confirmCrash checks whether an upstream crashed, and records and reports the crash. The
+// request may have ended by then, so the event is not emitted through the exchange.
 func (x *exchange) confirmCrash(b binding, d poison.Death) bool {
 	p := x.proxy
 	ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
@@ -146,26 +147,26 @@
 	return p.recordCrash(clock.Now(), d, quarantineDetectedHere)
 }
 
-// fingerprint names the request by what it asks for, and the caller by its IP.
+// fingerprint identifies the request by its content and the caller by its IP.
 func (x *exchange) fingerprint() poison.Fingerprint {
 	return poison.Of(x.req.Method, x.rule.Service.Name, x.req.Target, x.req.Body, callerIP(x.req.RemoteAddr))
 }
 
-// quarantined refuses a request under which upstreams end.
+// quarantined returns an error if the request is quarantined because it crashes upstreams.
 func (x *exchange) quarantined() *errkind.Error {
 	if x.quarantineLeft() == 0 {
 		return nil
 	}
-	return errkind.New(errkind.Quarantined, "upstreams ended while they ran it")
+	return errkind.New(errkind.Quarantined, "upstreams crashed while running this request")
 }
 
-// suspect reports whether an upstream ended under the request.
+// isSuspect reports whether an upstream crashed while running the request.
 func (x *exchange) isSuspect() bool {
 	table := x.proxy.poison.table
 	return table.HasSuspect(x.rule.Service.Name, x.req.Target) && table.CrashCount(x.fingerprint()) > 0
 }
 
-// quarantineLeft is how much longer the request is refused; 0 if it is not.
+// quarantineLeft returns how much longer the request is refused, or 0 if it is not.
 func (x *exchange) quarantineLeft() time.Duration {
 	table := x.proxy.poison.table
 	if !table.HasSuspect(x.rule.Service.Name, x.req.Target) {
@@ -176,8 +177,9 @@
 	return max(until.Sub(now), 0)
 }
 
-// answered takes in an answer: an upstream ran the request and lives. One that says
-// that the upstream failed, such as at the deadline, says nothing of a whole run.
+// recordResponse records that an upstream ran the request without crashing. A response with
+// a server error, for example at the deadline, does not show that the request ran to
+// completion.
 func (x *exchange) recordResponse(r result) {
 	table := x.proxy.poison.table
 	if r.err != nil || r.resp.Status >= http.StatusInternalServerError || !table.HasSuspect(x.rule.Service.Name, x.req.Target) {
@@ -185,11 +187,11 @@
 	}
 	now := clock.Now()
 	f := x.fingerprint()
-	tell, lifted := table.RecordAnswer(now, f)
+	notify, lifted := table.RecordAnswer(now, f)
 	if lifted {
 		x.proxy.quarantineEnded(f)
 	}
-	if tell && x.proxy.poison.notifier != nil {
+	if notify && x.proxy.poison.notifier != nil {
 		go x.proxy.poison.notifier.Answered(f)
 	}
 }
--- a/internal/proxy/poison_test.go
+++ b/internal/proxy/poison_test.go
@@ -22,10 +22,10 @@
 	"github.com/dapplespindle/dapplespindle/pkg/retry"
 )
 
-// dyingSender is a Sender whose connections end without an answer.
+// crashingSender is a Sender whose connections close without a response.
 type crashingSender struct {
 	senderFunc
-	refuses bool // nothing listens afterwards
+	refuses bool // no process listens afterwards
 }
 
 func (s crashingSender) RefusesConnections(context.Context, string) bool { return s.refuses }
@@ -34,10 +34,10 @@
 	return nil, errkind.New(errkind.UpstreamBroken, "connection closed")
 }
 
-// TestEndOfAnUpstreamIsSeen tells an upstream that ended from one that only closed a
-// connection, and names the request alike when it comes again.
-func TestEndOfAnUpstreamIsSeen(t *testing.T) {
-	for name, gone := range map[string]bool{"ended": true, "closed a connection": false} {
+// TestUpstreamCrashIsDetected checks that a crash is distinguished from a closed connection,
+// and that a repeated request has the same fingerprint.
+func TestUpstreamCrashIsDetected(t *testing.T) {
+	for name, gone := range map[string]bool{"crashed": true, "closed a connection": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -52,24 +52,24 @@
 					is.Equal(rec.count(event.UpstreamEnded), 0)
 					return
 				}
-				ends := rec.all(event.UpstreamEnded)
-				is.Equal(len(ends), 2)
-				is.Equal(fingerprintOf(ends[0]), fingerprintOf(ends[1]))
+				crashes := rec.all(event.UpstreamEnded)
+				is.Equal(len(crashes), 2)
+				is.Equal(fingerprintOf(crashes[0]), fingerprintOf(crashes[1]))
 			})
 		})
 	}
 }
 
-// sameRequest is what the event says of the request, without its id.
+// fingerprintOf returns the request's fingerprint from the detail of an event.
 func fingerprintOf(e event.Event) string {
 	_, fingerprint, _ := strings.Cut(e.Detail, " is ")
 	return fingerprint
 }
 
-// TestSuspectIsNotHedged: an upstream ended under the request, and the next one is slow
-// with it. It is not sent to a third beside that one, which may end too.
+// TestSuspectIsNotHedged checks that a request that crashed an upstream is not hedged when
+// the next upstream is slow: the hedge could crash a third one.
 func TestSuspectIsNotHedged(t *testing.T) {
-	for name, ended := range map[string]bool{"an upstream ended": true, "none did": false} {
+	for name, crashed := range map[string]bool{"an upstream crashed": true, "none did": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -82,30 +82,30 @@
 					case <-time.After(200 * time.Millisecond):
 						return ok(), nil
 					case <-ctx.Done():
-						return nil, errkind.New(errkind.CallerGone, "the other send was answered")
+						return nil, errkind.New(errkind.CallerGone, "the other attempt got a response")
 					}
 				}
 				p := newProxy(service(4, rule), leastOutstanding, crashingSender{slow, false}, rec)
 				req := request("GET")
-				if ended {
+				if crashed {
 					f := poison.Of("GET", "test", req.Target, nil, "10.0.0.9")
 					p.Heard([]poison.Death{{Request: f, Upstream: 1, Began: req.Received, Ended: req.Received}}, nil)
 				}
 				is.Equal(p.Serve(t.Context(), req).Status, http.StatusOK)
-				is.Equal(rec.count(event.HedgeSent) > 0, !ended)
-				is.Equal(rec.reason(event.HedgeDenied) == string(retry.DeniedSuspect), ended)
+				is.Equal(rec.count(event.HedgeSent) > 0, !crashed)
+				is.Equal(rec.reason(event.HedgeDenied) == string(retry.DeniedSuspect), crashed)
 			})
 		})
 	}
 }
 
-// shared is a service that several hosts use, whose upstreams end under one request. An
-// upstream that ended is back after a while.
+// crashingUpstreams is a Sender shared by several hosts, whose upstreams crash on requests
+// for /deadly. An upstream restarts restartTime after its crash.
 type crashingUpstreams struct {
 	mu        sync.Mutex
-	awayUntil map[string]time.Time // until when
+	awayUntil map[string]time.Time // by address
 	crashes   int
-	sends     int // of the request under which they end
+	sends     int // attempts of the request that crashes them
 }
 
 const (
@@ -143,7 +143,7 @@
 	return ok(), nil
 }
 
-// others tells the other hosts, five milliseconds away.
+// peerNotifier notifies the other hosts with a delay of 5 ms.
 type peerNotifier struct {
 	hosts []*Proxy
 	self  int
@@ -165,29 +165,30 @@
 	o.eachPeer(func(p *Proxy) { p.Heard(nil, []poison.Fingerprint{f}) })
 }
 
-// from is a look-up of a target by a caller.
+// lookupFrom returns a look-up of a target by a caller.
 func lookupFrom(caller, target string) *httpwire.Request {
 	r := request("GET")
 	r.Target, r.Path, r.RemoteAddr = target, target, caller+":4711"
 	return r
 }
 
-// contentOf is how events name what a request asks for.
+// contentOf returns the part of a fingerprint that identifies a request's content.
 func contentOf(r *httpwire.Request) string {
 	content, _, _ := strings.Cut(poison.Of(r.Method, "test", r.Target, r.Body, "").String(), "-")
 	return content
 }
 
-// TestDeadlyRequestAtManyHosts is the load of an incident, in virtual time: 18 hosts, ten
-// upstreams that are back two seconds after they end, and one look-up under which they
-// end, asked eight times a second at any host by one caller, or by several, for twenty
-// seconds; fifty other look-ups a second. Without what this tests, upstreams ended as fast
-// as they came back: 27 under each such request in that incident.
+// TestDeadlyRequestAtManyHosts reproduces the load of an incident in virtual time: 18 hosts,
+// ten upstreams that restart two seconds after a crash, and one look-up that crashes them,
+// sent eight times a second to any host, by one caller or by several, for twenty seconds,
+// beside fifty other look-ups a second. Without quarantine, upstreams crashed as fast as they
+// restarted: 27 crashes for each such request in that incident.
 //
-// Grounds of the bounds: the third end proves it, of several callers the fifth, and a host
-// that is running the request by then may end one more: at eight a second of 90 ms each,
-// one. No other request is refused for it. Of them, the rig loses what two sends lose to
-// upstreams that are away, since no list tells its hosts which are.
+// The bounds: the third crash starts the quarantine, or the fifth if there are several
+// callers, and a host that is already running the request may crash one more upstream (at
+// eight a second of 90 ms each, one). No other request is quarantined. Some other requests
+// fail when both of their attempts hit crashed upstreams, since these hosts have no registry
+// that tells them which upstreams are down.
 func TestDeadlyRequestAtManyHosts(t *testing.T) {
 	for name, callers := range map[string]int{"one caller": 1, "several callers": 5} {
 		t.Run(name, func(t *testing.T) {
@@ -228,7 +229,7 @@
 					time.Sleep(20 * time.Millisecond)
 				}
 				wg.Wait()
-				t.Logf("%d ends, %d sends, %d of %d others served", s.crashes, s.sends, served.Load(), asked.Load())
+				t.Logf("%d crashes, %d attempts, %d of %d others served", s.crashes, s.sends, served.Load(), asked.Load())
 				is := is.New(t)
 				is.True(s.crashes >= 3 && s.crashes <= 6)
 				is.True(s.sends <= s.crashes+1)
@@ -243,7 +244,7 @@
 					is.Equal(resp.Status, http.StatusServiceUnavailable)
 					seconds, err := strconv.Atoi(resp.Header.Get(HeaderRetryAfter))
 					is.NoErr(err)
-					is.True(seconds > 60) // until its quarantine ends, not before
+					is.True(seconds > 60) // until the quarantine ends
 				}
 			})
 		})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,9 +1,9 @@
-// Package proxy carries one request from its arrival at an entry host to its
-// answer: route, wait for a slot, choose, send, retry or hedge, and answer with
-// what is known about execution.
+// Package proxy handles a request from its arrival at an entry host to its
+// response: it routes the request, waits for a slot, picks an upstream, sends,
+// retries or hedges, and responds with what is known about execution.
 //
-// The decisions live in pkg/retry, pkg/queue, pkg/limit and pkg/balancer; this
-// package gives them the time, random numbers and goroutines.
+// The decisions are made in pkg/retry, pkg/queue, pkg/limit and pkg/balancer; this
+// package provides the clock, random numbers and goroutines.
 package proxy
 
 import (
@@ -25,8 +25,9 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// Sender sends one request to one upstream. It must not change the request or
-// its header, and not use it after it returned. When ctx ends it gives up and lets the upstream stop its work.
+// Sender sends one request to one upstream. It must not modify the request or
+// its header, or use them after Do returns. When ctx ends, Do cancels the request at
+// the upstream and returns.
 type Sender interface {
 	Do(ctx context.Context, address string, req *httpwire.Request) (*httpwire.Response, *errkind.Error)
 }
@@ -36,7 +37,7 @@
 	host          string
 	prefix        string
 	sender        Sender
-	connChecker   ConnectionChecker // nil if the sender can't tell
+	connChecker   ConnectionChecker // nil if the sender does not implement it
 	poison        poisonState
 	executor      Executor
 	events        event.Sink
@@ -46,35 +47,35 @@
 	requestLogger Trails
 	tracer        *tracing.Tracer
 	upstreams     Upstreams
-	quotas        Quotas      // nil keeps to none
-	keysKnown     func() bool // nil if they always are
+	quotas        Quotas      // nil if quotas are not enforced
+	keysKnown     func() bool // nil if keys are always current
 	random        func() uint64
 	nextID        atomic.Uint64
 	state         atomic.Pointer[snapshot]
 	starting      *starting
 
-	// entryHosts belongs to the control goroutine.
+	// entryHosts is accessed by the control goroutine only.
 	entryHosts int
 
-	// Constructors of the parts that bound a rule or a group; tests that
-	// measure what a part is worth leave it out.
+	// Constructors of the components that limit a rule or a group. Tests that
+	// measure the effect of a component replace its constructor.
 	newBudget  func(percent float64) *retry.Budget
 	newLimiter func(slots int) *limit.Limiter
-	// sharedBudget makes the budget of a registered service.
+	// sharedBudget creates the retry budget of a registered service.
 	sharedBudget func() *retry.Budget
 }
 
-// Option changes a Proxy that New builds.
+// Option configures a Proxy.
 type Option func(*Proxy)
 
 // WithExecutor runs non-repeatable requests through e.
 func WithExecutor(e Executor) Option { return func(p *Proxy) { p.executor = e } }
 
-// WithTracer makes a span for each request and each send. A nil tracer is off.
+// WithTracer creates a span for each request and each attempt. A nil tracer disables tracing.
 func WithTracer(t *tracing.Tracer) Option { return func(p *Proxy) { p.tracer = t } }
 
-// WithSharedBudget bounds the extra sends to a registered service, over all
-// rules, to a share of the first sends, in percent, and a reserve.
+// WithSharedBudget limits the retries and hedges to a registered service, over all
+// rules, to a percentage of its first attempts plus a reserve.
 func WithSharedBudget(percent, reserve float64) Option {
 	return func(p *Proxy) { p.setSharedBudget(percent, reserve) }
 }
@@ -83,15 +84,15 @@
 	p.sharedBudget = func() *retry.Budget { return retry.NewBudgetWithReserve(percent, reserve) }
 }
 
-// WithStartHold lets requests that come before the first configuration wait for it,
-// for a moment after New.
+// WithStartupQueue lets requests that arrive before the first configuration wait for it
+// for up to maxStartWait, during startWindow after New.
 func WithStartHold() Option { return func(p *Proxy) { p.starting = newStarting(true) } }
 
-// WithRandom takes random numbers from f, which must be safe for concurrent use.
+// WithRandom uses f as the source of random numbers. It must be safe for concurrent use.
 func WithRandom(f func() uint64) Option { return func(p *Proxy) { p.random = f } }
 
-// New returns a proxy for the entry host with the given IP. Incarnation makes
-// request ids unique over restarts.
+// New returns a proxy for the entry host with the given IP. The incarnation keeps
+// request IDs unique across restarts.
 func New(host, incarnation string, sender Sender, events event.Sink, options ...Option) *Proxy {
 	p := &Proxy{
 		host:       host,
@@ -117,14 +118,14 @@
 	return p
 }
 
-// SetTable publishes a routing table. The control goroutine calls it.
+// SetTable publishes a routing table. It is called by the control goroutine.
 func (p *Proxy) SetTable(t *routing.Table) {
 	p.state.Store(p.nextSnapshot(p.state.Load(), t))
 	p.starting.release()
 }
 
-// SetGroup publishes a newer snapshot of a group that the table has, when
-// nothing but its upstreams changed. The control goroutine calls it.
+// SetGroup publishes a newer snapshot of a group in the current table of which only
+// the upstreams have changed. It is called by the control goroutine.
 func (p *Proxy) SetGroup(service *config.Service, group *routing.Group) {
 	s := p.state.Load()
 	if s == nil {
@@ -135,8 +136,8 @@
 	}
 }
 
-// SetSharedBudget changes what WithSharedBudget set. The control goroutine calls
-// it.
+// SetSharedBudget changes the values set by WithSharedBudget. It is called by the
+// control goroutine.
 func (p *Proxy) SetSharedBudget(percent, reserve float64) {
 	p.setSharedBudget(percent, reserve)
 	s := p.state.Load()
@@ -149,8 +150,8 @@
 	}
 }
 
-// Tick lets the budgets of registered services know that retry.SaveEvery has passed. The
-// control goroutine calls it.
+// Tick advances the budgets of registered services. The control goroutine calls it every
+// retry.TickInterval.
 func (p *Proxy) Tick() {
 	s := p.state.Load()
 	if s == nil {
@@ -161,8 +162,8 @@
 	}
 }
 
-// SetEntryHosts says over how many live entry hosts the load is spread, which
-// bounds this one's share of a group. The control goroutine calls it.
+// SetEntryHosts sets the number of live entry hosts that share the load, which
+// bounds this host's share of a group. It is called by the control goroutine.
 func (p *Proxy) SetEntryHosts(n int) {
 	p.entryHosts = max(n, 1)
 	s := p.state.Load()
@@ -187,7 +188,7 @@
 }
 
 // MayRunAhead implements httpwire.Ahead: a repeatable request may run while earlier
-// requests of its connection do.
+// requests on its connection are still running.
 func (p *Proxy) MayRunAhead(req *httpwire.Request) bool {
 	s := p.state.Load()
 	if s == nil {
@@ -211,8 +212,8 @@
 	return x.serve(ctx, x.proxy.executor)
 }
 
-// ServeForwarded runs a request that a peer forwarded to this host, which has
-// already decided that it may run.
+// ServeForwarded runs a request forwarded by a peer. This host has already decided
+// that it may run.
 func (p *Proxy) ServeForwarded(ctx context.Context, req *httpwire.Request) *httpwire.Response {
 	x := p.newExchange(req)
 	defer x.hop.End()
@@ -222,7 +223,7 @@
 	return x.serve(ctx, directExecutor{})
 }
 
-// RefuseUnread answers a request that was refused before it was read whole.
+// RefuseUnread responds to a request that was refused before it was read completely.
 func (p *Proxy) RefuseUnread(remoteAddr string, err *errkind.Error) *httpwire.Response {
 	x := p.newExchange(&httpwire.Request{RemoteAddr: remoteAddr, Received: clock.Now(), Header: make(http.Header)})
 	defer x.hop.End()
@@ -238,7 +239,7 @@
 	return x
 }
 
-// serve runs a request that was admitted.
+// serve runs an admitted request.
 func (x *exchange) serve(ctx context.Context, executor Executor) *httpwire.Response {
 	x.emit(event.Event{Code: event.RequestReceived})
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(x.limitDeadline()))
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -16,7 +16,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// TestFailures fails every send in one way and checks the sends and the answer.
+// TestFailures fails every attempt in the same way, and checks the number of attempts and the
+// response.
 func TestFailures(t *testing.T) {
 	plain503 := &httpwire.Response{Status: http.StatusServiceUnavailable}
 	tests := []struct {
@@ -67,8 +68,9 @@
 	}
 }
 
-// TestUnknownIsNotHiddenByALaterRefusal sends twice: the first may have run.
-func TestUnknownIsNotHiddenByALaterRefusal(t *testing.T) {
+// TestUnknownIsNotHiddenByLaterRefusal checks that the outcome is unknown if the first attempt
+// may have run, although the second was refused.
+func TestUnknownIsNotHiddenByLaterRefusal(t *testing.T) {
 	is := is.New(t)
 	sends := 0
 	sender := senderFunc(func(context.Context, string, *httpwire.Request) (*httpwire.Response, *errkind.Error) {
@@ -84,8 +86,9 @@
 	is.Equal(resp.Header.Get(HeaderOutcome), "unknown")
 }
 
-// TestGuardStopsASecondSend drives the invariant past the decisions.
-func TestGuardStopsASecondSend(t *testing.T) {
+// TestGuardStopsSecondAttempt bypasses the retry decision and checks that the guard alone
+// prevents the second attempt of a non-repeatable request.
+func TestGuardStopsSecondAttempt(t *testing.T) {
 	is := is.New(t)
 	sends := 0
 	sender := senderFunc(func(context.Context, string, *httpwire.Request) (*httpwire.Response, *errkind.Error) {
@@ -107,7 +110,7 @@
 	is.Equal(events.count(event.NonRepeatableResend), 1)
 }
 
-func TestHeadersTowardsTheUpstream(t *testing.T) {
+func TestHeadersToUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var got http.Header
@@ -150,7 +153,7 @@
 	is.Equal(resp.Header.Get(HeaderOutcome), "not-run")
 }
 
-func TestARetryIsNotRetriedLowerDown(t *testing.T) {
+func TestRetryIsNotRetriedDownstream(t *testing.T) {
 	is := is.New(t)
 	var marks []string
 	sender := senderFunc(func(_ context.Context, _ string, req *httpwire.Request) (*httpwire.Response, *errkind.Error) {
@@ -166,7 +169,7 @@
 	is.Equal(events.reason(event.RetryDenied), "arrived-as-retry")
 }
 
-func TestAnswerOfAnEntryHostBelowKeepsItsOutcome(t *testing.T) {
+func TestOutcomeOfDownstreamEntryHostIsKept(t *testing.T) {
 	is := is.New(t)
 	below := &httpwire.Response{Status: http.StatusBadGateway, Header: http.Header{
 		HeaderError: {"outcome-unknown"}, HeaderOutcome: {"unknown"},
@@ -179,8 +182,8 @@
 	is.Equal(resp.Header.Get(HeaderOutcome), "unknown")
 }
 
-// TestHedge sends to a slow upstream first: the second send wins, and the
-// first is cancelled.
+// TestHedge sends to a slow upstream first. The second attempt must win, and the first must
+// be cancelled.
 func TestHedge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -229,7 +232,7 @@
 	})
 }
 
-// TestCallerGone cancels the upstream's work when the caller leaves.
+// TestCallerGone checks that the attempt is cancelled when the caller disconnects.
 func TestCallerGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -251,8 +254,8 @@
 
 var _ balancer.Picker = (*slotPicker)(nil)
 
-// TestOnlyRepeatableRequestsRunAhead: what must not run twice waits for the answers
-// before it, and so does everything while there is no configuration.
+// TestOnlyRepeatableRequestsRunAhead checks that a non-repeatable request waits for the
+// responses to earlier requests, as does every request while there is no configuration.
 func TestOnlyRepeatableRequestsRunAhead(t *testing.T) {
 	is := is.New(t)
 	events := &recorder{}
--- a/internal/proxy/ratelimit.go
+++ b/internal/proxy/ratelimit.go
@@ -14,46 +14,45 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// This file keeps to the limits that upstreams in need name. A limit is for all hosts
-// together, and one host's part of the load is below it as a rule: of 18 hosts, each sent
-// an upstream that takes 1.2 requests a second 0.3, and it got five. So no host may go by
-// what it sends itself: each has its turns, and a turn that is not there closes the upstream
-// to every kind of send.
-
-// HearLimit takes in what an answer that came now says of the limit of its upstream; the
-// request, or the probe, was sent at a time. It returns an event if that is news, or can't
-// be read.
+// This file enforces the rate limits that overloaded upstreams announce. A limit applies to
+// all hosts together, and the load of a single host is usually below it: 18 hosts that each
+// sent 0.3 requests per second to an upstream with a limit of 1.2 sent it five. So a host
+// can't go by its own rate. Each host has its own time slots, and without a free time slot
+// it makes no attempt of any kind at the upstream.
+
+// ObserveLimit applies the limit in a response that arrived at now, to a request or probe
+// that was sent at sent. It returns an event and true if the limit changed or is invalid.
 func (d *Dialect) HearLimit(u *balancer.Upstream, now, sent time.Time, resp *httpwire.Response, from ratelimit.Source) (event.Event, bool) {
 	if d.Limit == nil {
 		return event.Event{}, false
 	}
-	word, err := d.Limit(resp.Status, resp.Header)
+	limit, err := d.Limit(resp.Status, resp.Header)
 	if err != nil {
 		return event.Event{Code: event.LimitUnreadable, Upstream: u.ID, Reason: from.String(), Detail: err.Error()}, true
 	}
-	return LimitEvent(u.ID, word, from), u.Limit.Hear(now, sent, word, from)
+	return LimitEvent(u.ID, limit, from), u.Limit.Hear(now, sent, limit, from)
 }
 
-// LimitEvent says what is now known of an upstream's limit.
+// LimitEvent returns the event for a change of an upstream's limit.
 func LimitEvent(upstream string, w ratelimit.Word, from ratelimit.Source) event.Event {
-	const perEvent = 1000 // seconds
+	const eventSeconds = 1000 // the event's value is in requests per 1000 s
 	if w.Kind != ratelimit.Limited {
 		return event.Event{Code: event.LimitEnded, Upstream: upstream, Reason: from.String()}
 	}
-	return event.Event{Code: event.LimitNamed, Upstream: upstream, Reason: from.String(), Value: int64(w.PerSecond * perEvent)}
+	return event.Event{Code: event.LimitNamed, Upstream: upstream, Reason: from.String(), Value: int64(w.PerSecond * eventSeconds)}
 }
 
-// limited takes in what an answer says of the upstream's limit.
+// recordLimit applies the limit in a response.
 func (x *exchange) recordLimit(b binding, sent time.Time, resp *httpwire.Response) {
 	if resp == nil {
 		return
 	}
-	e, news := x.proxy.dialect.HearLimit(b.upstream, clock.Now(), sent, resp, ratelimit.Answer)
-	if !news {
+	e, changed := x.proxy.dialect.HearLimit(b.upstream, clock.Now(), sent, resp, ratelimit.Answer)
+	if !changed {
 		return
 	}
-	// Not in the name of the request, most of whose lines are not written: it is about what
-	// this host knows.
+	// Not emitted through the exchange: the event is about the state of this host, and most
+	// lines of requests are not logged.
 	e.At, e.EntryHost, e.Service = time.Now(), x.proxy.host, x.rule.Service.Name
 	x.proxy.events.Emit(e)
 	if x.proxy.upstreams != nil && e.Code != event.LimitUnreadable {
@@ -61,9 +60,10 @@
 	}
 }
 
-// confirm chooses an upstream whose limit may be over, for a policy that does not ask
-// upstreams for their load first: such an upstream is chosen as seldom as this host has a
-// turn there when a request comes, and nothing else tells that it takes more again.
+// pickUnconfirmed picks an upstream whose limit may have ended, for a policy that does not
+// query upstreams for their load. Such an upstream is otherwise picked only when a request
+// coincides with a time slot of this host, and nothing else shows that it accepts more
+// again.
 func (x *exchange) pickUnconfirmed(group *routing.Group, info balancer.PickInfo) (balancer.Result, bool) {
 	if info.Hedge || info.FinalAttempt || x.queriesLoad(group) {
 		return balancer.Result{}, false
@@ -76,23 +76,24 @@
 	return balancer.Result{}, false
 }
 
-// Lenders asks other hosts for their turns at upstreams.
+// SlotBorrower borrows time slots at upstreams from other hosts.
 type Lenders interface {
-	// Borrow asks a host, by its number in the order of turns, for a turn at an upstream. It
-	// reports whether the host has lent one, and returns within some tens of milliseconds.
+	// Borrow asks a host, by its position in the slot order, for a time slot at an upstream.
+	// It reports whether the host has lent one, and returns within some tens of
+	// milliseconds.
 	Borrow(ctx context.Context, host int, server ratelimit.Server) bool
 }
 
-// WithLenders borrows turns through l where no upstream is open to this host.
+// WithSlotBorrower borrows time slots through l when no upstream is available to this host.
 func WithLenders(l Lenders) Option { return func(p *Proxy) { p.slotBorrower = l } }
 
-// maxLenders is how many hosts are asked for a turn for one request. Where callers ask for
-// twice as much as all upstreams of a service take, two find 0.95 to 1.00 of what they take,
-// one 0.86 to 1.00, and without asking it is 0.01 to 1.00: the less, the more hosts there
-// are and the more unequal their loads.
+// maxBorrowAttempts is the number of hosts that are asked for a time slot for one request.
+// When callers send twice what all upstreams of a service accept, two attempts use 0.95 to
+// 1.00 of the accepted rate, one attempt 0.86 to 1.00, and none 0.01 to 1.00: the less, the
+// more hosts there are and the more uneven their load is.
 const maxBorrowAttempts = 2
 
-// borrow chooses an upstream at which another host lends its turn.
+// borrowTimeSlot picks an upstream at which another host lends its time slot.
 func (x *exchange) borrowTimeSlot(ctx context.Context, group *routing.Group, info balancer.PickInfo) (balancer.Result, bool) {
 	if x.proxy.slotBorrower == nil || info.Hedge {
 		return balancer.Result{}, false
@@ -112,8 +113,8 @@
 	return balancer.Result{}, false
 }
 
-// lendable returns a random upstream that is shut for want of a turn alone; nil if there is
-// none.
+// borrowable returns a random upstream that is unavailable only because this host has no
+// time slot there, or nil if there is none.
 func (x *exchange) borrowable(group *routing.Group, info balancer.PickInfo) *balancer.Upstream {
 	n := uint64(len(group.Upstreams))
 	first := x.proxy.random()
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// turns returns how many requests a second this host may send to the group's upstreams, if
-// those that do not rest all name a limit; infinite else.
+// limitedRate returns how many requests per second this host may send to the group's
+// upstreams if all that are not backing off announce a limit, and infinity otherwise.
 func (x *exchange) limitedRate() float64 {
 	now := clock.Now()
 	perSecond := 0.0
@@ -140,13 +141,13 @@
 		}
 	}
 	if perSecond == 0 {
-		return math.Inf(1) // all rest, or there is none
+		return math.Inf(1) // all are backing off, or there are none
 	}
 	return perSecond
 }
 
-// crowded reports whether too many requests wait before this one for a turn that would
-// still be in time.
+// tooManyWaiting reports whether too many requests wait before this one for it to get a
+// time slot in time.
 func (x *exchange) tooManyWaiting() bool {
 	perSecond := x.limitedRate()
 	if math.IsInf(perSecond, 1) {
@@ -157,10 +158,10 @@
 	return wait+x.expectedLatency() > clock.Until(x.usefulUntil())
 }
 
-// maxSeconds bounds a time that is worked out from a rate.
+// maxSeconds bounds a duration that is computed from a rate.
 const maxSeconds = 3600
 
-// seconds converts a number of seconds, which may be infinite or not a number.
+// seconds converts a number of seconds, which may be infinite or NaN, to a duration.
 func seconds(n float64) time.Duration {
 	if !(n < maxSeconds) {
 		n = maxSeconds
--- a/internal/proxy/ratelimit_test.go
+++ b/internal/proxy/ratelimit_test.go
@@ -15,35 +15,36 @@
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 )
 
-// The pattern: upstreams name how many requests a second they take from all hosts together,
-// and each host's own part of the load is far below that. Time is virtual.
+// In these tests, upstreams announce how many requests per second they accept from all hosts
+// together, and the load of each host is far below that. Time is virtual.
 
-// TestLimitsAreKept: two upstreams of ten name a limit for ten seconds. Grounds: what they
-// bear; nobody is refused, since the others have room; and they have half of their share
-// again, at the least, from a second after the end on.
+// TestLimitsAreKept has two of ten upstreams announce a limit for ten seconds. Their arrivals
+// must stay within what they tolerate, no caller may be refused since the other upstreams
+// have capacity, and after the end of the limit they must get at least half of their share
+// again.
 func TestLimitsAreKept(t *testing.T) {
 	rules := map[string]config.Rule{"look-ups": lookup(), "hedged look-ups": hedged(), "single actions": sale()}
 	for name, rule := range rules {
 		for _, hosts := range []int{1, 4, 18} {
 			for _, limit := range []string{"0", "0.3", "1.2", "2.25", "12"} {
 				t.Run(fmt.Sprintf("%s, %d hosts, %s a second", name, hosts, limit), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { limitsAreKept(t, hosts, limit, "least-outstanding", rule) })
+					synctest.Test(t, func(t *testing.T) { testLimitsAreKept(t, hosts, limit, "least-outstanding", rule) })
 				})
 			}
 		}
 	}
 }
 
-// TestAllPoliciesKeepLimits: the same under each policy.
+// TestAllPoliciesKeepLimits runs the checks of TestLimitsAreKept with each policy.
 func TestAllPoliciesKeepLimits(t *testing.T) {
 	for _, policy := range registry.Names() {
 		t.Run(policy, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { limitsAreKept(t, 4, "1.2", policy, lookup()) })
+			synctest.Test(t, func(t *testing.T) { testLimitsAreKept(t, 4, "1.2", policy, lookup()) })
 		})
 	}
 }
 
-func limitsAreKept(t *testing.T, hosts int, limit, policy string, rule config.Rule) {
+func testLimitsAreKept(t *testing.T, hosts int, limit, policy string, rule config.Rule) {
 	is := is.New(t)
 	const upstreams, load, lasts = 10, 80.0, 10 * time.Second
 	f := newLimitFleet(hosts, upstreams, policy, rule)
@@ -52,16 +53,16 @@
 	to := from.Add(lasts)
 	time.AfterFunc(time.Until(from), func() { f.upstreams.setLimit(limit, limited...) })
 	time.AfterFunc(time.Until(to), func() { f.upstreams.setLimit("", limited...) })
-	const after = 8 * time.Second // an upstream that takes nothing is tried every four
+	const after = 8 * time.Second // an upstream with a limit of 0 is tried every 4 s
 	got := f.sendLoad(methodOf(rule), time.Second+lasts+after, load/float64(hosts))
 	is.Equal(len(got.refused()), 0)
 	for _, id := range limited {
 		if most := f.upstreams.maxInWindow(id, from.Add(limitPropagation), to); most > allowedInWindow(limit) {
-			t.Errorf("%s got %d in %v, bears %d", id, most, rateWindow, allowedInWindow(limit))
+			t.Errorf("%s got %d requests in %v, tolerates %d", id, most, rateWindow, allowedInWindow(limit))
 		}
 	}
-	back := f.upstreams.countBetween(to.Add(after/2+limitPropagation), to.Add(after), limited...)
-	is.True(back >= int(load*(after/2-limitPropagation).Seconds()*2/upstreams/2))
+	recovered := f.upstreams.countBetween(to.Add(after/2+limitPropagation), to.Add(after), limited...)
+	is.True(recovered >= int(load*(after/2-limitPropagation).Seconds()*2/upstreams/2))
 }
 
 func methodOf(r config.Rule) string {
@@ -71,7 +72,7 @@
 	return http.MethodPost
 }
 
-// TestLimitsThatChange: an upstream names another limit every half second.
+// TestLimitsThatChange has an upstream announce another limit every half second.
 func TestLimitsThatChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -88,7 +89,8 @@
 	})
 }
 
-// TestHostsThatHearNothing: each host hears of limits in answers to itself alone.
+// TestHostsThatHearNothing isolates the hosts from each other, so that each learns limits
+// only from the responses to its own requests.
 func TestHostsThatHearNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -104,8 +106,8 @@
 	})
 }
 
-// TestRetriesKeepLimits: an upstream turns everything away, so that each request goes to a
-// second one.
+// TestRetriesKeepLimits has one upstream reject everything, so that requests are retried at
+// others. The limits must hold for retries as well.
 func TestRetriesKeepLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLimitFleet(4, 4, "least-outstanding", lookup())
@@ -115,17 +117,17 @@
 		f.sendLoad(http.MethodGet, 20*time.Second, 5)
 		for _, id := range f.ids[:2] {
 			if most := f.upstreams.maxInWindow(id, from.Add(limitPropagation), clock.Now()); most > allowedInWindow("1.2") {
-				t.Errorf("%s got %d", id, most)
+				t.Errorf("%s got %d requests", id, most)
 			}
 		}
 	})
 }
 
-// TestAllUpstreamsNameLimits: callers ask for twice as much as the upstreams of a service
-// take together. Grounds: what they bear, and that nine tenths of it are used; who is refused
-// is told so at once, when two hosts were asked for their turns, but for a few that waited
-// for a turn of their own host, and those after no longer than a request waits that is still
-// answered in time.
+// TestAllUpstreamsNameLimits sends twice the rate that all upstreams of a service accept
+// together. Arrivals must stay within what the upstreams tolerate, and nine tenths of the
+// accepted rate must be used. Callers are refused as soon as two hosts were asked for a time
+// slot. Only a few may be refused after waiting for a time slot of their own host, and none
+// after its target latency.
 func TestAllUpstreamsNameLimits(t *testing.T) {
 	equal, unequal := []float64{1}, []float64{0.25, 0.25, 0.5, 3}
 	for name, c := range map[string]struct {
@@ -139,19 +141,19 @@
 		"18 hosts, unequal loads": {18, unequal},
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { allUpstreamsNameLimits(t, c.hosts, c.loads) })
+			synctest.Test(t, func(t *testing.T) { testAllUpstreamsLimited(t, c.hosts, c.loads) })
 		})
 	}
 }
 
-func allUpstreamsNameLimits(t *testing.T, hosts int, loads []float64) {
+func testAllUpstreamsLimited(t *testing.T, hosts int, loads []float64) {
 	is := is.New(t)
 	const upstreams, limit, perSecond, lasts = 10, "1.2", 1.2, 30 * time.Second
 	rule := lookup()
 	rule.TargetLatency = config.Duration(250 * time.Millisecond)
 	f := newLimitFleet(hosts, upstreams, "least-outstanding", rule)
 	f.upstreams.setLimit(limit, f.ids...)
-	for range 3 { // all are known to all
+	for range 3 { // all hosts learn all limits
 		f.sendLoad(http.MethodGet, time.Second, 20/float64(hosts))
 	}
 	var scaled []float64
@@ -163,11 +165,11 @@
 	refused := got.refused()
 	served := got.count() - len(refused)
 	used := float64(served) / (perSecond * upstreams * lasts.Seconds())
-	t.Logf("%d asked, %d served: %.2f of what the upstreams take", got.count(), served, used)
+	t.Logf("%d sent, %d served: %.2f of the accepted rate", got.count(), served, used)
 	is.True(used > 0.9)
 	for _, id := range f.ids {
 		if most := f.upstreams.maxInWindow(id, from, clock.Now()); most > allowedInWindow(limit) {
-			t.Errorf("%s got %d", id, most)
+			t.Errorf("%s got %d requests", id, most)
 		}
 	}
 	late := 0
@@ -183,8 +185,8 @@
 	is.True(late <= len(refused)/4)
 }
 
-// TestCallersComeBackForATurn: more callers come than there are turns, and each that comes
-// back when it was told to is served.
+// TestCallersComeBackForATurn checks that callers refused for lack of a time slot are served
+// if they return after their Retry-After.
 func TestCallersComeBackForATurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/proxy/rest.go
+++ b/internal/proxy/rest.go
@@ -17,20 +17,20 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// This file keeps requests away from upstreams that asked this host for rest. Such an
-// upstream reports itself idle, since it turns everything away, and was the best choice
-// again and again: of four hosts with ten upstreams, three of which did so for five
-// seconds, 38 of 400 callers were refused, and 20 of 65 rests were broken. With this file no
-// rest is, and 4 and 5 callers were refused in two runs.
+// This file keeps requests away from upstreams that asked this host to back off. Such an
+// upstream reports that it is idle, since it rejects everything, and so was picked again and
+// again: with four hosts and ten upstreams, three of which did so for five seconds, 38 of
+// 400 callers were refused, and 20 of 65 backoffs were not respected. With this file all
+// backoffs are respected, and 4 and 5 callers were refused in two runs.
 
-// rested takes in what an answer says of rest.
+// recordBackoff applies the backoff in a response.
 func (x *exchange) recordBackoff(b binding, resp *httpwire.Response) {
-	read := x.proxy.dialect.Rest
-	if resp == nil || read == nil {
+	parse := x.proxy.dialect.Rest
+	if resp == nil || parse == nil {
 		return
 	}
 	now := clock.Now()
-	d, err := read(resp.Status, resp.Header)
+	d, err := parse(resp.Status, resp.Header)
 	if d > 0 {
 		x.emit(event.Event{Code: event.RestAsked, Upstream: b.upstream.ID, Attempt: b.number, Value: d.Milliseconds()})
 		until := b.upstream.Rest.Ask(now, d, x.proxy.random())
@@ -45,19 +45,19 @@
 	b.upstream.Rest.Answered(now)
 }
 
-// last reports whether the request could not be sent again if send number n were turned
-// away.
+// isFinalAttempt reports whether the request could not be sent again if attempt number n
+// were rejected.
 func (x *exchange) isFinalAttempt(n int) bool {
 	return n >= maxAttempts(x.rule.Config) || x.isRetry || x.noRetry || x.state.budget.Exhausted()
 }
 
-// maxChoices bounds the choices for one send, of which all but the last met an upstream
-// that another request has tried first after its rest, or at which it used the turn.
+// maxPicks bounds the picks for one attempt. A pick is repeated if another request has just
+// made the first attempt after the upstream's backoff, or has used the time slot there.
 const maxPicks = 8
 
-// choose lets the policy choose an upstream that does not rest, and takes this host's turn
-// at one that names a limit, or one that another host lends. The error is balancer.ErrNoSlot
-// where it is worth to wait.
+// choose lets the policy pick an upstream that is not backing off. At an upstream with a
+// limit, it takes this host's time slot or borrows that of another host. The error is
+// balancer.ErrNoSlot if it is worth waiting.
 func (x *exchange) choose(ctx context.Context, group *routing.Group, info balancer.PickInfo) (balancer.Result, error) {
 	if choice, ok := x.pickUnconfirmed(group, info); ok {
 		return choice, nil
@@ -70,7 +70,7 @@
 		case err == nil:
 			continue
 		case info.FinalAttempt && errors.Is(err, balancer.ErrNoUpstream):
-			info.FinalAttempt = false // none is left but those whose rest has just ended
+			info.FinalAttempt = false // only upstreams whose backoff has just ended are left
 			continue
 		case errors.Is(err, balancer.ErrNoUpstream):
 			if borrowed, ok := x.borrowTimeSlot(ctx, group, info); ok {
@@ -85,10 +85,11 @@
 	return balancer.Result{}, balancer.ErrNoSlot
 }
 
-// opensShortly reports whether all upstreams are shut that were not tried, and one opens
-// soon enough that the request is still answered within its target if it waits here. For a
-// trial after a rest it waits as long as it has time at all. One without a target is told
-// when to come back rather than held up to its deadline.
+// worthWaiting reports whether all upstreams not tried yet are unavailable, and one becomes
+// available soon enough for the request to wait here and still get a response within its
+// target. While another request makes the first attempt after a backoff, a delay of at most
+// TrialTimeout, the deadline counts instead of the target. Otherwise a request without a
+// target is refused with Retry-After instead of being held until its deadline.
 func (x *exchange) worthWaiting(info balancer.PickInfo) bool {
 	left := x.sendDelayExcluding(info.Exclude)
 	switch {
@@ -102,16 +103,16 @@
 	return left+info.ExpectedLatency <= info.TargetLeft
 }
 
-// allShut returns how long it takes until the first upstream of the group may be sent a
-// request; 0 if one may be now.
+// sendDelay returns the time until a request may be sent to the first upstream of the group;
+// 0 if that is possible now.
 func (x *exchange) sendDelay() time.Duration { return x.sendDelayExcluding(nil) }
 
-// shutFor is allShut without some upstreams.
-func (x *exchange) sendDelayExcluding(without []*balancer.Upstream) time.Duration {
+// sendDelayExcluding is sendDelay without the upstreams in exclude.
+func (x *exchange) sendDelayExcluding(exclude []*balancer.Upstream) time.Duration {
 	now := clock.Now()
 	var first time.Duration
 	for _, u := range x.state.group.current.Load().Upstreams {
-		if slices.Contains(without, u) {
+		if slices.Contains(exclude, u) {
 			continue
 		}
 		left := u.SendDelay(now)
@@ -125,7 +126,7 @@
 	return first
 }
 
-// noUpstream says why there is no upstream to send to.
+// noUpstreamError returns the error that says why no upstream is available.
 func (x *exchange) noUpstreamError(err error) *errkind.Error {
 	kind := errkind.NoUpstream
 	switch {
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -21,8 +21,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// The pattern: upstreams turn requests away, ask the host for rest each time, and look
-// idle meanwhile. Time is virtual.
+// In these tests, upstreams reject requests, ask the host to back off with each rejection, and
+// seem idle meanwhile. Time is virtual.
 
 func hedged() config.Rule {
 	r := lookup()
@@ -30,19 +30,19 @@
 	return r
 }
 
-// TestRestIsKept: one upstream of four turns everything away for ten seconds. Grounds: in
-// no rest a request reaches it that was sent later than its answer was back; all callers
-// are served by the others; and it has its share again half a second after the last rest.
+// TestRestIsKept has one of four upstreams reject everything for ten seconds. No request may
+// be sent to it during a backoff, all callers must be served by the other upstreams, and it
+// must have its share again half a second after the last backoff.
 func TestRestIsKept(t *testing.T) {
 	for name, rule := range map[string]config.Rule{"look-ups": lookup(), "hedged look-ups": hedged(), "single actions": sale()} {
-		for word, d := range map[string]time.Duration{"3": 3 * time.Second, "1.5": 1500 * time.Millisecond, "0.4": 400 * time.Millisecond} {
-			t.Run(name+" "+word, func(t *testing.T) {
+		for value, d := range map[string]time.Duration{"3": 3 * time.Second, "1.5": 1500 * time.Millisecond, "0.4": 400 * time.Millisecond} {
+			t.Run(name+" "+value, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
 					const pause = 7 * time.Millisecond
 					upstreams := newRejectingUpstreams()
 					upstreams.slowWork = 60 * time.Millisecond
-					upstreams.reject(word, "up-1")
+					upstreams.reject(value, "up-1")
 					p := newProxy(service(4, rule), leastOutstanding, upstreams, new(recorder))
 					method := "GET"
 					if rule.Repeat != config.Repeatable {
@@ -52,37 +52,37 @@
 					start := clock.Now()
 					answers := serveEvery(p, method, int(15*time.Second/pause), pause)
 					is.Equal(refusals(answers), 0)
-					turned := 0
+					rejected := 0
 					var until time.Time
 					for _, s := range upstreams.all() {
 						if s.upstream != "up-1" {
 							continue
 						}
 						if s.at.Before(until) && s.at.After(until.Add(-d+2*time.Millisecond)) {
-							t.Errorf("sent to within a rest, %v after the start", s.at.Sub(start))
+							t.Errorf("sent to during a backoff, %v after the start", s.at.Sub(start))
 						}
 						if s.rejected {
 							until = s.at.Add(d)
-							turned++
+							rejected++
 						}
 					}
-					is.True(turned >= int(10*time.Second/(d+rest.ResumeJitter)))
+					is.True(rejected >= int(10*time.Second/(d+rest.ResumeJitter)))
 					from := start.Add(10*time.Second + d + 500*time.Millisecond)
-					back := 0
+					recovered := 0
 					for _, at := range upstreams.arrivals("up-1") {
 						if at.After(from) && at.Before(from.Add(time.Second)) {
-							back++
+							recovered++
 						}
 					}
-					is.True(back >= int(time.Second/pause)/4/2)
+					is.True(recovered >= int(time.Second/pause)/4/2)
 				})
 			})
 		}
 	}
 }
 
-// TestAllPoliciesKeepRest: none sends to an upstream that rests, and each says so where all
-// do.
+// TestAllPoliciesKeepRest checks that no policy picks, probes or queries an upstream that is
+// backing off, and that each returns ErrNoUpstream if all are.
 func TestAllPoliciesKeepRest(t *testing.T) {
 	for _, name := range registry.Names() {
 		t.Run(name, func(t *testing.T) {
@@ -106,8 +106,8 @@
 				if prober, ok := picker.(balancer.Prober); ok {
 					is.Equal(prober.Probe(now, random()).ID, "c")
 				}
-				if asker, ok := picker.(balancer.LoadQuerier); ok {
-					for _, u := range asker.QueryTargets(balancer.PickInfo{Now: now, Random: random()}, 0) {
+				if querier, ok := picker.(balancer.LoadQuerier); ok {
+					for _, u := range querier.QueryTargets(balancer.PickInfo{Now: now, Random: random()}, 0) {
 						is.Equal(u.ID, "c")
 					}
 				}
@@ -119,15 +119,15 @@
 	}
 }
 
-// TestAllUpstreamsRest: callers are told at once when to come back, and who comes back then
-// is served.
+// TestAllUpstreamsRest checks that callers get a Retry-After at once if all upstreams are
+// backing off, and are served if they return after it.
 func TestAllUpstreamsRest(t *testing.T) {
 	for name, target := range map[string]time.Duration{"with a target": 300 * time.Millisecond, "without one": 0} {
-		t.Run(name, func(t *testing.T) { allUpstreamsRest(t, target) })
+		t.Run(name, func(t *testing.T) { testAllUpstreamsBackOff(t, target) })
 	}
 }
 
-func allUpstreamsRest(t *testing.T, target time.Duration) {
+func testAllUpstreamsBackOff(t *testing.T, target time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		all := []string{"up-1", "up-2"}
@@ -137,7 +137,7 @@
 		rule.TargetLatency = config.Duration(target)
 		rule.Deadline = config.Duration(30 * time.Second)
 		p := newProxy(service(len(all), rule), leastOutstanding, upstreams, new(recorder))
-		serveEvery(p, "GET", 4, 10*time.Millisecond) // both have turned this host away
+		serveEvery(p, "GET", 4, 10*time.Millisecond) // both have rejected a request of this host
 		upstreams.serve(all...)
 		sends := upstreams.count()
 		for range 20 {
@@ -156,7 +156,7 @@
 				req := request("GET")
 				req.Received = clock.Now()
 				if a := p.Serve(context.Background(), req); a.Status != http.StatusOK {
-					t.Errorf("came back after %v as told: %d %s", back, a.Status, a.Header.Get(HeaderError))
+					t.Errorf("returned after the Retry-After of %v: %d %s", back, a.Status, a.Header.Get(HeaderError))
 				}
 			}()
 			time.Sleep(20 * time.Millisecond)
@@ -167,8 +167,8 @@
 	})
 }
 
-// TestRestThatEndsInTime: a request waits here rather than be refused, if it is still
-// answered within its target.
+// TestRestThatEndsInTime checks that a request waits instead of being refused if the backoff
+// ends early enough for a response within the target.
 func TestRestThatEndsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -185,13 +185,14 @@
 		first := upstreams.arrivals("up-1")[1]
 		is.True(first.Sub(start) >= 95*time.Millisecond && first.Sub(start) <= 230*time.Millisecond)
 		second := upstreams.arrivals("up-1")[2]
-		is.True(second.Sub(first) >= 20*time.Millisecond) // the first goes alone
+		is.True(second.Sub(first) >= 20*time.Millisecond) // the first request after the backoff is sent alone
 	})
 }
 
-// TestLastSendTriesNoRest: a request that could not be sent again leaves an upstream alone
-// whose rest has just ended, and another one tries it.
-func TestLastSendTriesNoRest(t *testing.T) {
+// TestFinalAttemptAvoidsTrialAfterBackoff checks that requests that can't be sent again are
+// not sent to an upstream within RetryableOnlyPeriod after its backoff, and that it gets
+// requests soon after that.
+func TestFinalAttemptAvoidsTrialAfterBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		upstreams := newRejectingUpstreams()
@@ -206,11 +207,11 @@
 	})
 }
 
-// TestWordsForRest: what is no time asks for none, and is said in the log; a very long one
-// is kept for the bound.
-func TestWordsForRest(t *testing.T) {
-	for word, test := range map[string]struct {
-		rests      time.Duration
+// TestBackoffValues checks that an invalid value causes no backoff but an event, and that a
+// very long backoff is limited to MaxDuration.
+func TestBackoffValues(t *testing.T) {
+	for value, test := range map[string]struct {
+		backoff    time.Duration
 		unreadable int
 	}{
 		"":                              {0, 0},
@@ -221,20 +222,20 @@
 		"86400":                         {rest.MaxDuration, 0},
 		"1e18":                          {rest.MaxDuration, 0},
 	} {
-		t.Run(word, func(t *testing.T) {
+		t.Run(value, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				upstreams := newRejectingUpstreams()
-				upstreams.reject(word, "up-1")
+				upstreams.reject(value, "up-1")
 				events := new(recorder)
 				p := newProxy(service(1, lookup()), leastOutstanding, upstreams, events)
 				serveEvery(p, "GET", 1, 0)
 				is.Equal(events.count(event.RestUnreadable), test.unreadable)
-				is.Equal(events.count(event.RestAsked) == 1, test.rests > 0)
+				is.Equal(events.count(event.RestAsked) == 1, test.backoff > 0)
 				u := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0]
 				left := u.Rest.Left(clock.Now())
-				is.True(left <= test.rests+rest.ResumeJitter && left >= test.rests-time.Millisecond)
-				if test.rests == 0 {
+				is.True(left <= test.backoff+rest.ResumeJitter && left >= test.backoff-time.Millisecond)
+				if test.backoff == 0 {
 					is.Equal(left, time.Duration(0))
 				}
 			})
@@ -242,9 +243,9 @@
 	}
 }
 
-// TestRestOfAnEntryHostBelow: an entry host that refuses a request says when that request
-// may come back, and does not ask for rest itself.
-func TestRestOfAnEntryHostBelow(t *testing.T) {
+// TestBackoffOfDownstreamEntryHost checks that the Retry-After of a downstream entry host's
+// refusal applies to the request and is not taken as a backoff of that host.
+func TestBackoffOfDownstreamEntryHost(t *testing.T) {
 	is := is.New(t)
 	below := http.Header{HeaderNotRun: {flagSet}, HeaderRetryAfter: {"300"}, HeaderError: {"quarantined"}}
 	d, err := defaultBackoff(http.StatusServiceUnavailable, below)
@@ -253,12 +254,12 @@
 	d, err = defaultBackoff(http.StatusServiceUnavailable, http.Header{HeaderNotRun: {flagSet}, HeaderRetryAfter: {"3"}, HeaderRetryAfterMs: {"2500"}})
 	is.NoErr(err)
 	is.Equal(d, 2500*time.Millisecond)
-	d, err = defaultBackoff(http.StatusServiceUnavailable, http.Header{HeaderRetryAfter: {"3"}}) // an answer: it ran
+	d, err = defaultBackoff(http.StatusServiceUnavailable, http.Header{HeaderRetryAfter: {"3"}}) // a response: it ran
 	is.NoErr(err)
 	is.Equal(d, time.Duration(0))
 }
 
-// TestRestOverASuspension: the upstream's time goes on while the machine is suspended.
+// TestRestOverASuspension checks that a backoff elapses while the machine is suspended.
 func TestRestOverASuspension(t *testing.T) {
 	for name, test := range map[string]struct{ suspended, left time.Duration }{
 		"within": {time.Second, 2 * time.Second},
@@ -281,12 +282,13 @@
 	}
 }
 
-// TestRequestsThatWaitAreTold: upstreams begin to rest while requests wait for slots.
+// TestRequestsThatWaitAreTold checks that queued requests are refused at once when their
+// upstreams start to back off.
 func TestRequestsThatWaitAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		upstreams := newRejectingUpstreams()
-		upstreams.work = 200 * time.Millisecond
+		upstreams.serviceTime = 200 * time.Millisecond
 		s := service(1, lookup())
 		s.Groups[0].Upstreams[0].Slots = 1
 		p := newProxy(s, lateBinding, upstreams, new(recorder))
@@ -309,21 +311,22 @@
 	})
 }
 
-// TestRestAndLeavingAreTold: the host hears of both, by whichever answer.
-func TestRestAndLeavingAreTold(t *testing.T) {
+// TestBackoffAndLeavingAreReported checks that a response that carries both is reported as
+// both.
+func TestBackoffAndLeavingAreReported(t *testing.T) {
 	is := is.New(t)
 	upstreams := newRejectingUpstreams()
-	upstreams.work = 0
+	upstreams.serviceTime = 0
 	upstreams.rejection["up-1"] = func() http.Header {
 		return http.Header{HeaderNotRun: {flagSet}, HeaderRetryAfter: {"3"}, lifecycle.HeaderLeaving: {"1"}}
 	}
-	news := new(lifecycleRecorder)
-	p := New("127.0.0.1", "test", upstreams, new(recorder), WithRandom(seeded(1)), WithUpstreams(news))
+	recorded := new(lifecycleRecorder)
+	p := New("127.0.0.1", "test", upstreams, new(recorder), WithRandom(seeded(1)), WithUpstreams(recorded))
 	p.SetTable(routing.Compile(1, []*config.Service{service(2, lookup())}, groupsFunc(leastOutstanding)))
 	for range 8 {
 		is.Equal(p.Serve(t.Context(), request("GET")).Status, http.StatusOK)
 	}
-	is.Equal(news.backingOff, []string{"up-1"})
-	is.Equal(len(news.leaving), 1)
-	is.Equal(news.leaving[0].Upstream, "up-1")
+	is.Equal(recorded.backingOff, []string{"up-1"})
+	is.Equal(len(recorded.leaving), 1)
+	is.Equal(recorded.leaving[0].Upstream, "up-1")
 }
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -11,48 +11,48 @@
 	"github.com/dapplespindle/dapplespindle/pkg/retry"
 )
 
-// nonRepeatableAttempts bounds the sends of a non-repeatable request unless its
-// rule does; all but the last certainly did not run.
+// nonRepeatableAttempts is the default maximum of attempts of a non-repeatable
+// request. Every attempt but the last is known not to have run.
 const nonRepeatableAttempts = config.DefaultMaxAttempts
 
-// medianQuantile estimates how long a send usually takes.
+// medianQuantile is the quantile taken as the expected latency of an attempt.
 const medianQuantile = 0.5
 
-// run sends the request until it is answered or may not be sent again.
+// run sends the request until an upstream responds or no further attempt is allowed.
 func (x *exchange) run(ctx context.Context) *httpwire.Response {
 	for {
 		b, err := x.bind(ctx)
 		if err != nil {
 			x.refundRetry()
 			if x.failure != nil {
-				return x.answer(*x.failure)
+				return x.returnResponse(*x.failure)
 			}
 			return x.refuse(x.finalError(err))
 		}
 		x.countAttempt()
 		r := x.sendHedged(ctx, b)
 		if r.err == nil {
-			return x.answer(r)
+			return x.returnResponse(r)
 		}
 		x.keepFailure(r)
 		if !x.shouldRetry(r) {
 			if x.failure != nil {
-				return x.answer(*x.failure)
+				return x.returnResponse(*x.failure)
 			}
 			return x.refuse(x.finalError(r.err))
 		}
 	}
 }
 
-// keep remembers an upstream's own answer that says it failed. It is passed on
-// if no other answer comes.
+// keepFailure stores an upstream's complete failure response. It is returned to the
+// caller if no other attempt gets a response.
 func (x *exchange) keepFailure(r result) {
 	if r.failure != nil {
 		x.failure = &result{binding: r.binding, resp: r.failure}
 	}
 }
 
-// count records a send. The first fills the budget.
+// countAttempt counts an attempt. The first one of a request adds to the budget.
 func (x *exchange) countAttempt() {
 	x.sent++
 	if x.sent == 1 {
@@ -60,7 +60,7 @@
 	}
 }
 
-// notSent gives back the token of a retry that found no upstream or no slot.
+// refundRetry refunds the budget token of a retry that found no upstream or no slot.
 func (x *exchange) refundRetry() {
 	if x.sent > 0 {
 		x.state.budget.Refund()
@@ -68,7 +68,7 @@
 	}
 }
 
-// retry decides whether the request is sent again after r failed.
+// shouldRetry decides whether the request is sent again after r failed.
 func (x *exchange) shouldRetry(r result) bool {
 	reason := retry.Decide(x.attemptState(r.err.Kind), x.state.budget)
 	code := event.RetryDenied
@@ -81,7 +81,7 @@
 	return reason == retry.Allowed
 }
 
-// attemptState gathers what pkg/retry decides on.
+// attemptState returns the input for the decision of pkg/retry.
 func (x *exchange) attemptState(kind errkind.Kind) retry.Attempt {
 	return retry.Attempt{
 		Kind:           kind,
@@ -98,7 +98,7 @@
 	}
 }
 
-// failed records the failure of one send.
+// recordFailure records the failure of one attempt.
 func (x *exchange) recordFailure(r result) {
 	x.emit(event.Event{Code: event.AttemptFailed, Upstream: r.binding.upstream.ID, Attempt: r.binding.number, Reason: r.err.Kind.String(), Detail: r.err.Error()})
 	x.noRetry = x.noRetry || r.noRetry
@@ -110,9 +110,9 @@
 	}
 }
 
-// finalError returns the error to answer with: "not run" only when no send at all
-// may have run, and otherwise the first failure of a send before any refusal
-// to send again.
+// finalError returns the error to respond with. A failure after which the request may
+// have run takes precedence, so that "not run" is reported only if no attempt can have
+// run. Next comes the first failed attempt, and last the error that prevented another.
 func (x *exchange) finalError(err *errkind.Error) *errkind.Error {
 	switch {
 	case x.unknown != nil:
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -10,8 +10,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// snapshot is a routing table with the state that outlives it. It is
-// immutable; what it points to is safe for concurrent use.
+// snapshot is a routing table with the state that is carried over to the next one. It is
+// immutable; the state that it points to is safe for concurrent use.
 type snapshot struct {
 	table  *routing.Table
 	rules  map[*routing.Rule]*targetSplit
@@ -19,8 +19,8 @@
 	groups map[groupName]*groupState
 }
 
-// groupName identifies a group over changes of configuration. Groups of one
-// registered service are one, whichever document they stand in.
+// groupName identifies a group across configuration changes. Groups of the same registered
+// service are one group, whichever document they are in.
 type groupName struct {
 	service, group string
 }
@@ -32,21 +32,21 @@
 	return groupName{service: s.Name, group: g.Name}
 }
 
-// targetName identifies one target of a rule over changes of configuration.
+// targetName identifies one target of a rule across configuration changes.
 type targetName struct {
 	service, rule string
 	group         groupName
 }
 
-// ruleState is what the entry host has learned about one target of a rule.
+// ruleState holds the retry budget and the latencies of one target of a rule.
 type ruleState struct {
 	budget  *retry.Budget
 	latency *retry.Latency
 	group   *groupState
 }
 
-// shares are the targets of one rule. With several, each request goes to the
-// one that is furthest behind its weight.
+// targetSplit distributes the requests of one rule over its targets by smooth weighted
+// round robin: each request goes to the target that is furthest behind its weight.
 type targetSplit struct {
 	states  []*ruleState
 	weights []int
@@ -56,7 +56,7 @@
 	credit []int
 }
 
-// next returns the target of the next request.
+// next returns the target for the next request.
 func (s *targetSplit) next() *ruleState {
 	if len(s.states) == 1 {
 		return s.states[0]
@@ -74,19 +74,19 @@
 	return s.states[best]
 }
 
-// start puts the targets at a random point of their turn, so that many entry
-// hosts with few requests each do not all begin with the same one.
+// randomizeStart advances the rotation to a random position, so that many entry hosts with
+// few requests each do not all begin with the same target.
 func (s *targetSplit) randomizeStart(random uint64) {
 	for range random % uint64(max(s.total, 1)) % maxStartOffset {
 		s.next()
 	}
 }
 
-// maxStartTurns bounds the turns taken in advance.
+// maxStartOffset bounds the steps of randomizeStart.
 const maxStartOffset = 64
 
-// nextSnapshot compiles t and carries over the state of the rules and groups
-// that were there before.
+// nextSnapshot returns a snapshot of t. It carries over the state of rules and groups that
+// are in the old snapshot.
 func (p *Proxy) nextSnapshot(old *snapshot, t *routing.Table) *snapshot {
 	if old == nil {
 		old = &snapshot{}
@@ -134,8 +134,8 @@
 	return &ruleState{budget: old.budget, latency: old.latency, group: group}
 }
 
-// budgetOf returns a budget of the rule's own, or the one that all rules of a
-// registered service share.
+// budgetOf returns a new budget for a rule, or the budget that all rules of a registered
+// service share.
 func (p *Proxy) budgetOf(g *groupState, percent float64) *retry.Budget {
 	if g.budget == nil {
 		return p.newBudget(percent)
@@ -158,8 +158,8 @@
 	return g
 }
 
-// newGroup returns the state of a new group. The upstreams of a registered
-// service tell how full they are; no limit is guessed for them.
+// newGroup returns the state of a new group. A registered service gets no limiter, since
+// its upstreams report their load.
 func (p *Proxy) newGroup(s *config.Service, g *config.Group) *groupState {
 	if g.Registered == "" {
 		return newGroupState(s.Name, p.newLimiter(slotsOf(g)), g.Queue.MaxWaiting)
@@ -181,6 +181,6 @@
 
 func newLimiter(slots int) *limit.Limiter { return limit.ForGroup(slots, 1) }
 
-// currentGroup is the group's newest snapshot. A request that waits or is
-// retried reads it anew, so that it never goes to an upstream that left.
+// currentGroup is the group's latest snapshot. A request that waited or is retried loads it
+// again, so that it is never sent to an upstream that has left.
 type currentGroup = atomic.Pointer[routing.Group]
--- a/internal/proxy/starting.go
+++ b/internal/proxy/starting.go
@@ -11,19 +11,20 @@
 
 const (
 	// startWindow is how long after its start a host lets requests wait for its first
-	// configuration. One that has none by then has trouble, and says so at once.
+	// configuration. Without one by then, something is wrong, and requests are refused at
+	// once.
 	startWindow = time.Second
-	// startHold is the longest wait of one request. Where 473 hosts started at once, the
-	// first configuration, of 1,200 routes, was there after 35 ms for the first host and
-	// 410 ms for the middle one; the targets known are 200 to 2,000 ms.
+	// maxStartWait is the longest wait of one request. When 473 hosts started at once, the
+	// first configuration, with 1,200 routes, arrived after 35 ms at the first host and after
+	// 410 ms at the median one. Known target latencies are 200 to 2,000 ms.
 	maxStartWait = 250 * time.Millisecond
-	// maxHeld bounds the requests that wait.
+	// maxStartWaiters bounds the number of waiting requests.
 	maxStartWaiters = 512
 )
 
-// starting holds requests that come before the first configuration. The platform's
-// balancer sends callers to hosts that are not ready where few are, and a caller that
-// is refused tries others that are no further.
+// starting lets requests wait that arrive before the first configuration. The platform's
+// balancer sends callers to hosts that are not ready if few hosts are, and a refused caller
+// tries other hosts that are not ready either.
 type starting struct {
 	until      time.Time
 	once       sync.Once
@@ -31,24 +32,24 @@
 	waiting    atomic.Int64
 }
 
-// newStarting returns the state of a host that starts now, or of one that lets no
-// request wait.
-func newStarting(holds bool) *starting {
+// newStarting returns the state of a host that starts now. Unless queues is set, no request
+// waits.
+func newStarting(queues bool) *starting {
 	s := &starting{configured: make(chan struct{})}
-	if holds {
+	if queues {
 		s.until = clock.Now().Add(startWindow)
 	}
 	return s
 }
 
-// done ends the wait of all requests.
+// release ends the wait of all requests.
 func (s *starting) release() { s.once.Do(func() { close(s.configured) }) }
 
-// recent reports whether the host has started a moment ago.
+// inStartWindow reports whether now is within startWindow of the start.
 func (s *starting) inStartWindow(now time.Time) bool { return now.Before(s.until) }
 
-// wait returns when there is a configuration, or when the request has waited for as
-// long as it may.
+// wait returns when there is a configuration, when ctx ends, or when the longest wait of a
+// request is over.
 func (s *starting) wait(ctx context.Context, now time.Time) {
 	longest := min(s.until.Sub(now), maxStartWait)
 	if longest <= 0 {
--- a/internal/proxy/starting_test.go
+++ b/internal/proxy/starting_test.go
@@ -27,9 +27,10 @@
 	return New("127.0.0.1", "test", sender, &recorder{}, WithRandom(seeded(1)), WithStartHold())
 }
 
-// TestCrowdAtAStartingHost: callers come back to all hosts of a fleet at the moment
-// when these start, and are served when the configuration is there.
-func TestCrowdAtAStartingHost(t *testing.T) {
+// TestRequestsWaitForFirstConfiguration checks that requests that arrive while a host starts
+// are served once the configuration arrives. Callers retry at all hosts of a fleet at the
+// moment when they start.
+func TestRequestsWaitForFirstConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := startingProxy()
@@ -49,14 +50,15 @@
 	})
 }
 
-// TestStartWithoutAConfiguration: requests wait for a moment, and only for the first
-// second; then they are refused at once. What they are told keeps to that.
-func TestStartWithoutAConfiguration(t *testing.T) {
+// TestStartWithoutConfiguration checks that requests wait at most maxStartWait, and only
+// within startWindow; later ones are refused at once. Retry-After is short while the host
+// starts.
+func TestStartWithoutConfiguration(t *testing.T) {
 	for _, test := range []struct {
-		name      string
-		after     time.Duration // when the request comes
-		waits     time.Duration
-		comesBack time.Duration // at the most
+		name       string
+		after      time.Duration // when the request arrives
+		waits      time.Duration
+		retryAfter time.Duration // maximum
 	}{
 		{"early", 0, maxStartWait, limit.RetryAfterStart(math.MaxUint64)},
 		{"at the end of the first second", startWindow - 50*time.Millisecond, 50 * time.Millisecond, 2 * time.Second},
@@ -74,14 +76,15 @@
 				is.Equal(time.Since(start), test.waits)
 				ms, err := strconv.Atoi(resp.Header.Get(HeaderRetryAfterMs))
 				is.NoErr(err)
-				is.True(time.Duration(ms)*time.Millisecond <= test.comesBack)
+				is.True(time.Duration(ms)*time.Millisecond <= test.retryAfter)
 			})
 		})
 	}
 }
 
-// TestStartHoldIsBounded, in requests and by the caller.
-func TestStartHoldIsBounded(t *testing.T) {
+// TestStartWaitIsBounded checks the bound on waiting requests, and that a request whose
+// caller has gone does not wait.
+func TestStartWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := startingProxy()
--- a/internal/proxy/suspend_test.go
+++ b/internal/proxy/suspend_test.go
@@ -16,17 +16,17 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-// TestRequestOverASuspension: the machine is suspended while a request waits to be sent
-// again. Upstreams get no more time than its caller still waits, and one whose time is
-// over is sent to none. Timers of this process did not see that time pass.
+// TestRequestOverASuspension suspends the machine between two attempts of a request, which
+// the timers of this process do not notice. The second attempt must not get more time than
+// the caller has left, and must not be sent after the deadline.
 func TestRequestOverASuspension(t *testing.T) {
 	for name, test := range map[string]struct {
 		suspended time.Duration
 		sends     int
 	}{
-		"time is left":      {300 * time.Millisecond, 2},
-		"its time is over":  {2 * time.Second, 1},
-		"it is not awaited": {time.Minute, 1},
+		"time is left":            {300 * time.Millisecond, 2},
+		"deadline passed":         {2 * time.Second, 1},
+		"long after the deadline": {time.Minute, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/trail.go
+++ b/internal/proxy/trail.go
@@ -9,26 +9,25 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// Trails receives all events of a request at its end.
+// RequestLogger receives all events of a request when it ends.
 type Trails interface {
-	// Ended is called once for each request. Notable says that it failed, was
-	// sent more than once, or was answered after its target. Trail must not be
-	// kept.
-	Ended(trail []event.Event, notable bool)
+	// Ended is called once for each request. Notable is set if the request failed, was not
+	// sent exactly once, or got its response after its target. Events must not be retained.
+	Ended(events []event.Event, notable bool)
 }
 
-// WithTrails hands the events of each request to t when it has ended.
+// WithRequestLogger passes the events of each request to t when it ends.
 func WithTrails(t Trails) Option { return func(p *Proxy) { p.requestLogger = t } }
 
-// trail gathers the events of one request. Sends of a hedged request run at
-// the same time.
+// eventLog collects the events of one request. It is locked because the attempts of a
+// hedged request run concurrently.
 type eventLog struct {
 	mu     sync.Mutex
 	events []event.Event
 	closed bool
 }
 
-// typicalTrail is the number of events of an ordinary request.
+// typicalEvents is the number of events of an ordinary request.
 const typicalEvents = 4
 
 func (t *eventLog) add(e event.Event) {
@@ -43,7 +42,7 @@
 	t.events = append(t.events, e)
 }
 
-// end returns the events; later ones are dropped.
+// close returns the events. Later events are dropped.
 func (t *eventLog) close() []event.Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -51,14 +50,14 @@
 	return t.events
 }
 
-// ended hands the trail over.
+// logRequest passes the events to the request logger.
 func (x *exchange) logRequest(resp *httpwire.Response) {
 	if x.proxy.requestLogger != nil {
 		x.proxy.requestLogger.Ended(x.eventLog.close(), x.notable(resp))
 	}
 }
 
-// notable reports whether a person may ask about the request.
+// notable reports whether the request is worth investigating.
 func (x *exchange) notable(resp *httpwire.Response) bool {
 	if resp.Status >= http.StatusInternalServerError || x.sent != 1 || x.rule == nil {
 		return true
--- a/internal/proxy/turning_test.go
+++ b/internal/proxy/turning_test.go
@@ -16,13 +16,13 @@
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 )
 
-// turning is a Sender whose upstreams turn requests away, by their addresses.
+// rejectingUpstreams is a Sender whose upstreams can reject requests.
 type rejectingUpstreams struct {
-	mu        sync.Mutex
-	rejection map[string]func() http.Header // nil serves
-	work      time.Duration
-	slowWork  time.Duration // work of one send in ten; 0 is as the others
-	attempts  []recordedAttempt
+	mu          sync.Mutex
+	rejection   map[string]func() http.Header // by address; nil serves
+	serviceTime time.Duration
+	slowWork    time.Duration // service time of every tenth attempt; 0 for serviceTime
+	attempts    []recordedAttempt
 }
 
 type recordedAttempt struct {
@@ -32,25 +32,25 @@
 }
 
 func newRejectingUpstreams() *rejectingUpstreams {
-	return &rejectingUpstreams{rejection: make(map[string]func() http.Header), work: 20 * time.Millisecond}
+	return &rejectingUpstreams{rejection: make(map[string]func() http.Header), serviceTime: 20 * time.Millisecond}
 }
 
-// asks makes upstreams turn requests away with a word for rest.
-func (u *rejectingUpstreams) reject(word string, upstreams ...string) {
+// reject makes upstreams reject requests with a Retry-After value.
+func (u *rejectingUpstreams) reject(retryAfter string, upstreams ...string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, id := range upstreams {
 		u.rejection[id] = func() http.Header {
 			h := http.Header{HeaderNotRun: {flagSet}}
-			if word != "" {
-				h[HeaderRetryAfter] = []string{word}
+			if retryAfter != "" {
+				h[HeaderRetryAfter] = []string{retryAfter}
 			}
 			return h
 		}
 	}
 }
 
-// serves makes upstreams serve again.
+// serve makes upstreams serve requests again.
 func (u *rejectingUpstreams) serve(upstreams ...string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -61,16 +61,16 @@
 
 func (u *rejectingUpstreams) Do(ctx context.Context, address string, _ *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 	u.mu.Lock()
-	says := u.rejection[address]
-	work := u.work
+	rejection := u.rejection[address]
+	work := u.serviceTime
 	if u.slowWork > 0 && len(u.attempts)%10 == 0 {
 		work = u.slowWork
 	}
-	u.attempts = append(u.attempts, recordedAttempt{address, clock.Now(), says != nil})
+	u.attempts = append(u.attempts, recordedAttempt{address, clock.Now(), rejection != nil})
 	u.mu.Unlock()
-	if says != nil {
+	if rejection != nil {
 		time.Sleep(time.Millisecond)
-		return &httpwire.Response{Status: http.StatusServiceUnavailable, Header: says()}, nil
+		return &httpwire.Response{Status: http.StatusServiceUnavailable, Header: rejection()}, nil
 	}
 	select {
 	case <-time.After(work):
@@ -80,7 +80,7 @@
 	}
 }
 
-// all returns what was sent so far, in order.
+// all returns the attempts so far, in order.
 func (u *rejectingUpstreams) all() []recordedAttempt {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -89,7 +89,7 @@
 
 func (u *rejectingUpstreams) count() int { return len(u.all()) }
 
-// at returns when requests reached upstreams.
+// arrivals returns the arrival times of the attempts at upstreams.
 func (u *rejectingUpstreams) arrivals(upstreams ...string) []time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -102,8 +102,8 @@
 	return out
 }
 
-// crowd sends requests, one each pause, and returns the answers in order.
-func serveEvery(p *Proxy, method string, n int, pause time.Duration) []*httpwire.Response {
+// serveEvery serves n requests, one every interval, and returns the responses in order.
+func serveEvery(p *Proxy, method string, n int, interval time.Duration) []*httpwire.Response {
 	out := make([]*httpwire.Response, n)
 	var all sync.WaitGroup
 	for i := range n {
@@ -112,7 +112,7 @@
 			req.Received = clock.Now()
 			out[i] = p.Serve(context.Background(), req)
 		})
-		time.Sleep(pause)
+		time.Sleep(interval)
 	}
 	all.Wait()
 	return out
@@ -128,7 +128,7 @@
 	return n
 }
 
-// restNews records what a proxy tells of rest and of leaving.
+// lifecycleRecorder records the backoffs and leaving upstreams that a proxy reports.
 type lifecycleRecorder struct {
 	Upstreams
 	leaving    []lifecycle.UpstreamKey
@@ -146,14 +146,14 @@
 	n.backingOff = append(n.backingOff, u.ID)
 }
 
-// takesAll is a lifecycle in which the upstreams of service take requests.
+// allActive returns a lifecycle snapshot in which all upstreams of service accept requests.
 func allActive(upstreams int) *lifecycle.Snapshot {
 	r := lifecycle.NewRegistry(lifecycle.DefaultConfig(), event.Discard{})
-	var listings []lifecycle.UpstreamSpec
+	var specs []lifecycle.UpstreamSpec
 	for i := range upstreams {
-		listings = append(listings, lifecycle.UpstreamSpec{Upstream: "up-" + strconv.Itoa(i+1)})
+		specs = append(specs, lifecycle.UpstreamSpec{Upstream: "up-" + strconv.Itoa(i+1)})
 	}
-	r.Configure(time.Now(), "test", 1, listings)
+	r.Configure(time.Now(), "test", 1, specs)
 	s, _ := r.Flush()
 	return s
 }
--- a/internal/proxy/upstreams.go
+++ b/internal/proxy/upstreams.go
@@ -11,33 +11,32 @@
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 )
 
-// Upstreams is what the entry host knows of upstreams, and what it learns of
-// them from sends. Its methods are called by traffic goroutines; they must not
+// Upstreams provides what the entry host knows about upstreams and records what it learns
+// about them from attempts. Its methods are called by traffic goroutines and must not
 // block.
 type Upstreams interface {
-	// Snapshot returns the newest lifecycle of all upstreams, never nil.
+	// Snapshot returns the latest lifecycle snapshot of all upstreams, never nil.
 	Snapshot() *lifecycle.Snapshot
-	// Leaving takes in an upstream's own word that it is leaving. Activation is
-	// the one that the request was sent under.
+	// Leaving records that an upstream declared that it is leaving. Activation is the one
+	// under which the request was sent.
 	Leaving(k lifecycle.UpstreamKey, activation uint64)
-	// ConnectFailed takes in a connection that could not be made.
+	// ConnectFailed records that a connection could not be established.
 	ConnectFailed(k lifecycle.UpstreamKey)
-	// Reached takes in an answer of an upstream that counted as unreachable.
+	// ConnectSucceeded records a response of an upstream that was marked unreachable.
 	Reached(k lifecycle.UpstreamKey)
-	// Rests takes in that an upstream wants nothing from this host until a time.
+	// BackingOff records that an upstream wants no requests from this host until a time.
 	Rests(u *balancer.Upstream, until time.Time)
-	// LimitHeard takes in that an answer to this host has changed what is known of the limit
-	// of an upstream.
+	// LimitChanged records that a response to this host has changed the known limit of an
+	// upstream.
 	LimitHeard(u *balancer.Upstream)
-	// Reported takes in that an answer of the server at an address carried a
-	// load report.
+	// Reported records that a response of the server at an address carried a load report.
 	Reported(address string, now time.Time)
-	// Waking reports whether this process was paused and has not yet caught up
-	// with its peers.
+	// Resuming reports whether this process was paused and has not yet caught up with its
+	// peers.
 	Waking() bool
 }
 
-const resumingDetail = "waking from a pause"
+const resumingDetail = "resuming after a pause"
 
 // WithUpstreams checks each send against u and reports to it.
 func WithUpstreams(u Upstreams) Option { return func(p *Proxy) { p.upstreams = u } }
@@ -46,8 +45,8 @@
 	return lifecycle.UpstreamKey{Service: x.state.group.serviceName, Upstream: b.upstream.ID}
 }
 
-// mayStillSend is the last check before a send: the upstream may have left
-// since it was chosen, or since this process was paused.
+// checkLifecycle checks right before an attempt that the upstream has not left since it was
+// picked, and that this process has caught up if it was paused.
 func (x *exchange) checkLifecycle(b binding) *errkind.Error {
 	u := x.proxy.upstreams
 	if u == nil {
@@ -67,7 +66,7 @@
 	return errkind.New(errkind.UpstreamRefused, b.upstream.ID+" left after it was chosen")
 }
 
-// report tells what a send taught about the lifecycle of its upstream.
+// reportLifecycle reports what an attempt shows about the lifecycle of its upstream.
 func (x *exchange) reportLifecycle(b binding, resp *httpwire.Response, err *errkind.Error) {
 	u := x.proxy.upstreams
 	if u == nil {
--- a/internal/proxy/wait.go
+++ b/internal/proxy/wait.go
@@ -16,29 +16,29 @@
 	"github.com/dapplespindle/dapplespindle/pkg/queue"
 )
 
-// hintInterval is how long the queue may stand still before its first request
-// tries again without an answer that frees a slot.
+// recheckInterval is the longest time without a wake-up before the first queued request
+// tries again, even if no response has freed a slot.
 const recheckInterval = 5 * time.Millisecond
 
-// askInterval is hintInterval where upstreams are asked for their load.
+// queryRecheckInterval replaces recheckInterval if upstreams are queried for their load.
 const queryRecheckInterval = 25 * time.Millisecond
 
-// waiter is a request in its group's queue. Exactly one signal follows each
-// time that the queue takes the entry out: Kept hands over a place in the
-// limit, any other reason gives the request up.
+// waiter is a request in its group's queue. Each time that the queue removes the entry,
+// exactly one signal follows: Queued passes a permit from the limiter, and any other reason
+// drops the request.
 type waiter struct {
 	entry  queue.Entry[*waiter]
 	signal chan queue.Reason
 }
 
-// bind binds the next send to an upstream, and waits for a slot if none is
-// free. The error is final: it is answered at once.
+// bind binds the next attempt to an upstream, and waits for a slot if none is free. An
+// error is final for this attempt.
 func (x *exchange) bind(ctx context.Context) (binding, *errkind.Error) {
 	if err := x.expired(ctx); err != nil {
 		return binding{}, err
 	}
 	g := x.state.group
-	ends := g.finished.Load()
+	finished := g.finished.Load()
 	b, err := x.tryBind(ctx, x.sent+1)
 	switch {
 	case err == nil:
@@ -47,13 +47,13 @@
 	case errors.Is(err, balancer.ErrNoUpstream), errors.Is(err, errLimitReached) && x.tooManyWaiting():
 		return binding{}, x.noUpstreamError(err)
 	default:
-		return x.wait(ctx, err, ends)
+		return x.wait(ctx, err, finished)
 	}
 }
 
-// wait lets the request queue until it is bound or given up. Full says what
-// was full, and ends is the group's count of ended sends before that.
-func (x *exchange) wait(ctx context.Context, full error, ends uint64) (binding, *errkind.Error) {
+// wait queues the request until it is bound or dropped. Full is the error of the first try,
+// and finished the group's count of ended attempts before it.
+func (x *exchange) wait(ctx context.Context, full error, finished uint64) (binding, *errkind.Error) {
 	g := x.state.group
 	w := x.newWaiter()
 	start := clock.Now()
@@ -61,7 +61,7 @@
 		return binding{}, x.shed(reason)
 	}
 	x.emit(event.Event{Code: event.RequestQueued, Attempt: x.sent + 1, Reason: full.Error(), Value: g.waiting.Load()})
-	if errors.Is(full, errLimitReached) || g.finished.Load() != ends {
+	if errors.Is(full, errLimitReached) || g.finished.Load() != finished {
 		g.wake(clock.Now(), 1)
 	}
 	g.pending.Add(1)
@@ -74,7 +74,7 @@
 	return b, err
 }
 
-// awaitSlot picks each time that the request is woken, until it is bound.
+// awaitSlot tries to pick an upstream each time the request is woken, until it is bound.
 func (x *exchange) awaitSlot(ctx context.Context, w *waiter, start time.Time) (binding, *errkind.Error) {
 	g := x.state.group
 	interval := x.recheckDelay()
@@ -93,7 +93,7 @@
 			x.abandonWait(w)
 			return binding{}, x.expired(ctx)
 		}
-		ends := g.finished.Load()
+		finished := g.finished.Load()
 		b, err := x.pick(ctx, x.sent+1, clock.Since(start), false)
 		if err == nil {
 			return b, nil
@@ -104,14 +104,14 @@
 		}
 		g.limiter.Release(limit.Sample{Outcome: limit.Ignored})
 		g.requeue(w)
-		if g.finished.Load() != ends {
+		if g.finished.Load() != finished {
 			g.wake(clock.Now(), 1)
 		}
 	}
 }
 
-// hintEvery is how long the queue may stand still: where upstreams are asked
-// before each choice, a try costs questions.
+// recheckDelay returns the recheck interval of the queue. It is longer if upstreams are
+// queried before each pick, since each try then costs queries.
 func (x *exchange) recheckDelay() time.Duration {
 	if x.state.group.current.Load().Config.HealthPath != "" {
 		return queryRecheckInterval
@@ -119,8 +119,8 @@
 	return recheckInterval
 }
 
-// leave takes w out of the queue when the request ended. A place in the limit
-// that was handed over meanwhile goes to the next.
+// abandonWait removes w from the queue when the request has ended. A permit that was passed
+// to it meanwhile goes to the next request.
 func (x *exchange) abandonWait(w *waiter) {
 	g := x.state.group
 	if g.remove(w) {
@@ -131,7 +131,7 @@
 	}
 }
 
-// shed gives the request up before it was sent.
+// shed records that the request is dropped before it is sent, and returns the error.
 func (x *exchange) shed(reason queue.Reason) *errkind.Error {
 	x.recordAdmission(false)
 	x.emit(event.Event{Code: event.RequestShed, Attempt: x.sent + 1, Reason: string(reason), Value: x.state.group.waiting.Load()})
@@ -142,7 +142,7 @@
 	return errkind.New(kind, string(reason))
 }
 
-// admitted records whether a first send found a place.
+// recordAdmission records whether the first attempt of a request was admitted.
 func (x *exchange) recordAdmission(ok bool) {
 	if x.sent == 0 {
 		x.state.group.excess.Observe(ok)
@@ -161,8 +161,8 @@
 	return w
 }
 
-// usual is how long upstreams usually take for requests like this one. Until the
-// rule has samples, it is the group's mean.
+// expectedLatency returns the median latency of the rule, or the group's mean until the rule
+// has enough samples.
 func (x *exchange) expectedLatency() time.Duration {
 	if d := x.state.latency.Quantile(medianQuantile); d > 0 {
 		return d
@@ -181,8 +181,8 @@
 	}
 }
 
-// usefulUntil is when an answer has lost most of its worth: the target, or else
-// the deadline.
+// usefulUntil returns the time until which a response is useful: the target, or the
+// deadline if that is earlier or there is no target.
 func (x *exchange) usefulUntil() time.Time {
 	target := x.rule.Config.TargetLatency.Std()
 	if target == 0 {
