--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -1,9 +1,9 @@
 // Package retry decides when a request may be sent again.
 //
-// A Budget bounds the extra sends (retries and hedges) to a share of the first
-// sends, Decide applies every rule to one failed send, and Latency estimates
-// the quantiles from which a hedging delay is taken. Nothing here reads a
-// clock, starts a goroutine or draws randomness. All types are safe for
+// A Budget limits the extra attempts (retries and hedges) to a percentage of the first
+// attempts, Decide applies all rules to one failed attempt, and Latency estimates the
+// quantiles from which hedging delays are taken. The package does not read a clock,
+// start goroutines or use random numbers. Unless stated otherwise, all types are safe for
 // concurrent use.
 package retry
 
@@ -13,141 +13,141 @@
 )
 
 const (
-	// milli is the number of stored units in one token.
-	milli = 1000
-	// ReserveTokens is what a new budget holds, and the most that it can save
-	// up, in extra sends. It lets a rule with little traffic retry at all.
+	// unitsPerToken is the number of stored units in one token.
+	unitsPerToken = 1000
+	// ReserveTokens is the initial content and the capacity of a new budget, in extra
+	// attempts. Without a reserve, a rule with little traffic could not retry at all.
 	ReserveTokens = 10
-	// SaveEvery is how often Tick is to be called, and savedTicks the number of these times
-	// whose first sends' share can be saved up besides the reserve: 1.5 s. What fails at once
-	// at many upstreams is met by several requests of a host within a second. Of 400 requests
-	// to ten upstreams, three of which began to turn everything away at the same moment, 3 were
-	// refused for a spent budget in one run without it, and 1 in five runs with it (four hosts,
-	// ten requests a second each). Over a stretch of 10 s, the extra sends are 15 in 100 more
-	// than the share at the most.
-	SaveEvery  = 500 * time.Millisecond
-	savedTicks = 3
+	// TickInterval is the interval at which Tick is to be called. The share of the first
+	// attempts of the last historyTicks intervals, 1.5 s, can accumulate in addition to the
+	// reserve, because several requests of a host hit upstreams that start to fail at the same
+	// time within a second. Of 400 requests to ten upstreams, three of which started to reject
+	// everything at the same moment, 3 were refused for an exhausted budget in one run without
+	// this, and 1 in five runs with it (four hosts, ten requests per second each). Over any
+	// 10 s, the extra attempts exceed the share by at most 15 %.
+	SaveEvery    = 500 * time.Millisecond
+	historyTicks = 3
 )
 
-// Budget is a token bucket that is filled by first sends instead of by time:
-// each first send adds its share of a token and each extra send takes a whole
-// one. Over any stretch, extra sends are at most ReserveTokens plus the share
-// of the first sends. Where Tick is called, the share of the first sends of the last 1.5 s
-// comes on top of the reserve. A nil *Budget grants everything.
+// Budget is a token bucket that is filled by first attempts instead of by time: each first
+// attempt adds a fraction of a token, and each extra attempt takes a whole one. Over any
+// period, the extra attempts are at most the reserve plus the share of the first attempts.
+// If Tick is called, the capacity is the reserve plus the share of the first attempts of the
+// last 1.5 s. A nil *Budget allows everything.
 type Budget struct {
-	tokens atomic.Int64
-	share  atomic.Int64
-	cap    atomic.Int64 // the most that it can save up, in stored units
-	firsts atomic.Int64 // first sends since the last Tick
+	tokens        atomic.Int64
+	share         atomic.Int64
+	capacity      atomic.Int64 // maximum of tokens, in stored units
+	firstAttempts atomic.Int64 // since the last Tick
 
-	// What follows belongs to the goroutine that calls Tick and SetReserve.
+	// The fields below are accessed only by the goroutine that calls Tick and SetReserve.
 	reserve int64 // in stored units
-	recent  [savedTicks]int64
+	recent  [historyTicks]int64
 }
 
-// NewBudget returns a full budget that allows percent extra sends per hundred
-// first sends.
+// NewBudget returns a full budget that allows percent extra attempts per hundred first
+// attempts.
 func NewBudget(percent float64) *Budget { return NewBudgetWithReserve(percent, ReserveTokens) }
 
-// NewBudgetWithReserve is NewBudget with another reserve, in extra sends. Where
-// a bound holds for many entry hosts together, each has its part of the reserve.
+// NewBudgetWithReserve is NewBudget with another reserve, in extra attempts. If a bound
+// applies to several entry hosts together, each gets its part of the reserve.
 func NewBudgetWithReserve(percent, reserve float64) *Budget {
 	b := new(Budget)
 	b.SetReserve(reserve)
 	b.SetPercent(percent)
-	b.tokens.Store(b.cap.Load())
+	b.tokens.Store(b.capacity.Load())
 	return b
 }
 
-// SetReserve changes the reserve, in extra sends. A larger one has to be saved up
-// first.
+// SetReserve changes the reserve, in extra attempts. It changes the capacity only: tokens for
+// a larger reserve have to accumulate first.
 func (b *Budget) SetReserve(reserve float64) {
 	if b == nil {
 		return
 	}
-	b.reserve = int64(reserve * milli)
-	b.resize()
+	b.reserve = int64(reserve * unitsPerToken)
+	b.updateCapacity()
 }
 
-// Tick is called every SaveEvery, by the goroutine that calls SetReserve.
+// Tick must be called every TickInterval, by the goroutine that calls SetReserve.
 func (b *Budget) Tick() {
 	if b == nil {
 		return
 	}
-	copy(b.recent[1:], b.recent[:savedTicks-1])
-	b.recent[0] = b.firsts.Swap(0)
-	b.resize()
+	copy(b.recent[1:], b.recent[:historyTicks-1])
+	b.recent[0] = b.firstAttempts.Swap(0)
+	b.updateCapacity()
 }
 
-// resize sets what can be saved up.
-func (b *Budget) resize() {
-	saved := int64(0)
+// updateCapacity computes the capacity from the reserve and the recent first attempts.
+func (b *Budget) updateCapacity() {
+	share := int64(0)
 	for _, n := range b.recent {
-		saved += n * b.share.Load()
+		share += n * b.share.Load()
 	}
-	b.cap.Store(b.reserve + saved)
+	b.capacity.Store(b.reserve + share)
 }
 
-// SetPercent changes the share of extra sends, in percent of first sends. What
-// is saved up stays.
+// SetPercent changes the extra attempts allowed, in percent of the first attempts. Tokens in
+// the budget are kept.
 func (b *Budget) SetPercent(percent float64) {
 	if b == nil {
 		return
 	}
-	b.share.Store(int64(percent * milli / 100))
+	b.share.Store(int64(percent * unitsPerToken / 100))
 }
 
-// First records a first send.
+// RecordFirst records a first attempt.
 func (b *Budget) First() {
 	if b == nil {
 		return
 	}
-	b.firsts.Add(1)
+	b.firstAttempts.Add(1)
 	b.add(b.share.Load())
 }
 
-// Withdraw takes the token for one extra send. It reports false when the
-// budget is spent.
+// Withdraw takes the token for one extra attempt. It returns false if the budget is
+// exhausted.
 func (b *Budget) Withdraw() bool {
 	if b == nil {
 		return true
 	}
 	for {
 		held := b.tokens.Load()
-		if held < milli {
+		if held < unitsPerToken {
 			return false
 		}
-		if b.tokens.CompareAndSwap(held, held-milli) {
+		if b.tokens.CompareAndSwap(held, held-unitsPerToken) {
 			return true
 		}
 	}
 }
 
-// Refund gives back the token of an extra send that was not made.
+// Refund returns the token of an extra attempt that was not made.
 func (b *Budget) Refund() {
 	if b == nil {
 		return
 	}
-	b.add(milli)
+	b.add(unitsPerToken)
 }
 
-// Exhausted reports whether no extra send is allowed now.
-func (b *Budget) Exhausted() bool { return b.Remaining() < milli }
+// Exhausted reports whether no extra attempt is allowed now.
+func (b *Budget) Exhausted() bool { return b.Remaining() < unitsPerToken }
 
-// Remaining returns the extra sends that are allowed now, in thousandths.
+// Remaining returns the extra attempts that are allowed now, in thousandths.
 func (b *Budget) Remaining() int64 {
 	if b == nil {
-		return ReserveTokens * milli
+		return ReserveTokens * unitsPerToken
 	}
 	return b.tokens.Load()
 }
 
-// add puts units into the bucket, up to its size. A full bucket, the usual
-// case, is only read.
+// add adds units to the bucket, up to its capacity. A full bucket, the common case, is only
+// read.
 func (b *Budget) add(units int64) {
 	for {
 		held := b.tokens.Load()
-		sum := min(held+units, b.cap.Load())
+		sum := min(held+units, b.capacity.Load())
 		if sum == held || b.tokens.CompareAndSwap(held, sum) {
 			return
 		}
--- a/pkg/retry/decide.go
+++ b/pkg/retry/decide.go
@@ -6,65 +6,64 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-// Reason says why a request is or is not sent again. It is a constant text for
-// events.
+// Reason says why a request is or is not sent again. It is used in events.
 type Reason string
 
 // The reasons of Decide and of hedging.
 const (
-	// Allowed grants the send; its token was withdrawn.
+	// Allowed permits the attempt, for which a token was withdrawn.
 	Allowed Reason = "allowed"
-	// DeniedKind is an error after which this request must not be sent again.
+	// DeniedKind means that the request must not be sent again after an error of this kind.
 	DeniedKind Reason = "kind-not-retryable"
-	// DeniedMayHaveRun is a non-repeatable request that may have run.
+	// DeniedMayHaveRun means that a non-repeatable request may have run.
 	DeniedMayHaveRun Reason = "may-have-run"
-	// DeniedAttempts is a request that was sent as often as its rule allows.
+	// DeniedAttempts means that the request was sent as often as its rule allows.
 	DeniedAttempts Reason = "max-attempts"
-	// DeniedArrivedAsRetry is a request that arrived as a retry of a layer above.
+	// DeniedArrivedAsRetry means that the request arrived as a retry by a layer above.
 	DeniedArrivedAsRetry Reason = "arrived-as-retry"
-	// DeniedUpstream is an answer that said not to retry.
+	// DeniedUpstream means that the upstream's response asked not to retry.
 	DeniedUpstream Reason = "upstream-said-no-retry"
-	// DeniedDeadline is a deadline too near for another send.
+	// DeniedDeadline means that the deadline is too near for another attempt.
 	DeniedDeadline Reason = "deadline-too-near"
-	// DeniedBudget is a spent budget.
+	// DeniedBudget means that the budget is exhausted.
 	DeniedBudget Reason = "budget-spent"
-	// DeniedQuarantined is a request under which several upstreams ended.
+	// DeniedQuarantined means that several upstreams crashed while running the request.
 	DeniedQuarantined Reason = "quarantined"
-	// DeniedSuspect is a request under which an upstream ended: it is not hedged, so that
-	// two do not end at once.
+	// DeniedSuspect means that an upstream crashed while running the request. It is not
+	// hedged, so that it can't crash two upstreams at once.
 	DeniedSuspect Reason = "upstream-ended"
-	// DeniedNoOtherUpstream means no other upstream can take the request.
+	// DeniedNoOtherUpstream means that no other upstream can take the request.
 	DeniedNoOtherUpstream Reason = "no-other-upstream"
 )
 
-// Attempt is what is known about a request when an extra send is considered.
+// Attempt describes a request for which an extra attempt is considered.
 type Attempt struct {
-	// Kind is the error of the failed send; None when hedging.
+	// Kind is the error of the failed attempt; None when hedging.
 	Kind errkind.Kind
-	// Repeatable states that the request may run twice.
+	// Repeatable is set if the request may run twice.
 	Repeatable bool
-	// MayHaveRun states that an earlier send may have been executed.
+	// MayHaveRun is set if an earlier attempt may have been executed.
 	MayHaveRun bool
-	// Sent counts the sends so far.
+	// Sent is the number of attempts so far.
 	Sent int
-	// MaxAttempts bounds all sends.
+	// MaxAttempts is the maximum number of attempts, including the first.
 	MaxAttempts int
-	// ArrivedAsRetry states that the request came marked as a retry.
+	// ArrivedAsRetry is set if the request arrived marked as a retry.
 	ArrivedAsRetry bool
-	// Quarantined states that upstreams end under it.
+	// Quarantined is set if the request is quarantined because it crashes upstreams.
 	Quarantined bool
-	// Suspect states that an upstream ended under it, here or at another host.
+	// Suspect is set if the request crashed an upstream, as seen by this or another host.
 	Suspect bool
-	// NoRetry states that the upstream's answer said not to retry.
+	// NoRetry is set if an upstream's response asked not to retry.
 	NoRetry bool
-	// Left is the time to the deadline.
+	// DeadlineLeft is the time until the deadline.
 	Left time.Duration
-	// Expected is the time that a send usually takes; 0 if unknown.
+	// Expected is the expected duration of an attempt; 0 if unknown.
 	Expected time.Duration
 }
 
-// Decide reports whether one more send is allowed, and why. Allowed withdraws
-// a token from b; the caller refunds it when it does not send after all.
+// Decide returns whether one more attempt is allowed, or why not. If it returns Allowed, it
+// has withdrawn a token from b; the caller must refund it if it makes no attempt after all.
 func Decide(a Attempt, b *Budget) Reason {
 	if reason := a.deny(); reason != Allowed {
 		return reason
@@ -75,7 +74,7 @@
 	return Allowed
 }
 
-// deny applies every rule but the budget, the gravest first.
+// deny applies every rule except the budget, the most severe first.
 func (a Attempt) deny() Reason {
 	switch {
 	case !a.Repeatable && a.MayHaveRun:
@@ -99,8 +98,8 @@
 	}
 }
 
-// retryable reports whether kind allows another send. A non-repeatable request
-// may only follow a send that certainly did not run.
+// retryable reports whether an error of this kind allows another attempt. A non-repeatable
+// request may be sent again only after an attempt that is known not to have run.
 func retryable(kind errkind.Kind, repeatable bool) bool {
 	switch kind {
 	case errkind.ConnectFailed, errkind.SendFailed, errkind.UpstreamRefused:
--- a/pkg/retry/latency.go
+++ b/pkg/retry/latency.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// subBuckets divides each doubling of latency; the error is at most 1/8.
+	// subBuckets is the number of buckets per doubling of latency, so that the relative
+	// error is at most 1/8.
 	subBuckets = 8
-	// doublings covers 1 microsecond to about 2 minutes.
+	// doublings is the number of doublings covered: 1 microsecond to about 2 minutes.
 	doublings = 27
 	buckets   = subBuckets * doublings
-	// latencyWindow is the number of samples after which the old ones count half.
+	// latencyWindow is the total weight of samples at which all weights are halved.
 	latencyWindow = 2048
-	// MinSamples is the number of samples below which no quantile is given.
+	// MinSamples is the minimum number of samples for an estimate.
 	MinSamples = 64
 )
 
-// Latency estimates quantiles of recent latencies in a histogram with
-// logarithmic buckets. Old samples lose half their weight every 2048 samples.
-// The zero value is ready to use.
+// Latency estimates quantiles of recent latencies with a histogram of logarithmic buckets.
+// Whenever the total weight reaches 2048 samples, all weights are halved. The zero value is
+// ready to use.
 type Latency struct {
 	counts [buckets]atomic.Int64
 	total  atomic.Int64
@@ -34,7 +35,7 @@
 	}
 }
 
-// decay halves every count. Samples that arrive meanwhile are kept.
+// decay halves all counts. Samples that are observed concurrently are not lost.
 func (l *Latency) decay() {
 	removed := int64(0)
 	for i := range l.counts {
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -82,10 +82,11 @@
 	})
 }
 
-// TestBudgetThatSavesUp: ten first sends a second, and more failures than may be sent again,
-// in spells. Grounds: at once as many as the reserve and the share of 1.5 s, and in no ten
-// seconds more than the reserve and the share of eleven and a half.
-func TestBudgetThatSavesUp(t *testing.T) {
+// TestBudgetAccumulates makes ten first attempts per second, with alternating periods in which
+// everything or nothing fails. A burst of retries must be as large as the reserve plus the
+// share of 1.5 s, and in any ten seconds the retries must not exceed the reserve plus the share
+// of 11.5 s.
+func TestBudgetAccumulates(t *testing.T) {
 	is := is.New(t)
 	const percent, reserve, perTick, ticks = 17, 2, 5, 400
 	budget := retry.NewBudgetWithReserve(percent, reserve)
@@ -94,7 +95,7 @@
 		for range perTick {
 			budget.First()
 		}
-		failing := tick/30%2 == 1 // 15 s well, 15 s not
+		failing := tick/30%2 == 1 // 15 s without failures, 15 s with
 		for failing && budget.Withdraw() {
 			extra[tick]++
 		}
@@ -165,7 +166,7 @@
 	is.Equal(retry.Decide(ok, empty), retry.DeniedBudget)
 }
 
-func TestLatencyNeedsSamplesAndForgets(t *testing.T) {
+func TestLatencyNeedsSamplesAndDecays(t *testing.T) {
 	is := is.New(t)
 	var latency retry.Latency
 	is.Equal(latency.Quantile(0.9), time.Duration(0))
