--- a/pkg/errkind/doc_test.go
+++ b/pkg/errkind/doc_test.go
@@ -15,7 +15,7 @@
 // row matches "| `name` | status | outcome | yes or no | ...".
 var row = regexp.MustCompile("(?m)^\\| `([a-z-]+)` \\| (\\d+) \\| ([a-z-]+) \\| (yes|no) \\| ([^|]+) \\|$")
 
-// TestPageListsEveryKind compares docs/ERRORS.md with the table, row by row.
+// TestPageListsEveryKind checks that each row of docs/ERRORS.md matches the table of kinds.
 func TestPageListsEveryKind(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/ERRORS.md")
--- a/pkg/errkind/errkind.go
+++ b/pkg/errkind/errkind.go
@@ -1,112 +1,113 @@
-// Package errkind holds the closed list of error kinds and the one table from
-// a kind to the answer that a caller gets.
+// Package errkind defines the closed set of error kinds and the table that maps each
+// kind to the response that a caller gets.
 //
-// Every refusal or failure that reaches a caller has exactly one kind. The
-// kind fixes the HTTP status, whether the request certainly did not run, and
-// whether a Retry-After header is sent. docs/ERRORS.md is checked against the
-// table by a test.
+// Every refusal or failure that reaches a caller has exactly one kind. The kind
+// determines the HTTP status, whether the request is known not to have run, and whether a
+// Retry-After header is sent. A test checks docs/ERRORS.md against the table.
 package errkind
 
 import "net/http"
 
-// Kind is one entry of the closed list.
+// Kind is an error kind.
 type Kind uint8
 
-// The closed list of kinds.
+// All error kinds.
 const (
 	// None is the zero value: no error.
 	None Kind = iota
-	// BadRequest is a request whose framing or syntax is refused.
+	// BadRequest is a request with invalid framing or syntax.
 	BadRequest
-	// HeaderTooLarge is a request head over the configured limit.
+	// HeaderTooLarge is a request whose head exceeds the configured limit.
 	HeaderTooLarge
-	// BodyTooLarge is a request body over the configured limit.
+	// BodyTooLarge is a request whose body exceeds the configured limit.
 	BodyTooLarge
-	// RequestTimeout is a caller that sent its request too slowly.
+	// RequestTimeout is a request that the caller sent too slowly.
 	RequestTimeout
 	// NoRoute is a request that matches no service or rule.
 	NoRoute
-	// NotReady is a request to an entry host without a configuration, or one that is stopping.
+	// NotReady is a request to an entry host that has no configuration, is resuming after a
+	// pause, or is shutting down.
 	NotReady
 	// NoUpstream is a request for which no upstream is eligible.
 	NoUpstream
-	// Overloaded is a request refused by a limit or a full queue before it was sent.
+	// Overloaded is a request that was refused by a limit or a full queue before it was sent.
 	Overloaded
-	// DeadlineBeforeSend is a deadline that passed before any byte was sent upstream.
+	// DeadlineBeforeSend is a deadline that passed before any byte was sent to an upstream.
 	DeadlineBeforeSend
-	// UpstreamRefused is an upstream that declared it did not run the request.
+	// UpstreamRefused is an upstream that declared that it did not run the request.
 	UpstreamRefused
-	// ConnectFailed is a connection that could not be made; nothing was sent.
+	// ConnectFailed is a connection that could not be established; nothing was sent.
 	ConnectFailed
-	// DeadlineAfterSend is a deadline that passed after bytes were sent upstream.
+	// DeadlineAfterSend is a deadline that passed after bytes were sent to an upstream.
 	DeadlineAfterSend
-	// UpstreamBroken is an answer that was cut short or malformed.
+	// UpstreamBroken is a truncated or malformed response.
 	UpstreamBroken
 	// OutcomeUnknown is a non-repeatable request that may or may not have run.
 	OutcomeUnknown
 	// TicketRejected is an execution ticket that was never issued: malformed or forged.
 	TicketRejected
-	// CallerGone is a caller that closed its connection before the answer.
+	// CallerGone is a caller that closed its connection before the response.
 	CallerGone
-	// Internal is a broken invariant inside the process.
+	// Internal is a violated invariant inside the process.
 	Internal
 	// TicketRequired is a non-repeatable request without a ticket.
 	TicketRequired
-	// TicketExpired is a ticket that was not used in its lifetime, and now never is.
+	// TicketExpired is a ticket that was not used within its lifetime and can't be used any more.
 	TicketExpired
-	// TicketForgotten is a ticket whose record's time is over.
+	// TicketForgotten is a ticket whose record was discarded after its retention period.
 	TicketForgotten
-	// TicketMismatch is a ticket that was used for another request.
+	// TicketMismatch is a ticket that was already used for a different request.
 	TicketMismatch
-	// IssuerUnreachable is a ticket whose issuer did not answer.
+	// IssuerUnreachable is a ticket whose issuer did not respond.
 	IssuerUnreachable
-	// IssuerNotAsked is a request with a ticket that was refused before the
-	// ticket's issuer was asked what became of it.
+	// IssuerNotAsked is a request with a ticket that was refused before the ticket's issuer
+	// was asked for the request's outcome.
 	IssuerNotAsked
-	// IssuerGone is a ticket of a process that has ended.
+	// IssuerGone is a ticket whose issuing process has ended.
 	IssuerGone
-	// AnswerNotKept is a request that ran and whose answer is no longer held.
+	// AnswerNotKept is a request that ran and whose response is no longer stored.
 	AnswerNotKept
-	// SendFailed is a connection that ended before an upstream can have had the whole head.
+	// SendFailed is a connection that ended before an upstream can have received the complete
+	// request head.
 	SendFailed
-	// UpstreamTLSNotSet is a group that asks for TLS on an entry host without an
+	// UpstreamTLSNotSet is a group that requires TLS, on an entry host without a certificate
 	// authority for upstreams; nothing was sent.
 	UpstreamTLSNotSet
-	// UpstreamFailed is a whole answer by which an upstream says that it failed.
-	// It is passed on as it is if no other upstream answers.
+	// UpstreamFailed is a complete response in which an upstream reports a failure. It is
+	// returned unchanged if no other upstream responds.
 	UpstreamFailed
-	// Quarantined is a request under which several upstreams ended, refused before it
-	// was sent.
+	// Quarantined is a request that was refused before it was sent, because several upstreams
+	// crashed while running it.
 	Quarantined
-	// UpstreamsRest is a request whose upstreams all asked this host for rest, refused
-	// before it was sent.
+	// UpstreamsRest is a request that was refused before it was sent, because all its upstreams
+	// asked this host to back off.
 	UpstreamsRest
-	// UpstreamsLimited is a request whose upstreams all name how many requests a second they
-	// take, refused since no turn is left that would be in time.
+	// UpstreamsLimited is a request that was refused because all its upstreams announce a rate
+	// limit and no time slot is left that would be in time.
 	UpstreamsLimited
-	// RouteUnserved is a request to a service that is published, and that entry hosts can't
-	// or are told not to serve.
+	// RouteUnserved is a request to a published service that entry hosts can't serve, or are
+	// configured not to serve.
 	RouteUnserved
-	// UnknownKey is a request whose customer's key is missing, unknown or revoked.
+	// UnknownKey is a request whose customer key is missing, unknown or revoked.
 	UnknownKey
 	// CustomerUnserved is a request of a customer that entry hosts can't serve.
 	CustomerUnserved
-	// QuotaExceeded is a request beyond its customer's quota.
+	// QuotaExceeded is a request that exceeds its customer's quota.
 	QuotaExceeded
 
 	numKinds
 )
 
-// Outcome states what is known about execution at an upstream.
+// Outcome is what is known about execution at an upstream.
 type Outcome uint8
 
-// The three outcomes, never blurred.
+// The outcomes. An unknown outcome is never reported as Ran or NotRun.
 const (
-	// Ran means the answer is the upstream's own.
+	// Ran means that the response is the upstream's own.
 	Ran Outcome = iota
-	// NotRun means no upstream can have run the request.
+	// NotRun means that no upstream can have run the request.
 	NotRun
-	// Unknown means an upstream may or may not have run the request.
+	// Unknown means that an upstream may have run the request.
 	Unknown
 )
 
@@ -115,15 +116,15 @@
 // String returns the name used in the Dapplespindle-Outcome header.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Answer is the reply that a kind maps to.
+// Answer describes the response to a caller for a kind.
 type Answer struct {
-	// Name is the stable name in logs and in the Dapplespindle-Error header.
+	// Name is the stable name of the kind in logs and in the Dapplespindle-Error header.
 	Name string
 	// Status is the HTTP status code.
 	Status int
-	// Outcome states whether the request ran.
+	// Outcome is what is known about the execution of the request.
 	Outcome Outcome
-	// RetryAfter is true when the answer tells the caller when to come back.
+	// RetryAfter is set if the response has a Retry-After header.
 	RetryAfter bool
 }
 
@@ -166,7 +167,7 @@
 	UpstreamTLSNotSet:  {"upstream-tls-not-set", http.StatusBadGateway, NotRun, false},
 }
 
-// Answer returns the reply for k. An out-of-range kind answers as Internal.
+// Answer returns the response for k. An out-of-range kind is treated as Internal.
 func (k Kind) Answer() Answer {
 	if k >= numKinds {
 		return answers[Internal]
@@ -177,7 +178,7 @@
 // String returns the stable name of k.
 func (k Kind) String() string { return k.Answer().Name }
 
-// All returns every kind in order, without None.
+// All returns all kinds except None, in order.
 func All() []Kind {
 	kinds := make([]Kind, 0, numKinds-1)
 	for k := None + 1; k < numKinds; k++ {
@@ -186,11 +187,11 @@
 	return kinds
 }
 
-// Error is an error with a kind and the detail for logs.
+// Error is an error with a kind and a detail.
 type Error struct {
-	// Kind selects the answer.
+	// Kind selects the response to the caller.
 	Kind Kind
-	// Detail is for the log and the event stream.
+	// Detail is part of the error text, which is used in logs, events and response bodies.
 	Detail string
 	// Cause is the underlying error, or nil.
 	Cause error
