--- a/internal/proxy/limiting_test.go
+++ b/internal/proxy/limiting_test.go
@@ -21,32 +21,35 @@
 	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
-// This file has upstreams that name limits, and a fleet of hosts in front of them.
+// This file simulates upstreams that announce rate limits and a fleet of hosts in front of
+// them.
 
-// Of what upstreams that name a limit bear.
+// Arrivals that an upstream with a limit tolerates.
 const (
-	limitWindow  = 4 * time.Second
-	limitOverage = 1.5
-	limitSlack   = 5
-	// limitKnown is when all hosts keep to a limit after it was first named.
-	limitKnown = time.Second
+	rateWindow  = 4 * time.Second
+	rateOverage = 1.5
+	rateSlack   = 5
+	// limitPropagation is the time from the first announcement of a limit until all hosts
+	// respect it.
+	limitPropagation = time.Second
 )
 
-// limiting are upstreams that name limits in their answers, by their addresses.
-type limiting struct {
-	mu       sync.Mutex
-	limits   map[string]string // empty names none
-	fails    map[string]bool   // answers 503 and runs nothing
-	work     time.Duration
-	arrivals map[string][]time.Time
+// limitedUpstreams is a Sender whose upstreams announce limits in their responses. All maps
+// are keyed by address.
+type limitedUpstreams struct {
+	mu          sync.Mutex
+	limits      map[string]string // empty announces none
+	rejects     map[string]bool   // responds with a refusal
+	serviceTime time.Duration
+	arrivals    map[string][]time.Time
 }
 
-func newLimiting() *limiting {
-	return &limiting{limits: make(map[string]string), fails: make(map[string]bool), work: 60 * time.Millisecond, arrivals: make(map[string][]time.Time)}
+func newLimitedUpstreams() *limitedUpstreams {
+	return &limitedUpstreams{limits: make(map[string]string), rejects: make(map[string]bool), serviceTime: 60 * time.Millisecond, arrivals: make(map[string][]time.Time)}
 }
 
-// name makes upstreams name a limit, or none if it is empty.
-func (u *limiting) name(limit string, upstreams ...string) {
+// setLimit makes upstreams announce a limit, or none if it is empty.
+func (u *limitedUpstreams) setLimit(limit string, upstreams ...string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, id := range upstreams {
@@ -54,20 +57,20 @@
 	}
 }
 
-func (u *limiting) Do(ctx context.Context, address string, _ *httpwire.Request) (*httpwire.Response, *errkind.Error) {
+func (u *limitedUpstreams) Do(ctx context.Context, address string, _ *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 	u.mu.Lock()
 	u.arrivals[address] = append(u.arrivals[address], clock.Now())
-	fails := u.fails[address]
+	rejects := u.rejects[address]
 	u.mu.Unlock()
-	if !fails {
+	if !rejects {
 		select {
-		case <-time.After(u.work):
+		case <-time.After(u.serviceTime):
 		case <-ctx.Done():
 			return nil, errkind.New(errkind.CallerGone, "fake")
 		}
 	}
 	resp := ok()
-	if fails {
+	if rejects {
 		resp = refusal()
 	}
 	u.mu.Lock()
@@ -78,8 +81,8 @@
 	return resp, nil
 }
 
-// between counts the requests at upstreams from a moment on and before another.
-func (u *limiting) between(from, to time.Time, upstreams ...string) int {
+// countBetween counts the arrivals at upstreams in [from, to).
+func (u *limitedUpstreams) countBetween(from, to time.Time, upstreams ...string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	n := 0
@@ -93,146 +96,146 @@
 	return n
 }
 
-// most returns the most that an upstream got in limitWindow, between two moments.
-func (u *limiting) most(id string, from, to time.Time) int {
+// maxInWindow returns the maximum arrivals of an upstream in any rateWindow in [from, to].
+func (u *limitedUpstreams) maxInWindow(id string, from, to time.Time) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	times := slices.DeleteFunc(slices.Clone(u.arrivals[id]), func(at time.Time) bool { return at.Before(from) || at.After(to) })
-	most, first := 0, 0
+	highest, first := 0, 0
 	for i, at := range times {
-		for at.Sub(times[first]) > limitWindow {
+		for at.Sub(times[first]) > rateWindow {
 			first++
 		}
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
 
-// borne is what an upstream that names a limit bears in limitWindow.
-func borne(limit string) int {
+// allowedInWindow returns the arrivals in rateWindow that an upstream with a limit tolerates.
+func allowedInWindow(limit string) int {
 	perSecond, err := strconv.ParseFloat(limit, 64)
 	if err != nil {
 		panic(err)
 	}
-	return int(limitOverage*perSecond*limitWindow.Seconds() + limitSlack)
+	return int(rateOverage*perSecond*rateWindow.Seconds() + rateSlack)
 }
 
 // limitHost is one host of a fleet.
 type limitHost struct {
-	Upstreams // panics where a test meets what it does not expect
+	Upstreams // nil: methods that a test does not expect panic
 	fleet     *limitFleet
 	proxy     *Proxy
-	turns     *timeslot.Schedule
-	book      *ratelimit.Registry
+	schedule  *timeslot.Schedule
+	registry  *ratelimit.Registry
 	snapshot  *lifecycle.Snapshot
-	deaf      bool // hears nothing of other hosts, nor they of it
+	isolated  bool // exchanges no messages with other hosts
 }
 
 func (h *limitHost) Snapshot() *lifecycle.Snapshot { return h.snapshot }
 func (h *limitHost) Waking() bool                  { return false }
 func (h *limitHost) Reported(string, time.Time)    {}
 
-// newsTakes is the way of news between hosts.
-const newsTakes = 2 * time.Millisecond
+// peerDelay is the one-way delay of messages between hosts.
+const peerDelay = 2 * time.Millisecond
 
-// LimitHeard tells the other hosts.
+// LimitChanged sends the limit to the other hosts.
 func (h *limitHost) LimitHeard(u *balancer.Upstream) {
-	news, known := u.Limit.Update(clock.Now())
-	if !known || h.deaf {
+	update, known := u.Limit.Update(clock.Now())
+	if !known || h.isolated {
 		return
 	}
 	for _, other := range h.fleet.hosts {
-		if other != h && !other.deaf {
-			time.AfterFunc(newsTakes, func() { other.book.ApplyPeerUpdates(clock.Now(), []ratelimit.Update{news}) })
+		if other != h && !other.isolated {
+			time.AfterFunc(peerDelay, func() { other.registry.ApplyPeerUpdates(clock.Now(), []ratelimit.Update{update}) })
 		}
 	}
 }
 
-// Borrow implements Lenders.
+// Borrow implements SlotBorrower.
 func (h *limitHost) Borrow(_ context.Context, host int, server ratelimit.Server) bool {
-	time.Sleep(newsTakes)
+	time.Sleep(peerDelay)
 	lender := h.fleet.hosts[host]
-	lent := !h.deaf && !lender.deaf && lender.book.Lend(clock.Now(), server)
-	time.Sleep(newsTakes)
+	lent := !h.isolated && !lender.isolated && lender.registry.Lend(clock.Now(), server)
+	time.Sleep(peerDelay)
 	return lent
 }
 
-// limitFleet is hosts in front of the same upstreams, in virtual time.
+// limitFleet is a set of hosts in front of the same upstreams, in virtual time.
 type limitFleet struct {
 	hosts     []*limitHost
-	upstreams *limiting
+	upstreams *limitedUpstreams
 	ids       []string
 	random    *rand.Rand
 }
 
-// newLimitFleet starts hosts, of which the first is number 0.
+// newLimitFleet creates a fleet. The first host has position 0.
 func newLimitFleet(hosts, upstreams int, policy string, rules ...config.Rule) *limitFleet {
-	f := &limitFleet{upstreams: newLimiting(), random: rand.New(rand.NewPCG(7, 7))}
-	document := service(upstreams, rules...)
-	document.Groups[0].Policy = policy
-	for _, u := range document.Groups[0].Upstreams {
+	f := &limitFleet{upstreams: newLimitedUpstreams(), random: rand.New(rand.NewPCG(7, 7))}
+	s := service(upstreams, rules...)
+	s.Groups[0].Policy = policy
+	for _, u := range s.Groups[0].Upstreams {
 		f.ids = append(f.ids, u.ID)
 	}
 	for i := range hosts {
-		h := &limitHost{fleet: f, turns: timeslot.New(strconv.Itoa(i)), snapshot: takesAll(upstreams)}
-		h.turns.Set(clock.Now(), timeslot.Position{Self: i, Hosts: hosts})
-		h.book = ratelimit.NewRegistry(h.turns)
+		h := &limitHost{fleet: f, schedule: timeslot.New(strconv.Itoa(i)), snapshot: allActive(upstreams)}
+		h.schedule.Set(clock.Now(), timeslot.Position{Self: i, Hosts: hosts})
+		h.registry = ratelimit.NewRegistry(h.schedule)
 		h.proxy = New("127.0.0.1", "test", f.upstreams, new(recorder), WithRandom(seeded(uint64(i+1))), WithUpstreams(h), WithLenders(h))
-		h.proxy.SetTable(routing.Compile(1, []*config.Service{document}, groupsFunc(h.group)))
+		h.proxy.SetTable(routing.Compile(1, []*config.Service{s}, groupsFunc(h.group)))
 		f.hosts = append(f.hosts, h)
 	}
 	return f
 }
 
-// group builds a group whose records know limits.
+// group builds a group whose upstream records track limits.
 func (h *limitHost) group(_ *config.Service, g *config.Group) *routing.Group {
 	members := records(g)
 	for _, u := range members {
-		u.Limit = h.book.Acquire(u.ID, 0)
+		u.Limit = h.registry.Acquire(u.ID, 0)
 	}
 	b, err := registry.Lookup(g.Policy)
 	if err != nil {
 		panic(err)
 	}
-	picker := b.Build(balancer.Options{Schedule: h.turns, Limits: h.book}).Update(members)
+	picker := b.Build(balancer.Options{Schedule: h.schedule, Limits: h.registry}).Update(members)
 	return &routing.Group{Config: g, Picker: picker, Upstreams: members}
 }
 
-// asking is the calls of a while, and how they ended.
-type asking struct {
-	mu      sync.Mutex
-	answers []limitAnswer
+// callLog records calls and their responses.
+type callLog struct {
+	mu        sync.Mutex
+	responses []loggedResponse
 }
 
-type limitAnswer struct {
+type loggedResponse struct {
 	*httpwire.Response
-	asked, answered time.Time
+	sentAt, answeredAt time.Time
 }
 
-// refused returns the answers that are not a success.
-func (a *asking) refused() []limitAnswer {
+// refused returns the responses that are not a success.
+func (a *callLog) refused() []loggedResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(a.answers), func(r limitAnswer) bool { return r.Status == http.StatusOK })
+	return slices.DeleteFunc(slices.Clone(a.responses), func(r loggedResponse) bool { return r.Status == http.StatusOK })
 }
 
-func (a *asking) number() int {
+func (a *callLog) count() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.answers)
+	return len(a.responses)
 }
 
-// press has each host get requests at random moments for a while, so many a second; host i
-// gets those of loads[i] modulo their number.
-func (f *limitFleet) press(method string, lasts time.Duration, loads ...float64) *asking {
-	out := new(asking)
+// sendLoad sends requests to each host for a duration, with exponential inter-arrival times.
+// Host i gets loads[i%len(loads)] requests per second. It waits for all responses.
+func (f *limitFleet) sendLoad(method string, lasts time.Duration, loads ...float64) *callLog {
+	out := new(callLog)
 	var all sync.WaitGroup
 	for i, h := range f.hosts {
 		perSecond := loads[i%len(loads)]
-		for at := f.gap(perSecond); at < lasts; at += f.gap(perSecond) {
+		for at := f.interArrival(perSecond); at < lasts; at += f.interArrival(perSecond) {
 			all.Go(func() {
 				time.Sleep(at)
-				f.ask(h, method, out)
+				f.call(h, method, out)
 			})
 		}
 	}
@@ -240,15 +243,15 @@
 	return out
 }
 
-func (f *limitFleet) gap(perSecond float64) time.Duration {
+func (f *limitFleet) interArrival(perSecond float64) time.Duration {
 	return time.Duration(f.random.ExpFloat64() / perSecond * float64(time.Second))
 }
 
-func (f *limitFleet) ask(h *limitHost, method string, out *asking) {
+func (f *limitFleet) call(h *limitHost, method string, out *callLog) {
 	req := request(method)
 	req.Received = clock.Now()
 	a := h.proxy.Serve(context.Background(), req)
 	out.mu.Lock()
 	defer out.mu.Unlock()
-	out.answers = append(out.answers, limitAnswer{a, req.Received, clock.Now()})
+	out.responses = append(out.responses, loggedResponse{a, req.Received, clock.Now()})
 }
