--- a/pkg/lifecycle/bench_test.go
+++ b/pkg/lifecycle/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// BenchmarkNotices is what one exchange with a peer costs the control goroutine
-// when n upstreams are leaving or draining now: its own notices encoded, and the
-// peer's, which hold nothing new, taken in.
+// BenchmarkNotices measures the cost of one exchange with a peer on the control
+// goroutine when n upstreams are leaving or draining: encoding its own notices
+// and merging the peer's, which contain nothing new.
 func BenchmarkNotices(b *testing.B) {
 	for _, n := range []int{100, 1000, 15000} {
 		b.Run(fmt.Sprintf("notices=%d", n), func(b *testing.B) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// BenchmarkRefused is an upstream's own notice that it is leaving, of many
-// services with the target's 37 upstreams each, and its return.
+// BenchmarkRefused measures Refused for a registry of many services with 37
+// upstreams each, the target scale. Only the first call changes anything.
 func BenchmarkRefused(b *testing.B) {
 	const perService = 37
 	for _, services := range []int{10, 100, 410} {
--- a/pkg/lifecycle/chart.go
+++ b/pkg/lifecycle/chart.go
@@ -2,7 +2,7 @@
 
 import "github.com/dapplespindle/dapplespindle/charts"
 
-// The states, events and effects of charts/upstream.yaml that the code names.
+// The states, events and effects of charts/upstream.yaml that the code refers to.
 var (
 	stWarming     = charts.Upstream.MustState("warming")
 	stServing     = charts.Upstream.MustState("serving")
--- a/pkg/lifecycle/host.go
+++ b/pkg/lifecycle/host.go
@@ -9,7 +9,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/statechart"
 )
 
-// The states, events and effects of charts/entry-host.yaml that the code names.
+// The states, events and effects of charts/entry-host.yaml that the code refers
+// to.
 var (
 	hostServing   = charts.EntryHost.MustState("serving")
 	hostDraining  = charts.EntryHost.MustState("draining")
@@ -30,16 +31,16 @@
 	hostDoExit          = charts.EntryHost.MustEffect("exit")
 )
 
-// HostConfig bounds a planned stop.
+// HostConfig holds the timeouts of a graceful shutdown.
 type HostConfig struct {
-	// Grace is how long the host still accepts after it reports not ready, so
-	// that the platform's balancer moves callers away.
+	// Grace is how long the host still accepts requests after it reports not
+	// ready, so that the platform's balancer moves callers away.
 	Grace time.Duration
-	// Deadline bounds the whole stop, from the first signal.
+	// Deadline is the maximum duration of the shutdown, from the first signal.
 	Deadline time.Duration
 }
 
-// Validate reports the first field that is wrong.
+// Validate returns an error for the first invalid field.
 func (c HostConfig) Validate() error {
 	if c.Grace < 0 {
 		return errors.Newf("stop grace: %s is negative", c.Grace)
@@ -50,26 +51,28 @@
 	return nil
 }
 
-// HostEffects is what the process must do now, in the order of the fields.
+// HostEffects lists the actions that the process must carry out now, in the
+// order of the fields.
 type HostEffects struct {
 	// SetReady and SetNotReady set the readiness endpoint.
 	SetReady, SetNotReady bool
-	// CloseIdle asks to close idle caller connections and to answer the
-	// others with "Connection: close".
+	// CloseIdle closes idle caller connections and sends "Connection: close"
+	// in responses on the others.
 	CloseIdle bool
 	// StopAccepting closes the listener and refuses new requests.
 	StopAccepting bool
-	// Aborted is the number of requests that are cut off.
+	// Aborted is the number of requests that are aborted.
 	Aborted int64
 	// Exit ends the process.
 	Exit bool
 }
 
-// Host is the lifecycle of an entry host process. It belongs to one goroutine.
+// Host is the lifecycle of an entry host process. It must be used on one
+// goroutine only.
 type Host struct {
-	conf    HostConfig
-	state   statechart.State
-	stopped time.Time // when the first signal came
+	conf            HostConfig
+	state           statechart.State
+	stopRequestedAt time.Time // time of the first stop signal
 }
 
 // NewHost returns a host that is starting.
@@ -77,17 +80,18 @@
 	return &Host{conf: conf, state: charts.EntryHost.Initial()}
 }
 
-// SetConfig replaces the times of a planned stop; one that has begun goes on by
-// the new ones.
+// SetConfig replaces the shutdown timeouts, also those of a shutdown in
+// progress.
 func (h *Host) SetConfig(conf HostConfig) { h.conf = conf }
 
 // State returns the name of the state in charts/entry-host.yaml.
 func (h *Host) State() string { return charts.EntryHost.StateName(h.state) }
 
-// Accepts reports whether new requests are taken.
+// Accepts reports whether new requests are accepted.
 func (h *Host) Accepts() bool { return h.state == hostServing || h.state == hostDraining }
 
-// Ready records that a configuration is in force. Further calls do nothing.
+// Ready records that a configuration has been applied. Further calls have no
+// effect.
 func (h *Host) Ready() HostEffects {
 	if h.state != charts.EntryHost.Initial() {
 		return HostEffects{}
@@ -95,27 +99,28 @@
 	return h.step(hostReady, 0)
 }
 
-// Signal records a signal to stop: the first begins a planned stop, a further
-// one ends it at once. InFlight is the number of requests in flight.
+// Signal records a stop signal: the first one starts a graceful shutdown, the
+// next one forces an immediate exit. InFlight is the number of requests in
+// flight.
 func (h *Host) Signal(now time.Time, inFlight int64) HostEffects {
 	switch {
 	case charts.EntryHost.IsFinal(h.state):
 		return HostEffects{}
-	case h.stopped.IsZero():
-		h.stopped = now
+	case h.stopRequestedAt.IsZero():
+		h.stopRequestedAt = now
 		return h.step(hostStop, inFlight)
 	default:
 		return h.step(hostStopNow, inFlight)
 	}
 }
 
-// Tick does what is due at a time. The process calls it every few
-// milliseconds while it stops.
+// Tick applies the timeouts that have elapsed. The process calls it every few
+// milliseconds during a shutdown.
 func (h *Host) Tick(now time.Time, inFlight int64) HostEffects {
-	if h.stopped.IsZero() || charts.EntryHost.IsFinal(h.state) {
+	if h.stopRequestedAt.IsZero() || charts.EntryHost.IsFinal(h.state) {
 		return HostEffects{}
 	}
-	elapsed := now.Sub(h.stopped)
+	elapsed := now.Sub(h.stopRequestedAt)
 	switch {
 	case h.state == hostFinishing && inFlight == 0:
 		return h.step(hostIdle, inFlight)
@@ -127,8 +132,8 @@
 	return HostEffects{}
 }
 
-// step applies an event. Its callers send only events that the state has an
-// arrow for; without one nothing happens.
+// step applies an event. Its callers pass only events that have a transition
+// from the current state; otherwise it does nothing.
 func (h *Host) step(e statechart.Event, inFlight int64) HostEffects {
 	next, effects, err := charts.EntryHost.Step(h.state, e)
 	if err != nil {
--- a/pkg/lifecycle/host_example_test.go
+++ b/pkg/lifecycle/host_example_test.go
@@ -7,11 +7,12 @@
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 )
 
-// A planned stop: the process carries out the effects that each call returns.
+// A graceful shutdown: the process carries out the effects that each call
+// returns.
 func ExampleHost() {
 	now := time.Unix(1000, 0)
 	h := lifecycle.NewHost(lifecycle.HostConfig{Grace: 5 * time.Second, Deadline: 30 * time.Second})
-	started := h.Ready() // a configuration is in force
+	started := h.Ready() // a configuration has been applied
 	fmt.Println(h.State(), started.SetReady)
 
 	stop := h.Signal(now, 2) // two requests in flight
--- a/pkg/lifecycle/host_test.go
+++ b/pkg/lifecycle/host_test.go
@@ -18,7 +18,7 @@
 	is.Equal(h.Tick(now, 4), HostEffects{})
 	is.Equal(h.Signal(now, 4), HostEffects{SetNotReady: true, CloseIdle: true})
 	is.True(h.Accepts())
-	is.Equal(h.Tick(now.Add(4*time.Second), 0), HostEffects{}) // callers may still come
+	is.Equal(h.Tick(now.Add(4*time.Second), 0), HostEffects{}) // still within the grace period
 	is.Equal(h.Tick(now.Add(5*time.Second), 2), HostEffects{StopAccepting: true})
 	is.True(!h.Accepts())
 	is.Equal(h.Tick(now.Add(6*time.Second), 1), HostEffects{})
@@ -42,9 +42,9 @@
 	is.True(HostConfig{Grace: time.Second, Deadline: time.Second}.Validate() != nil)
 }
 
-// TestStopCutsNothingInTime checks for drawn request lengths that a stop cuts
-// off exactly the requests that run past the deadline.
-func TestStopCutsNothingInTime(t *testing.T) {
+// TestStopAbortsOnlyAfterDeadline checks for random request durations that a
+// shutdown aborts exactly the requests that run past the deadline.
+func TestStopAbortsOnlyAfterDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		ends := rapid.SliceOf(rapid.IntRange(0, 40)).Draw(t, "request ends, seconds after the signal")
@@ -67,6 +67,6 @@
 			is.True(running == 0 || second == 30)
 			return
 		}
-		t.Fatal("the host never stopped")
+		t.Fatal("host did not stop within 31 s")
 	})
 }
--- a/pkg/lifecycle/notice.go
+++ b/pkg/lifecycle/notice.go
@@ -10,8 +10,9 @@
 // Key identifies an upstream of a service between entry hosts.
 type Key uint64
 
-// KeyOf returns the key of an upstream of a service. Two upstreams with one key
-// would leave together; with a 64-bit hash that is left to chance.
+// KeyOf returns the key of an upstream of a service. Two upstreams whose keys
+// collide would be marked as leaving together; with a 64-bit hash that is
+// unlikely enough to accept.
 func KeyOf(service, upstream string) Key {
 	d := xxhash.New()
 	_, _ = d.WriteString(service)
@@ -20,43 +21,45 @@
 	return Key(d.Sum64())
 }
 
-// Notice is what an entry host knows, and tells its peers, about an upstream
-// that leaves. Notices only grow: Join takes the larger of each field, so that
-// they may come late, twice and in any order.
+// Notice is what an entry host knows, and sends to its peers, about an upstream
+// that is leaving. Notices form a join-semilattice: Join takes the maximum of
+// each field, so they may arrive late, more than once and in any order.
 type Notice struct {
 	// Key is the upstream.
 	Key Key
-	// DrainRevision is the newest revision of its service's document known to
-	// say that it is draining or not listed. Only a newer document revives it.
+	// DrainRevision is the newest known revision of its service's document in
+	// which it is draining or not listed. Only a newer document reactivates it.
 	DrainRevision uint64
-	// MinActivation is one more than the newest activation known to be over. Only
-	// this activation or a later one is alive; 0 means none is known to be over.
+	// MinActivation is one more than the newest activation known to have ended.
+	// Only this activation or a later one is valid; 0 means that none is known
+	// to have ended.
 	MinActivation uint64
 }
 
-// Join returns the knowledge of both notices, which must have one key. It is
-// idempotent, commutative and associative.
+// Join returns the union of what both notices state; they must have the same
+// key. It is idempotent, commutative and associative.
 func (n Notice) Join(o Notice) Notice {
 	n.DrainRevision = max(n.DrainRevision, o.DrainRevision)
 	n.MinActivation = max(n.MinActivation, o.MinActivation)
 	return n
 }
 
-// allows reports whether a listing outranks everything known by w.
+// allows reports whether a document entry with this revision and activation
+// accepts precedence over n.
 func (n Notice) allows(revision, activation uint64) bool {
 	return revision > n.DrainRevision && activation >= n.MinActivation
 }
 
-// MaxNoticeBytes bounds an encoded notice: a key and two varints.
+// MaxNoticeBytes is the maximum size of an encoded notice: a key and two varints.
 const MaxNoticeBytes = keyBytes + 2*binary.MaxVarintLen64
 
 const keyBytes = 8
 
-// ErrShortNotice means that the encoding of a notice ends early.
-var ErrShortNotice = errors.New("notice ends early")
+// ErrShortNotice means that an encoded notice is truncated.
+var ErrShortNotice = errors.New("notice is truncated")
 
-// ErrLongNumber means that a number in a notice is over 64 bits.
-var ErrLongNumber = errors.New("number in a notice is over 64 bits")
+// ErrLongNumber means that a varint in a notice overflows 64 bits.
+var ErrLongNumber = errors.New("varint in a notice overflows 64 bits")
 
 // appendTo appends the encoding of n to b.
 func (n Notice) appendTo(b []byte) []byte {
@@ -65,7 +68,7 @@
 	return binary.AppendUvarint(b, n.MinActivation)
 }
 
-// decodeNotice reads one notice and returns the rest of b.
+// decodeNotice decodes one notice and returns the remainder of b.
 func decodeNotice(b []byte) (Notice, []byte, error) {
 	if len(b) < keyBytes {
 		return Notice{}, nil, ErrShortNotice
@@ -93,7 +96,7 @@
 	return v, b[size:], nil
 }
 
-// EncodeNotices returns the encoding of all notices.
+// EncodeNotices returns the concatenated encodings of the notices.
 func EncodeNotices(notices []Notice) []byte {
 	b := make([]byte, 0, len(notices)*MaxNoticeBytes)
 	for _, n := range notices {
@@ -102,7 +105,7 @@
 	return b
 }
 
-// DecodeNotices reads notices to the end of b.
+// DecodeNotices decodes notices up to the end of b.
 func DecodeNotices(b []byte) ([]Notice, error) {
 	var notices []Notice
 	for len(b) > 0 {
--- a/pkg/lifecycle/notice_test.go
+++ b/pkg/lifecycle/notice_test.go
@@ -22,7 +22,7 @@
 	draw := rapid.Custom(func(t *rapid.T) Notice {
 		return Notice{
 			DrainRevision: rapid.Uint64Range(0, 5).Draw(t, "drain revision"),
-			MinActivation: rapid.Uint64Range(0, 5).Draw(t, "left below"),
+			MinActivation: rapid.Uint64Range(0, 5).Draw(t, "min activation"),
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
@@ -38,7 +38,7 @@
 	is := is.New(t)
 	usual := Notice{Key: KeyOf("lot-catalogue", "caruaru-3"), DrainRevision: 15000 * 365, MinActivation: 2}
 	largest := Notice{Key: math.MaxUint64, DrainRevision: math.MaxUint64, MinActivation: math.MaxUint64}
-	t.Logf("usual notice %d bytes, largest %d bytes", len(usual.appendTo(nil)), len(largest.appendTo(nil)))
+	t.Logf("typical notice %d bytes, largest %d bytes", len(usual.appendTo(nil)), len(largest.appendTo(nil)))
 	is.Equal(len(largest.appendTo(nil)), MaxNoticeBytes)
 	is.True(MaxNoticeBytes <= 64)
 	notices, err := DecodeNotices(EncodeNotices([]Notice{usual, largest}))
@@ -48,7 +48,7 @@
 	is.True(errors.Is(err, ErrShortNotice))
 }
 
-// FuzzDecodeNotices checks that what decodes encodes to the same knowledge.
+// FuzzDecodeNotices checks that decoded notices survive an encoding round trip.
 func FuzzDecodeNotices(f *testing.F) {
 	f.Add(EncodeNotices([]Notice{{Key: 1, DrainRevision: 300, MinActivation: 2}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/pkg/lifecycle/seconds_test.go
+++ b/pkg/lifecycle/propagation_test.go
@@ -11,19 +11,20 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// The schedule of the fleet in TestSecondsToNoNewRequests, in virtual time.
+// The parameters of the simulated fleet in TestSecondsToNoNewRequests, in
+// virtual time.
 const (
-	fleetHosts   = 13
-	fleetStep    = 50 * time.Millisecond
-	gossipEvery  = 4 // steps
-	gossipFanout = 2
-	gossipRounds = 5  // how often a host repeats a new notice
-	repairEvery  = 20 // steps; then a host sends all its notices to one peer
-	lossPercent  = 20
-	listPoll     = 5 * time.Second // of each host
-	documentLag  = 2 * time.Second // largest, of each host
-	fleetRate    = 20              // requests a second to the upstream, all hosts
-	fleetTrials  = 200
+	fleetHosts       = 13
+	fleetStep        = 50 * time.Millisecond
+	gossipInterval   = 4 // steps
+	gossipFanout     = 2
+	gossipRounds     = 5  // how often a host sends a new notice
+	exchangeInterval = 20 // steps between sending all notices to one random peer
+	lossPercent      = 20
+	listPollInterval = 5 * time.Second // per host
+	maxDocumentDelay = 2 * time.Second // maximum, per host
+	fleetRate        = 20              // requests per second to the upstream from all hosts
+	fleetTrials      = 200
 )
 
 type fleetHost struct {
@@ -31,28 +32,29 @@
 	snapshot *Snapshot
 	notices  []Notice
 	rounds   int
-	learnsAt time.Duration // by its own reading of the source
+	learnsAt time.Duration // when it reads the source itself
 }
 
-// source says how the fleet hears that the upstream leaves.
+// source is the way in which the fleet learns that the upstream is leaving.
 type source struct {
-	name   string
-	lag    time.Duration // each host reads it at a time up to this
-	read   func(*Registry, time.Time)
-	refuse bool // each request is refused with the leaving header
+	name     string
+	maxDelay time.Duration // maximum delay until a host reads it
+	read     func(*Registry, time.Time)
+	refuse   bool // the upstream refuses each request with HeaderLeaving
 }
 
 var sources = []source{
-	{name: "document", lag: documentLag, read: func(r *Registry, now time.Time) {
+	{name: "document", maxDelay: maxDocumentDelay, read: func(r *Registry, now time.Time) {
 		r.Configure(now, "lots", 2, []UpstreamSpec{{Upstream: "u", Draining: true}})
 	}},
-	{name: "host list", lag: listPoll, read: func(r *Registry, now time.Time) { r.HostLeaving(now, testMember) }},
+	{name: "host list", maxDelay: listPollInterval, read: func(r *Registry, now time.Time) { r.HostLeaving(now, testMember) }},
 	{name: "upstream's refusal", refuse: true},
 	{name: "one peer's notice", read: nil},
 }
 
-// TestSecondsToNoNewRequests measures how long after the first chance to know
-// the last of 13 entry hosts stops sending, with and without peers' notices.
+// TestSecondsToNoNewRequests measures how long it takes from the earliest
+// possible detection until the last of 13 entry hosts stops sending requests,
+// with and without peers' notices.
 func TestSecondsToNoNewRequests(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -64,7 +66,7 @@
 			var took []time.Duration
 			sent := 0
 			for range fleetTrials {
-				d, n := spread(rng, s, gossip)
+				d, n := simulateFleet(rng, s, gossip)
 				took = append(took, d)
 				sent += n
 			}
@@ -76,8 +78,9 @@
 	}
 }
 
-// spread returns when the last host stopped, and the requests sent until then.
-func spread(rng *rand.Rand, s source, gossip bool) (time.Duration, int) {
+// simulateFleet simulates one fleet and returns the time at which the last host
+// stopped sending, and the number of requests sent until then.
+func simulateFleet(rng *rand.Rand, s source, gossip bool) (time.Duration, int) {
 	start := time.Unix(1000, 0)
 	hosts := make([]fleetHost, fleetHosts)
 	for i := range hosts {
@@ -85,7 +88,7 @@
 		h.registry = NewRegistry(DefaultConfig(), event.Discard{})
 		h.registry.Configure(start, "lots", 1, []UpstreamSpec{{Upstream: "u"}})
 		h.flush()
-		h.learnsAt = time.Duration(rng.Int64N(int64(s.lag) + 1))
+		h.learnsAt = time.Duration(rng.Int64N(int64(s.maxDelay) + 1))
 	}
 	if s.read == nil && !s.refuse {
 		hosts[0].registry.Refused(start, testMember, 0)
@@ -102,11 +105,11 @@
 			if s.read != nil && elapsed >= h.learnsAt {
 				s.read(h.registry, now)
 			}
-			if gossip && step%gossipEvery == 0 {
-				h.tellPeers(rng, hosts, now)
+			if gossip && step%gossipInterval == 0 {
+				h.sendToPeers(rng, hosts, now)
 			}
-			if gossip && step%repairEvery == i {
-				h.tellOne(rng, hosts, now, h.registry.Notices(now))
+			if gossip && step%exchangeInterval == i {
+				h.sendToRandomPeer(rng, hosts, now, h.registry.Notices(now))
 			}
 			h.flush()
 		}
@@ -136,17 +139,17 @@
 	}
 }
 
-func (h *fleetHost) tellPeers(rng *rand.Rand, hosts []fleetHost, now time.Time) {
+func (h *fleetHost) sendToPeers(rng *rand.Rand, hosts []fleetHost, now time.Time) {
 	if h.rounds == 0 {
 		return
 	}
 	h.rounds--
 	for range gossipFanout {
-		h.tellOne(rng, hosts, now, h.notices)
+		h.sendToRandomPeer(rng, hosts, now, h.notices)
 	}
 }
 
-func (h *fleetHost) tellOne(rng *rand.Rand, hosts []fleetHost, now time.Time, notices []Notice) {
+func (h *fleetHost) sendToRandomPeer(rng *rand.Rand, hosts []fleetHost, now time.Time, notices []Notice) {
 	peer := &hosts[rng.IntN(len(hosts))]
 	if rng.IntN(100) < lossPercent {
 		return
@@ -156,8 +159,8 @@
 	}
 }
 
-// BenchmarkTakes measures the check before a send.
-func BenchmarkTakes(b *testing.B) {
+// BenchmarkCheckSend measures the check before an attempt is sent.
+func BenchmarkCheckSend(b *testing.B) {
 	r := NewRegistry(DefaultConfig(), event.Discard{})
 	r.Configure(time.Unix(1000, 0), "lots", 1, []UpstreamSpec{{Upstream: "u"}})
 	s, _ := r.Flush()
--- a/pkg/lifecycle/registry.go
+++ b/pkg/lifecycle/registry.go
@@ -1,14 +1,15 @@
-// Package lifecycle decides which upstreams take new requests, and when an
-// entry host that stops may end.
+// Package lifecycle decides which upstreams accept new requests, and when an
+// entry host that is shutting down may exit.
 //
-// News about an upstream comes late, twice and in any order: from documents,
-// the platform's host list, the upstream's own refusals and peers. Each piece
-// carries what it is about, a document revision or an activation, and is
-// joined, never overwritten. An upstream that is known to leave therefore
-// stays so until a document with more authority says otherwise.
+// Updates about an upstream arrive late, more than once and in any order: from
+// documents, the platform's host list, the upstream's own refusals and peers.
+// Each update states the document revision or activation that it applies to,
+// and is joined with the existing state, never overwrites it. An upstream known
+// to be leaving therefore stays so until a document with higher precedence
+// reactivates it.
 //
-// The package does no I/O and reads no clock. Registry and Host belong to the
-// control goroutine; a Snapshot is immutable.
+// The package does no I/O and reads no clock. Registry and Host must be used on
+// the control goroutine only; a Snapshot is immutable.
 package lifecycle
 
 import (
@@ -20,21 +21,23 @@
 	"github.com/dapplespindle/dapplespindle/pkg/statechart"
 )
 
-// Config bounds a Registry.
+// Config holds the limits and timeouts of a Registry.
 type Config struct {
-	// ConnectFailures is the number of failed connections in a row after which
-	// an upstream counts as unreachable.
+	// ConnectFailures is the number of consecutive connection failures after
+	// which an upstream counts as unreachable.
 	ConnectFailures int
-	// UnreachablePause is the time after which an unreachable upstream is tried again.
+	// UnreachablePause is the delay before an unreachable upstream is retried.
 	UnreachablePause time.Duration
-	// NoticeRetention is how long the notice about an upstream that is not configured is kept.
+	// NoticeRetention is how long a notice about an upstream that is not
+	// configured is stored.
 	NoticeRetention time.Duration
-	// MaxNotices bounds the notices kept. At the bound news about upstreams that
-	// are not configured is dropped and counted; none is evicted.
+	// MaxNotices is the maximum number of stored notices. At the limit, notices
+	// about upstreams that are not configured are dropped and counted; none is
+	// evicted.
 	MaxNotices int
 }
 
-// DefaultConfig returns the bounds for the target in docs/DEVELOPERS.md.
+// DefaultConfig returns the limits for the target scale in docs/DEVELOPERS.md.
 func DefaultConfig() Config {
 	return Config{
 		ConnectFailures:  3,
@@ -48,22 +51,22 @@
 type UpstreamSpec struct {
 	// Upstream is its id.
 	Upstream string
-	// Draining is true when the operator asked that it take no new requests.
+	// Draining is true when the operator requested that it accept no new requests.
 	Draining bool
-	// Activation counts how often the operator brought this upstream back
-	// after it had left of its own; it never falls.
+	// Activation counts how often the operator reactivated this upstream after
+	// it had left on its own; it never decreases.
 	Activation uint64
-	// SlowStart is the time over which its share grows; 0 is off.
+	// SlowStart is the time over which its weight ramps up; 0 disables slow start.
 	SlowStart time.Duration
-	// Evacuated is true while nothing new may be sent to it although it does not leave:
-	// its failure domain is evacuated.
+	// Evacuated is true while its failure domain is evacuated: it gets no new
+	// requests although it is not leaving.
 	Evacuated bool
 }
 
 // member is one configured upstream.
 type member struct {
 	key       UpstreamKey
-	listing   UpstreamSpec
+	spec      UpstreamSpec
 	revision  uint64
 	state     statechart.State
 	warmSince time.Time
@@ -71,50 +74,50 @@
 	failedAt  time.Time
 }
 
-// knownNotice is a notice and when anything in it was last new.
-type knownNotice struct {
+// storedNotice is a notice and the time of its last change.
+type storedNotice struct {
 	notice  Notice
 	learned time.Time
 }
 
-// Registry holds what one entry host knows about its upstreams.
+// Registry holds the state of all upstreams as known to one entry host.
 type Registry struct {
-	conf      Config
-	events    event.Sink
-	services  map[string]map[string]*member // the members by service and upstream
-	byKey     map[Key]*member
-	notices   map[Key]*knownNotice
-	revisions map[string]uint64 // of each service's document
-	announce  []Notice
-	changed   bool
-	touched   map[string]bool // services that differ from last
-	last      *Snapshot
-	version   uint64
-	dropped   uint64
+	conf           Config
+	events         event.Sink
+	services       map[string]map[string]*member // the members by service and upstream
+	byKey          map[Key]*member
+	notices        map[Key]*storedNotice
+	revisions      map[string]uint64 // of each service's document
+	pendingNotices []Notice
+	changed        bool
+	dirty          map[string]bool // services that changed since the last snapshot
+	lastSnapshot   *Snapshot
+	version        uint64
+	dropped        uint64
 }
 
 // NewRegistry returns a registry without upstreams.
 func NewRegistry(conf Config, events event.Sink) *Registry {
 	return &Registry{
-		conf:      conf,
-		events:    events,
-		services:  make(map[string]map[string]*member),
-		touched:   make(map[string]bool),
-		last:      new(Snapshot),
-		byKey:     make(map[Key]*member),
-		notices:   make(map[Key]*knownNotice),
-		revisions: make(map[string]uint64),
+		conf:         conf,
+		events:       events,
+		services:     make(map[string]map[string]*member),
+		dirty:        make(map[string]bool),
+		lastSnapshot: new(Snapshot),
+		byKey:        make(map[Key]*member),
+		notices:      make(map[Key]*storedNotice),
+		revisions:    make(map[string]uint64),
 	}
 }
 
-// Changed reports whether Flush has anything to return.
-func (r *Registry) Changed() bool { return r.changed || len(r.announce) > 0 }
+// Changed reports whether Flush has a snapshot or notices to return.
+func (r *Registry) Changed() bool { return r.changed || len(r.pendingNotices) > 0 }
 
-// Flush returns what changed since the last call: a new snapshot, nil if none
-// is due, and the notices to tell the peers at once.
+// Flush returns what changed since the last call: a new snapshot, or nil if
+// nothing in it changed, and the notices to send to peers immediately.
 func (r *Registry) Flush() (*Snapshot, []Notice) {
-	announce := r.announce
-	r.announce = nil
+	announce := r.pendingNotices
+	r.pendingNotices = nil
 	if !r.changed {
 		return nil, announce
 	}
@@ -122,21 +125,21 @@
 	return r.snapshot(), announce
 }
 
-// snapshot builds the services that were touched and shares the others with
-// the snapshot before.
+// snapshot rebuilds the services that changed and shares the others with the
+// previous snapshot.
 func (r *Registry) snapshot() *Snapshot {
 	r.version++
 	s := &Snapshot{Version: r.version, services: make(map[string]*serviceViews, len(r.services))}
-	maps.Copy(s.services, r.last.services)
-	for service := range r.touched {
+	maps.Copy(s.services, r.lastSnapshot.services)
+	for service := range r.dirty {
 		if len(r.services[service]) == 0 {
 			delete(s.services, service)
 			continue
 		}
 		s.services[service] = r.views(service)
 	}
-	clear(r.touched)
-	r.last = s
+	clear(r.dirty)
+	r.lastSnapshot = s
 	return s
 }
 
@@ -146,12 +149,12 @@
 	for upstream, m := range members {
 		out.views[upstream] = View{
 			State:           charts.Upstream.StateName(m.state),
-			AcceptsRequests: r.takes(m) && !m.listing.Evacuated,
+			AcceptsRequests: r.accepts(m) && !m.spec.Evacuated,
 			Leaving:         m.state == stLeaving || m.state == stDrained,
 			Unreachable:     m.state == stUnreachable,
-			Activation:      m.listing.Activation,
+			Activation:      m.spec.Activation,
 			WarmSince:       m.warmSince,
-			SlowStart:       m.listing.SlowStart,
+			SlowStart:       m.spec.SlowStart,
 		}
 	}
 	return out
@@ -160,8 +163,9 @@
 // member returns a configured upstream, or nil.
 func (r *Registry) member(k UpstreamKey) *member { return r.services[k.Service][k.Upstream] }
 
-// add and drop keep both views of the members alike.
-func (r *Registry) add(m *member) {
+// addMember and removeMember keep the two indexes of the members, services and byKey,
+// consistent.
+func (r *Registry) addMember(m *member) {
 	of := r.services[m.key.Service]
 	if of == nil {
 		of = make(map[string]*member)
@@ -171,7 +175,7 @@
 	r.byKey[KeyOf(m.key.Service, m.key.Upstream)] = m
 }
 
-func (r *Registry) drop(m *member) {
+func (r *Registry) removeMember(m *member) {
 	of := r.services[m.key.Service]
 	delete(of, m.key.Upstream)
 	if len(of) == 0 {
@@ -180,10 +184,10 @@
 	delete(r.byKey, KeyOf(m.key.Service, m.key.Upstream))
 }
 
-// takes is the rule: the document in force lists the upstream as active and
-// outranks everything known about its leaving.
-func (r *Registry) takes(m *member) bool {
-	return !m.listing.Draining && r.notice(m.key).allows(m.revision, m.listing.Activation)
+// accepts reports whether an upstream accepts new requests: the current document
+// lists it as active and takes precedence over the notice about it.
+func (r *Registry) accepts(m *member) bool {
+	return !m.spec.Draining && r.notice(m.key).allows(m.revision, m.spec.Activation)
 }
 
 func (r *Registry) notice(k UpstreamKey) Notice {
@@ -194,42 +198,43 @@
 	return Notice{Key: key}
 }
 
-// Notices returns what is known about leaving upstreams, to repeat to peers.
-// What the document in force outranks is left out: its upstream takes requests
-// again, and a peer that knows neither the notice nor the document does no
-// harm by sending it some. A notice about an upstream that is not configured is repeated for half of
-// the time it is kept, so that peers do not keep it alive among them.
+// Notices returns the notices about leaving upstreams to send to peers
+// periodically. It omits notices that the current document takes precedence
+// over: their upstream accepts requests again, and a peer that knows neither the
+// notice nor the document does no harm by sending it some. A notice about an
+// upstream that is not configured is sent for only half of its retention period,
+// so that peers do not refresh it among each other indefinitely.
 func (r *Registry) Notices(now time.Time) []Notice {
 	var notices []Notice
 	for key, n := range r.notices {
-		if r.repeats(now, r.byKey[key], n) {
+		if r.shouldRepeat(now, r.byKey[key], n) {
 			notices = append(notices, n.notice)
 		}
 	}
 	return notices
 }
 
-// repeats reports whether peers are still told of a notice about m, which is
-// nil for an upstream that is not configured.
-func (r *Registry) repeats(now time.Time, m *member, n *knownNotice) bool {
+// shouldRepeat reports whether a notice about m is still sent to peers; m is nil for
+// an upstream that is not configured.
+func (r *Registry) shouldRepeat(now time.Time, m *member, n *storedNotice) bool {
 	if m == nil {
 		return now.Sub(n.learned) < r.conf.NoticeRetention/2
 	}
-	return m.listing.Draining || !n.notice.allows(m.revision, m.listing.Activation)
+	return m.spec.Draining || !n.notice.allows(m.revision, m.spec.Activation)
 }
 
-// Dropped returns the number of notices that found no room.
+// Dropped returns the number of notices dropped because of MaxNotices.
 func (r *Registry) Dropped() uint64 { return r.dropped }
 
-// learn joins a notice and reports whether anything in it was new.
-func (r *Registry) learn(now time.Time, n Notice) bool {
+// mergeNotice joins a notice with the stored one and reports whether that changed.
+func (r *Registry) mergeNotice(now time.Time, n Notice) bool {
 	known := r.notices[n.Key]
 	if known == nil {
 		if len(r.notices) >= r.conf.MaxNotices && r.byKey[n.Key] == nil {
 			r.dropped++
 			return false
 		}
-		known = &knownNotice{notice: Notice{Key: n.Key}}
+		known = &storedNotice{notice: Notice{Key: n.Key}}
 		r.notices[n.Key] = known
 	}
 	before := known.notice
@@ -239,12 +244,12 @@
 	}
 	known.learned = now
 	if m := r.byKey[n.Key]; m != nil {
-		r.touched[m.key.Service] = true
+		r.dirty[m.key.Service] = true
 	}
 	return true
 }
 
-// step applies an event to a member and does the effects.
+// step applies an event to a member and carries out the effects.
 func (r *Registry) step(now time.Time, m *member, e statechart.Event, reason string) {
 	next, effects, err := charts.Upstream.Step(m.state, e)
 	if err != nil {
@@ -253,7 +258,7 @@
 		return
 	}
 	m.state = next
-	r.touched[m.key.Service] = true
+	r.dirty[m.key.Service] = true
 	if next == stWarming {
 		m.warmSince = now
 		m.failures = 0
@@ -262,7 +267,7 @@
 		r.changed = true
 	}
 	if effects.Has(doAnnounce) {
-		r.announce = append(r.announce, r.notice(m.key))
+		r.pendingNotices = append(r.pendingNotices, r.notice(m.key))
 	}
 	if effects.Has(doReportDrained) {
 		r.emit(now, event.UpstreamDrained, m, reason)
--- a/pkg/lifecycle/registry_test.go
+++ b/pkg/lifecycle/registry_test.go
@@ -11,41 +11,43 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// news is one fact of a drawn history: a document, or a refusal.
-type news struct {
+// update is one update of a random history: a document or a refusal.
+type update struct {
 	revision         uint64 // 0: a refusal
 	listed, draining bool
 	activation       uint64
 }
 
-// drawHistory draws documents with rising revisions and activations, and
+// drawHistory draws documents with increasing revisions and activations, with
 // refusals between them.
-func drawHistory(t *rapid.T) []news {
-	var out []news
+func drawHistory(t *rapid.T) []update {
+	var out []update
 	activation, revision := uint64(0), uint64(0)
-	for range rapid.IntRange(1, 12).Draw(t, "news") {
+	for range rapid.IntRange(1, 12).Draw(t, "update") {
 		kind := rapid.IntRange(0, 5).Draw(t, "kind")
 		if kind == 0 {
-			out = append(out, news{activation: activation})
+			out = append(out, update{activation: activation})
 			continue
 		}
 		revision++
 		if kind == 1 {
 			activation++
 		}
-		out = append(out, news{revision, kind != 2, kind == 3, activation})
+		out = append(out, update{revision, kind != 2, kind == 3, activation})
 	}
 	return out
 }
 
-// knowledge is what one host was told, kept apart from the code under test.
+// knowledge models the updates that one host received, independently of the
+// code under test.
 type knowledge struct {
-	known    map[int]bool // every piece of news, also by way of peers
+	known    map[int]bool // received updates, also through peers
 	document int          // newest document delivered here, -1 if none
 }
 
-// mayTake is the promise, computed from the whole history.
-func (k *knowledge) mayTake(history []news) bool {
+// mayAccept computes from the whole history whether the upstream may get new
+// requests.
+func (k *knowledge) mayAccept(history []update) bool {
 	if k.document < 0 {
 		return false
 	}
@@ -65,9 +67,9 @@
 	return true
 }
 
-// deliver takes in one piece of news. A document that does not list the
-// upstream tells a host nothing to pass on about it unless the one before did.
-func (k *knowledge) deliver(history []news, i int) {
+// deliver records one update. A document that does not list the upstream gives
+// a host no notice to send about it, unless the previous document listed it.
+func (k *knowledge) deliver(history []update, i int) {
 	n := history[i]
 	if n.revision == 0 {
 		k.known[i] = true
@@ -83,95 +85,96 @@
 	}
 }
 
-// letter is a peer's notice under way, with what the sender knew.
-type letter struct {
+// peerMessage is a peer's notice in transit, with the updates known to its sender.
+type peerMessage struct {
 	notice []Notice // one per variant
 	known  []int
 }
 
-var viewVariants = []struct {
+var implementations = []struct {
 	name string
-	make func() view
+	make func() implementation
 }{
-	{"joined news", func() view { return product{NewRegistry(DefaultConfig(), invariants{})} }},
-	{"last report wins", func() view { return &lastWins{} }},
-	{"any newer document revives", func() view { return &byRevision{} }},
+	{"joined updates", func() implementation { return registryImpl{NewRegistry(DefaultConfig(), invariantChecker{})} }},
+	{"last report wins", func() implementation { return &lastUpdateWins{} }},
+	{"newer document reactivates", func() implementation { return &byRevision{} }},
 }
 
-const newsHosts = 3
+const historyHosts = 3
 
-// TestNewsInAnyOrder delivers drawn histories to three hosts in drawn order,
-// with repeats and late notices of peers, and compares who takes new requests
-// with the promise.
+// TestNewsInAnyOrder delivers random histories to three hosts in random order,
+// with duplicates and late notices from peers, and checks that a host sends new
+// requests to the upstream exactly when the whole history permits it.
 func TestNewsInAnyOrder(t *testing.T) {
 	is := is.New(t)
-	broken := make([]int, len(viewVariants))
+	violations := make([]int, len(implementations))
 	runs, deliveries := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		runs++
 		history := drawHistory(rt)
-		hosts := make([]knowledge, newsHosts)
-		views := make([][]view, newsHosts)
+		hosts := make([]knowledge, historyHosts)
+		views := make([][]implementation, historyHosts)
 		for h := range hosts {
 			hosts[h] = knowledge{known: map[int]bool{}, document: -1}
-			for _, v := range viewVariants {
+			for _, v := range implementations {
 				views[h] = append(views[h], v.make())
 			}
 		}
-		var letters []letter
-		failed := make([]bool, len(viewVariants))
+		var messages []peerMessage
+		failed := make([]bool, len(implementations))
 		for range rapid.IntRange(1, 40).Draw(rt, "deliveries") {
 			deliveries++
-			h := rapid.IntRange(0, newsHosts-1).Draw(rt, "host")
+			h := rapid.IntRange(0, historyHosts-1).Draw(rt, "host")
 			switch rapid.IntRange(0, 4).Draw(rt, "what") {
 			case 0:
-				letters = append(letters, write(&hosts[h], views[h]))
+				messages = append(messages, newPeerMessage(&hosts[h], views[h]))
 			case 1:
-				if len(letters) > 0 {
-					read(letters[rapid.IntRange(0, len(letters)-1).Draw(rt, "letter")], &hosts[h], views[h])
+				if len(messages) > 0 {
+					receive(messages[rapid.IntRange(0, len(messages)-1).Draw(rt, "message")], &hosts[h], views[h])
 				}
 			case 2:
-				views[h][0].(product).noise(rapid.IntRange(0, 3).Draw(rt, "noise"))
+				views[h][0].(registryImpl).applyUnrelatedEvent(rapid.IntRange(0, 3).Draw(rt, "unrelated event"))
 			default:
-				i := rapid.IntRange(0, len(history)-1).Draw(rt, "news")
+				i := rapid.IntRange(0, len(history)-1).Draw(rt, "update")
 				hosts[h].deliver(history, i)
 				for _, v := range views[h] {
-					tell(v, history[i])
+					applyUpdate(v, history[i])
 				}
 			}
-			may := hosts[h].mayTake(history)
-			if got := views[h][0].takes(); got != may {
-				rt.Fatalf("host %d takes %v, promised %v", h, got, may)
+			may := hosts[h].mayAccept(history)
+			if got := views[h][0].accepts(); got != may {
+				rt.Fatalf("host %d: accepts requests = %v, want %v", h, got, may)
 			}
 			for v := range views[h] {
-				failed[v] = failed[v] || (views[h][v].takes() && !may)
+				failed[v] = failed[v] || (views[h][v].accepts() && !may)
 			}
 		}
 		for v := range failed {
 			if failed[v] {
-				broken[v]++
+				violations[v]++
 			}
 		}
 	})
-	for v := range viewVariants {
-		t.Logf("%-28s sent to a leaving upstream in %4d of %d histories (%d deliveries)", viewVariants[v].name, broken[v], runs, deliveries)
+	for v := range implementations {
+		t.Logf("%-28s sent to a leaving upstream in %4d of %d histories (%d deliveries)", implementations[v].name, violations[v], runs, deliveries)
 	}
-	is.Equal(broken[0], 0)
-	is.True(broken[1] > 0) // the naive variants must be caught
-	is.True(broken[2] > 0)
+	is.Equal(violations[0], 0)
+	is.True(violations[1] > 0) // the test must detect the wrong variants
+	is.True(violations[2] > 0)
 }
 
-// invariants is a sink that stops the test at a broken invariant.
-type invariants struct{}
+// invariantChecker is an event sink that panics on a violated invariant.
+type invariantChecker struct{}
 
-func (invariants) Emit(e event.Event) {
+func (invariantChecker) Emit(e event.Event) {
 	if e.Code >= 10000 {
 		panic(e.Code.String() + ": " + e.Detail)
 	}
 }
 
-// noise is what must not change who takes new requests.
-func (p product) noise(kind int) {
+// applyUnrelatedEvent applies an event that must not change whether the upstream
+// accepts new requests.
+func (p registryImpl) applyUnrelatedEvent(kind int) {
 	now := time.Unix(1000, 0)
 	switch kind {
 	case 0:
@@ -185,7 +188,7 @@
 	}
 }
 
-func tell(v view, n news) {
+func applyUpdate(v implementation, n update) {
 	if n.revision == 0 {
 		v.refused(n.activation)
 		return
@@ -193,8 +196,8 @@
 	v.document(n.revision, n.listed, n.draining, n.activation)
 }
 
-func write(k *knowledge, views []view) letter {
-	var l letter
+func newPeerMessage(k *knowledge, views []implementation) peerMessage {
+	var l peerMessage
 	for i := range k.known {
 		l.known = append(l.known, i)
 	}
@@ -204,7 +207,7 @@
 	return l
 }
 
-func read(l letter, k *knowledge, views []view) {
+func receive(l peerMessage, k *knowledge, views []implementation) {
 	for _, i := range l.known {
 		k.known[i] = true
 	}
@@ -221,14 +224,14 @@
 	list := func(revision, activation uint64, draining bool) {
 		r.Configure(now, "lots", revision, []UpstreamSpec{{Upstream: "u", Draining: draining, Activation: activation, SlowStart: 10 * time.Second}})
 	}
-	takes := func() bool { return r.snapshot().AcceptsRequests(testMember) }
+	accepts := func() bool { return r.snapshot().AcceptsRequests(testMember) }
 	list(1, 0, false)
-	is.True(takes())
+	is.True(accepts())
 	list(2, 0, true)
-	is.True(!takes())
-	is.True(!r.Configure(now, "lots", 1, []UpstreamSpec{{Upstream: "u"}})) // a late document
+	is.True(!accepts())
+	is.True(!r.Configure(now, "lots", 1, []UpstreamSpec{{Upstream: "u"}})) // an outdated document
 	list(3, 0, false)
-	is.True(takes()) // a newer document undrains
+	is.True(accepts()) // a newer document undrains
 	v, _ := r.snapshot().View(testMember)
 	is.Equal(v.State, "warming")
 	is.Equal(v.Weight(now.Add(5*time.Second)), 0.5)
@@ -236,13 +239,13 @@
 	_, announced := r.Flush()
 	is.Equal(announced[len(announced)-1], Notice{Key: KeyOf("lots", "u"), DrainRevision: 2, MinActivation: 1})
 	list(4, 0, false)
-	is.True(!takes()) // an unrelated change revives nothing
+	is.True(!accepts()) // a change without a new activation does not reactivate it
 	list(5, 1, false)
-	is.True(takes())
-	r.Refused(now, testMember, 0) // a late answer to an earlier activation
-	is.True(takes())
+	is.True(accepts())
+	r.Refused(now, testMember, 0) // a late response under an earlier activation
+	is.True(accepts())
 	r.HostLeaving(now, testMember)
-	is.True(!takes())
+	is.True(!accepts())
 	r.InFlight(now, testMember, 0)
 	r.Configure(now, "lots", 6, nil)
 	is.Equal(events.codes, []event.Code{
@@ -269,7 +272,7 @@
 	snapshot, announced := r.Flush()
 	v, _ = snapshot.View(testMember)
 	is.True(!v.Unreachable)
-	is.Equal(len(announced), 0) // not told to peers
+	is.Equal(len(announced), 0) // not sent to peers
 }
 
 func TestNoticesAreBounded(t *testing.T) {
@@ -301,7 +304,7 @@
 	is.Equal(after.CheckSend(testMember, after.Version), InvariantViolated)
 }
 
-func TestListingsTakeTheStrictest(t *testing.T) {
+func TestUpstreamSpecsMergeStrictest(t *testing.T) {
 	is := is.New(t)
 	svc := &config.Service{Groups: []config.Group{
 		{Upstreams: []config.Upstream{{ID: "a"}, {ID: "b"}}},
@@ -310,9 +313,9 @@
 	is.Equal(UpstreamSpecs(svc, nil), []UpstreamSpec{{Upstream: "a", Draining: true, SlowStart: time.Second}, {Upstream: "b"}})
 }
 
-// TestOutrankedNoticesAreNotRepeated follows one upstream over a leave, its
-// return by a newer document, and a drain.
-func TestOutrankedNoticesAreNotRepeated(t *testing.T) {
+// TestSupersededNoticesAreNotRepeated takes one upstream through leaving,
+// reactivation by a newer document, and draining.
+func TestSupersededNoticesAreNotRepeated(t *testing.T) {
 	is := is.New(t)
 	r, now := NewRegistry(DefaultConfig(), event.Discard{}), time.Unix(1_000_000, 0)
 	key := UpstreamKey{"ledger", "a"}
@@ -325,9 +328,9 @@
 	list(2, 0, false)
 	is.Equal(len(r.Notices(now)), 1) // a document that does not activate it
 	list(3, 1, false)
-	is.Equal(len(r.Notices(now)), 0) // takes requests again
+	is.Equal(len(r.Notices(now)), 0) // accepts requests again
 	r.Merge(now, Notice{Key: KeyOf(key.Service, key.Upstream), MinActivation: 1})
-	is.Equal(len(r.Notices(now)), 0) // old news from a peer that is behind
+	is.Equal(len(r.Notices(now)), 0) // outdated notice from a lagging peer
 	list(4, 1, true)
 	is.Equal(len(r.Notices(now)), 1) // drains
 	list(5, 1, false)
--- a/pkg/lifecycle/snapshot_test.go
+++ b/pkg/lifecycle/snapshot_test.go
@@ -10,7 +10,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// rebuilt returns the views of all services as if none had been shared.
+// rebuilt returns the views of all services, rebuilt without sharing.
 func rebuilt(r *Registry) map[UpstreamKey]View {
 	out := make(map[UpstreamKey]View)
 	for service := range r.services {
@@ -31,8 +31,8 @@
 	return out
 }
 
-// TestSnapshotSharesOnlyWhatIsUnchanged gives a registry random news and
-// compares each snapshot with one that was built from everything.
+// TestSnapshotSharesOnlyWhatIsUnchanged applies random updates to a registry and
+// compares each snapshot with a complete rebuild.
 func TestSnapshotSharesOnlyWhatIsUnchanged(t *testing.T) {
 	const runs, steps = 60, 150
 	random := rand.New(rand.NewPCG(2026, 2))
@@ -42,7 +42,7 @@
 		before := new(Snapshot)
 		for step := range steps {
 			now = now.Add(time.Duration(random.IntN(900)) * time.Millisecond)
-			randomNews(r, random, now, uint64(step+1))
+			applyRandomUpdate(r, random, now, uint64(step+1))
 			s, _ := r.Flush()
 			if s == nil {
 				continue
@@ -56,21 +56,21 @@
 	}
 }
 
-// checkVersions fails if a service differs and kept its version.
+// checkVersions fails if a service changed without a new version.
 func checkVersions(t *testing.T, before, s *Snapshot) {
 	t.Helper()
 	for service, of := range s.services {
 		known := before.services[service]
 		if known != nil && known.version == of.version && !maps.Equal(known.views, of.views) {
-			t.Fatalf("%s changed and kept version %d", service, of.version)
+			t.Fatalf("%s changed but kept version %d", service, of.version)
 		}
 		if s.ServiceVersion(service) > s.Version {
-			t.Fatalf("%s is newer than its snapshot", service)
+			t.Fatalf("%s has a newer version than its snapshot", service)
 		}
 	}
 }
 
-func randomNews(r *Registry, random *rand.Rand, now time.Time, revision uint64) {
+func applyRandomUpdate(r *Registry, random *rand.Rand, now time.Time, revision uint64) {
 	service := fmt.Sprintf("s%d", random.IntN(3))
 	key := UpstreamKey{service, fmt.Sprintf("u%d", random.IntN(4))}
 	switch random.IntN(7) {
--- a/pkg/lifecycle/news.go
+++ b/pkg/lifecycle/updates.go
@@ -6,7 +6,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// The sources of news, as the events name them.
+// The sources of updates, as they appear in the reason of events.
 const (
 	fromDocument = "document"
 	fromHostList = "host-list"
@@ -16,21 +16,21 @@
 	fromTimer    = "timer"
 )
 
-// Configure takes in the document of a service: the whole list of its
+// Configure applies the document of a service: the complete list of its
 // upstreams, nil when the service was deleted. A document that is not newer
 // than the last one is ignored, and Configure reports false.
-func (r *Registry) Configure(now time.Time, service string, revision uint64, listings []UpstreamSpec) bool {
+func (r *Registry) Configure(now time.Time, service string, revision uint64, specs []UpstreamSpec) bool {
 	last, known := r.revisions[service]
 	if known && revision <= last {
 		return false
 	}
 	r.revisions[service] = revision
 	r.changed = true
-	r.touched[service] = true
-	listed := make(map[string]bool, len(listings))
-	for _, l := range listings {
-		listed[l.Upstream] = true
-		r.list(now, UpstreamKey{service, l.Upstream}, revision, l, !known)
+	r.dirty[service] = true
+	listed := make(map[string]bool, len(specs))
+	for _, spec := range specs {
+		listed[spec.Upstream] = true
+		r.configureUpstream(now, UpstreamKey{service, spec.Upstream}, revision, spec, !known)
 	}
 	for upstream, m := range r.services[service] {
 		if !listed[upstream] {
@@ -40,32 +40,32 @@
 	return true
 }
 
-// list takes in one entry of a document. Upstreams of the first document that
-// a process sees are taken to be warm.
-func (r *Registry) list(now time.Time, k UpstreamKey, revision uint64, l UpstreamSpec, first bool) {
+// configureUpstream applies one entry of a document. Upstreams of the first
+// document that a process reads are assumed to be warm.
+func (r *Registry) configureUpstream(now time.Time, k UpstreamKey, revision uint64, spec UpstreamSpec, first bool) {
 	m := r.member(k)
 	isNew := m == nil
 	if isNew {
 		m = &member{key: k, warmSince: now, state: stWarming}
-		r.add(m)
+		r.addMember(m)
 	}
-	if l.Activation > m.listing.Activation && !isNew {
-		r.revive(now, m)
+	if spec.Activation > m.spec.Activation && !isNew {
+		r.resetReachability(now, m)
 	}
 	m.revision = revision
-	m.listing = l
-	if isNew && (first || l.SlowStart == 0) {
-		m.warmSince = now.Add(-l.SlowStart)
+	m.spec = spec
+	if isNew && (first || spec.SlowStart == 0) {
+		m.warmSince = now.Add(-spec.SlowStart)
 		r.step(now, m, evWarm, fromDocument)
 	}
-	if l.Draining {
-		r.learn(now, Notice{Key: KeyOf(k.Service, k.Upstream), DrainRevision: revision})
+	if spec.Draining {
+		r.mergeNotice(now, Notice{Key: KeyOf(k.Service, k.Upstream), DrainRevision: revision})
 	}
-	r.settle(now, m, fromDocument)
+	r.reconcile(now, m, fromDocument)
 }
 
-// revive forgets what an earlier activation could not be reached for.
-func (r *Registry) revive(now time.Time, m *member) {
+// resetReachability clears the connection failures of an earlier activation.
+func (r *Registry) resetReachability(now time.Time, m *member) {
 	m.failures = 0
 	if m.state == stUnreachable {
 		r.step(now, m, evReached, fromDocument)
@@ -74,78 +74,78 @@
 
 func (r *Registry) remove(now time.Time, m *member, revision uint64) {
 	key := KeyOf(m.key.Service, m.key.Upstream)
-	r.learn(now, Notice{Key: key, DrainRevision: revision})
+	r.mergeNotice(now, Notice{Key: key, DrainRevision: revision})
 	r.step(now, m, evRemove, fromDocument)
-	r.announce = append(r.announce, r.notice(m.key))
-	r.drop(m)
+	r.pendingNotices = append(r.pendingNotices, r.notice(m.key))
+	r.removeMember(m)
 	r.emit(now, event.UpstreamRemoved, m, fromDocument)
 }
 
-// settle moves a member to or out of leaving, by the rule of takes.
-func (r *Registry) settle(now time.Time, m *member, reason string) {
-	gone := m.state == stLeaving || m.state == stDrained
-	takes := r.takes(m)
+// reconcile moves a member into or out of the leaving state, as accepts decides.
+func (r *Registry) reconcile(now time.Time, m *member, reason string) {
+	leaving := m.state == stLeaving || m.state == stDrained
+	accepts := r.accepts(m)
 	switch {
-	case gone && takes:
+	case leaving && accepts:
 		r.step(now, m, evActivate, reason)
 		r.emit(now, event.UpstreamRevived, m, reason)
-	case !gone && !takes:
+	case !leaving && !accepts:
 		r.step(now, m, evLeave, reason)
 		r.emit(now, event.UpstreamLeaving, m, reason)
-	case gone && reason == fromDocument && !m.listing.Draining:
+	case leaving && reason == fromDocument && !m.spec.Draining:
 		r.emit(now, event.UpstreamNotRevived, m, "activation-not-raised")
 	}
 }
 
-// Refused takes in an upstream's own notice that it is leaving, for every
-// service that lists it. Activation is
-// the one that the request was sent under, from its View; a late answer to a
-// request of an earlier activation changes nothing.
+// Refused records an upstream's own announcement that it is leaving, for every
+// service that lists it. Activation is the one that the request was sent under,
+// from its View; a late response to a request of an earlier activation has no
+// effect.
 func (r *Registry) Refused(now time.Time, k UpstreamKey, activation uint64) {
-	r.left(now, k, activation, fromUpstream)
-	if m := r.member(k); m == nil || m.listing.Activation != activation {
+	r.recordLeft(now, k, activation, fromUpstream)
+	if m := r.member(k); m == nil || m.spec.Activation != activation {
 		return
 	}
 	for service, members := range r.services {
 		if m := members[k.Upstream]; m != nil && service != k.Service {
-			r.left(now, m.key, m.listing.Activation, fromUpstream)
+			r.recordLeft(now, m.key, m.spec.Activation, fromUpstream)
 		}
 	}
 }
 
-// HostLeaving takes in an upstream that the platform's list calls leaving.
-// The list has no order against documents, so the notice is about the
-// activation in force.
+// HostLeaving records that the platform's host list marks an upstream as
+// leaving. The list is not ordered relative to documents, so the notice applies
+// to the current activation.
 func (r *Registry) HostLeaving(now time.Time, k UpstreamKey) {
 	if m := r.member(k); m != nil {
-		r.left(now, k, m.listing.Activation, fromHostList)
+		r.recordLeft(now, k, m.spec.Activation, fromHostList)
 	}
 }
 
-func (r *Registry) left(now time.Time, k UpstreamKey, activation uint64, source string) {
+func (r *Registry) recordLeft(now time.Time, k UpstreamKey, activation uint64, source string) {
 	key := KeyOf(k.Service, k.Upstream)
-	if r.learn(now, Notice{Key: key, MinActivation: activation + 1}) {
-		r.afterNotice(now, key, source)
+	if r.mergeNotice(now, Notice{Key: key, MinActivation: activation + 1}) {
+		r.noticeChanged(now, key, source)
 	}
 }
 
-// Merge takes in a peer's notice. It reports whether anything was new.
+// Merge joins a peer's notice and reports whether it contained anything new.
 func (r *Registry) Merge(now time.Time, n Notice) bool {
-	if !r.learn(now, n) {
+	if !r.mergeNotice(now, n) {
 		return false
 	}
-	r.afterNotice(now, n.Key, fromPeer)
+	r.noticeChanged(now, n.Key, fromPeer)
 	return true
 }
 
-func (r *Registry) afterNotice(now time.Time, key Key, source string) {
+func (r *Registry) noticeChanged(now time.Time, key Key, source string) {
 	if m := r.byKey[key]; m != nil {
-		r.settle(now, m, source)
+		r.reconcile(now, m, source)
 	}
 }
 
-// ConnectFailed takes in a connection that could not be made. It is advice of
-// this host alone and is not told to peers.
+// ConnectFailed records a failed connection attempt. The result is a local
+// hint and is not sent to peers.
 func (r *Registry) ConnectFailed(now time.Time, k UpstreamKey) {
 	m := r.member(k)
 	if m == nil || (m.state != stWarming && m.state != stServing) {
@@ -159,7 +159,7 @@
 	}
 }
 
-// ConnectSucceeded takes in a connection or a probe that succeeded.
+// ConnectSucceeded records a successful connection or probe.
 func (r *Registry) ConnectSucceeded(now time.Time, k UpstreamKey) {
 	m := r.member(k)
 	if m == nil {
@@ -172,7 +172,7 @@
 }
 
 // Leaving returns the ids of the upstreams that are leaving, by service: those
-// that InFlight matters for.
+// for which InFlight has an effect.
 func (r *Registry) Leaving() map[string][]string {
 	out := make(map[string][]string)
 	for service, members := range r.services {
@@ -185,8 +185,8 @@
 	return out
 }
 
-// InFlight takes in the number of requests that this host has in flight at an
-// upstream; it matters only while the upstream is leaving.
+// InFlight records the number of requests that this host has in flight to an
+// upstream. It has an effect only while the upstream is leaving.
 func (r *Registry) InFlight(now time.Time, k UpstreamKey, n int64) {
 	m := r.member(k)
 	if m != nil && n == 0 && m.state == stLeaving {
@@ -194,8 +194,8 @@
 	}
 }
 
-// Tick does what is due at a time: ends slow starts, tries unreachable
-// upstreams again and forgets old notices. Once a second is enough.
+// Tick runs the work that is due: it ends slow starts, retries unreachable
+// upstreams and removes expired notices. Calling it once a second is enough.
 func (r *Registry) Tick(now time.Time) {
 	for _, members := range r.services {
 		for _, m := range members {
@@ -211,7 +211,7 @@
 
 func (r *Registry) tick(now time.Time, m *member) {
 	switch {
-	case m.state == stWarming && now.Sub(m.warmSince) >= m.listing.SlowStart:
+	case m.state == stWarming && now.Sub(m.warmSince) >= m.spec.SlowStart:
 		r.step(now, m, evWarm, fromTimer)
 	case m.state == stUnreachable && now.Sub(m.failedAt) >= r.conf.UnreachablePause:
 		r.step(now, m, evReached, fromTimer)
