--- a/pkg/membership/broadcast.go
+++ b/pkg/membership/broadcast.go
@@ -1,29 +1,29 @@
 package membership
 
-// spreadFactor times the rounds of spreading is how often one host passes on
-// a piece of news.
-const spreadFactor = 2
+// retransmitFactor times disseminationRounds is how often one host transmits an update.
+const retransmitFactor = 2
 
-// piggybackBytes bounds the news carried on one message, in bytes.
+// piggybackBytes is the maximum size of the updates on one message, in bytes.
 const piggybackBytes = 400
 
-// queued is one piece of news to pass on; it is void once its record has a
-// newer token.
-type queued struct {
+// broadcast is one update to transmit; it is superseded once its record has a newer
+// token.
+type broadcast struct {
 	record *record
 	token  uint32
 }
 
-// broadcasts holds the news to pass on: first by weight, then those passed on
-// least often. Each message takes a bounded number of bytes from it.
+// broadcasts is the queue of updates to transmit: major ones first, and among
+// those the least often transmitted first. Each message takes a bounded number of
+// bytes from it.
 type broadcasts struct {
-	major, minor [][]queued // index: how often passed on
+	major, minor [][]broadcast // index: number of transmissions
 }
 
-// add queues the news in r, under the newest token of r.
-// Minor news, such as new metadata, give way to changes of state.
+// add queues the entry of r under the newest token of r. Minor updates, such as
+// new metadata, have lower priority than changes of state.
 func (b *broadcasts) add(r *record, minor bool) {
-	q := queued{r, r.token}
+	q := broadcast{r, r.token}
 	if minor {
 		b.minor = push(b.minor, 0, q)
 		return
@@ -31,7 +31,7 @@
 	b.major = push(b.major, 0, q)
 }
 
-func push(levels [][]queued, level int, q queued) [][]queued {
+func push(levels [][]broadcast, level int, q broadcast) [][]broadcast {
 	for len(levels) <= level {
 		levels = append(levels, nil)
 	}
@@ -39,8 +39,8 @@
 	return levels
 }
 
-// take returns news of at most budget bytes and counts them as passed on.
-// News passed on limit times are dropped.
+// take returns updates of at most budget bytes and counts their transmission.
+// Updates transmitted limit times are dropped.
 func (b *broadcasts) take(limit, budget int) []Entry {
 	var out []Entry
 	out, budget = takeFrom(&b.major, limit, budget, out)
@@ -48,8 +48,8 @@
 	return out
 }
 
-func takeFrom(levels *[][]queued, limit, budget int, out []Entry) ([]Entry, int) {
-	var again []queued
+func takeFrom(levels *[][]broadcast, limit, budget int, out []Entry) ([]Entry, int) {
+	var again []broadcast
 	var againLevel []int
 	full := false
 	for level := 0; level < len(*levels) && !full; level++ {
@@ -82,7 +82,7 @@
 	return out, budget
 }
 
-// piggyback returns the news to put on a message.
+// piggyback returns the updates to include in a message.
 func (c *Core) piggyback() []Entry {
-	return c.queue.take(spreadFactor*c.spreadRounds(), piggybackBytes)
+	return c.queue.take(retransmitFactor*c.disseminationRounds(), piggybackBytes)
 }
--- a/pkg/membership/core.go
+++ b/pkg/membership/core.go
@@ -1,14 +1,16 @@
-// Package membership decides which entry hosts exist and which of them answer.
+// Package membership tracks which entry hosts exist and which of them respond.
 //
 // It is a state machine without I/O: each method takes the time and an input,
 // and returns the messages to send and the events to report. It reads no
-// clock, opens no socket and draws randomness from the source handed in. A
-// Core belongs to one goroutine; a Snapshot is immutable and may be shared.
+// clock, opens no socket and takes randomness only from the source in Config. A
+// Core must be used on one goroutine only; a Snapshot is immutable and may be
+// shared.
 //
-// The protocol is a randomised failure detector with gossip: each host probes
-// one member per period, directly and then through others; news spread on the
-// probes; a suspect may refute; one peer at a time is compared in full. What
-// it yields is a guess that lags. Nothing that must hold may rest on it.
+// The protocol is a randomised failure detector with gossip, in the manner of
+// SWIM: each host probes one member per period, directly and then through other
+// members; updates are piggybacked on the probes; a suspect may refute; and an
+// anti-entropy sync compares the members with one peer at a time. The resulting
+// view is an estimate that lags. No safety property may depend on it.
 package membership
 
 import (
@@ -20,27 +22,28 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// Config holds what a Core needs to start. Zero durations and counts take
-// their defaults.
+// Config configures a Core. Zero durations and counts select the defaults.
 type Config struct {
-	// Address is where peers reach this host.
+	// Address is the address at which peers reach this host.
 	Address netip.AddrPort
-	// FailureDomain is where this host runs; at most MaxFailureDomainBytes.
+	// FailureDomain is the failure domain of this host; at most
+	// MaxFailureDomainBytes.
 	FailureDomain string
-	// Process identifies this process; draw it at random at each start.
+	// Process identifies this process; choose it at random at each start.
 	Process uint64
-	// Incarnation is where the order of news about this host starts. The start
-	// time in milliseconds serves well; a clock that went back is made good by
-	// the first peer that remembers.
+	// Incarnation is the initial incarnation of this host. The start time in
+	// milliseconds is suitable; if the clock was set back, the first peer that
+	// knows a later incarnation corrects it.
 	Incarnation uint64
 	// Period is the time between two probes. Default: DefaultPeriod.
 	Period time.Duration
 	// PauseThreshold is the gap between two inputs that counts as a pause.
 	// Default: two periods.
 	PauseThreshold time.Duration
-	// DeadRetention is how long a dead member is kept. Default: 600 periods.
+	// DeadRetention is how long a dead member is remembered. Default: 600 periods.
 	DeadRetention time.Duration
-	// MaxMembers bounds memory. Default: DefaultMaxMembers.
+	// MaxMembers is the maximum number of members, which bounds memory.
+	// Default: DefaultMaxMembers.
 	MaxMembers int
 	// Rand is the only source of randomness.
 	Rand *rand.Rand
@@ -52,22 +55,22 @@
 	DefaultPeriod = time.Second
 	// DefaultMaxMembers is the default of Config.MaxMembers.
 	DefaultMaxMembers = 16384
-	// TicksPerPeriod is how often Tick is to be called in one period.
+	// TicksPerPeriod is how often Tick must be called in one period.
 	TicksPerPeriod = 8
 
-	defaultPausePeriods  = 2
-	defaultForgetPeriods = 600
-	maxHealth            = 4   // highest count of signs that this host is slow
-	answersPerPeriod     = 512 // answers of any kind sent in one period
-	syncRepliesPerPeriod = 6
+	defaultPausePeriods         = 2
+	defaultDeadRetentionPeriods = 600
+	maxHealth                   = 4   // maximum of Core.health
+	maxResponsesPerPeriod       = 512 // maximum responses of any kind sent in one period
+	maxSyncRepliesPerPeriod     = 6   // maximum sync replies sent in one period
 )
 
-// Effects is what the caller is to do after an input. The slices belong to
-// the caller.
+// Effects lists what the caller must do after an input. The caller owns the
+// slices.
 type Effects struct {
-	// Send are messages to put on the wire.
+	// Send are the messages to send.
 	Send []Envelope
-	// Events are decisions to report; At and EntryHost are left to the caller.
+	// Events are the decisions to report; the caller sets At and EntryHost.
 	Events []event.Event
 }
 
@@ -75,47 +78,47 @@
 type record struct {
 	entry       Entry
 	hash        uint64
-	deadline    time.Duration // on Core.clock: suspect to dead, dead to forgotten
-	listLeaving bool          // the platform's list says that it is leaving
-	behind      bool          // its last message was older than entry
-	token       uint32        // names the newest broadcast of this record
+	deadline    time.Duration // on Core.clock: a suspect becomes dead, a dead member is removed
+	listLeaving bool          // the platform's list marks it as leaving
+	outdated    bool          // the entry in its last message was older than entry
+	token       uint32        // identifies the newest broadcast of this record
 }
 
-// Core is the state of membership on one host.
+// Core is the membership state of one host.
 type Core struct {
-	conf    Config
-	self    Entry
-	selfSum uint64 // address hash of self
-	stopped bool
-	noted   map[event.Code]uint64 // period of the last event that emitOnce let pass
+	conf        Config
+	self        Entry
+	selfHash    uint64 // address hash of self
+	stopped     bool
+	lastEmitted map[event.Code]uint64 // period of the last event that emitOnce emitted
 
-	// clock counts observed time: it stands still over a pause, so that no
-	// timer runs out because this process did not run.
+	// clock counts observed time: it does not advance during a pause, so that no
+	// timer expires because this process was not running.
 	clock      time.Duration
 	last       time.Time
 	nextPeriod time.Duration
 	periods    uint64
-	health     int // signs that this host itself is slow; 0 is healthy
+	health     int // count of signs that this host itself is slow; 0 is healthy
 
-	records map[netip.AddrPort]*record
-	order   []*record // by hash
-	timed   []*record // suspect or dead
-	queue   broadcasts
-	probe   probe
-	relays  []relay
-	turn    []*record // rest of this round of probes
-	urgent  []*record // to be probed before the round goes on
+	records  map[netip.AddrPort]*record
+	order    []*record // by hash
+	expiring []*record // suspect or dead
+	queue    broadcasts
+	probe    probe
+	relays   []relay
+	round    []*record // remaining members of the current probe round
+	urgent   []*record // members to probe before the round continues
 
 	sync  syncState
 	hosts hostState
-	awake wakeState
+	wake  wakeState
 
 	metadata metadataState
 
-	answers     int
+	responses   int
 	syncReplies int
 
-	changes           uint64 // changes of members, metadata aside
+	changes           uint64 // member changes, except those of metadata only
 	dirty, minorDirty bool
 	snapshot          *Snapshot
 	out               Effects
@@ -130,7 +133,7 @@
 		conf.PauseThreshold = defaultPausePeriods * conf.Period
 	}
 	if conf.DeadRetention <= 0 {
-		conf.DeadRetention = defaultForgetPeriods * conf.Period
+		conf.DeadRetention = defaultDeadRetentionPeriods * conf.Period
 	}
 	if conf.MaxMembers <= 0 {
 		conf.MaxMembers = DefaultMaxMembers
@@ -144,15 +147,16 @@
 			State:         Alive,
 			FailureDomain: conf.FailureDomain,
 		},
-		selfSum: addressHash(conf.Address),
-		last:    now,
-		noted:   make(map[event.Code]uint64),
-		records: make(map[netip.AddrPort]*record),
-		dirty:   true,
+		selfHash:    addressHash(conf.Address),
+		last:        now,
+		lastEmitted: make(map[event.Code]uint64),
+		records:     make(map[netip.AddrPort]*record),
+		dirty:       true,
 	}
 }
 
-// Tick does what is due. Call it TicksPerPeriod times a period.
+// Tick runs the work that is due. It must be called TicksPerPeriod times per
+// period.
 func (c *Core) Tick(now time.Time) Effects {
 	c.advance(now)
 	if c.stopped {
@@ -168,10 +172,10 @@
 	return c.effects()
 }
 
-// startPeriod does the work of once a period.
+// startPeriod runs the work that is due once per period.
 func (c *Core) startPeriod() {
 	c.periods++
-	c.answers = 0
+	c.responses = 0
 	c.syncReplies = 0
 	if c.minorDirty {
 		c.dirty = true
@@ -183,8 +187,8 @@
 	c.stepReconnect()
 }
 
-// advance moves the clock by the time observed since the last input. A gap
-// beyond the bound is a pause.
+// advance moves the clock by the time since the last input. A gap above
+// PauseThreshold is a pause.
 func (c *Core) advance(now time.Time) {
 	gap := now.Sub(c.last)
 	c.last = now
@@ -200,39 +204,40 @@
 	c.clock += min(gap, c.conf.Period/2)
 }
 
-// expire ends suspicions that ran out and forgets members long dead.
+// expire declares suspects dead whose timeout has elapsed, and removes dead
+// members after DeadRetention.
 func (c *Core) expire() {
-	if c.awake.waking {
+	if c.wake.waking {
 		return
 	}
-	kept := c.timed[:0]
-	for _, r := range c.timed {
+	kept := c.expiring[:0]
+	for _, r := range c.expiring {
 		due := r.deadline <= c.clock
 		switch {
 		case r.entry.State == Suspect && due:
-			c.judge(r, Dead)
+			c.declare(r, Dead)
 			kept = append(kept, r)
 		case r.entry.State == Dead && due:
-			c.forget(r)
+			c.removeMember(r)
 		case r.entry.State != Alive:
 			kept = append(kept, r)
 		}
 	}
-	clear(c.timed[len(kept):])
-	c.timed = kept
+	clear(c.expiring[len(kept):])
+	c.expiring = kept
 }
 
-// suspicionTimeout is how long a suspect may take to refute. It grows with
-// the logarithm of the fleet, as the spread of news does, and with the signs
-// that this host is slow.
+// suspicionTimeout is how long a suspect may take to refute. It grows with the
+// logarithm of the fleet size, as does the dissemination time of updates, and
+// with the signs that this host is slow.
 func (c *Core) suspicionTimeout() time.Duration {
-	return c.conf.Period * time.Duration(c.spreadRounds()*(1+c.health))
+	return c.conf.Period * time.Duration(c.disseminationRounds()*(1+c.health))
 }
 
-// spreadRounds is the number of periods in which news cross the fleet.
-func (c *Core) spreadRounds() int {
-	const least = 4
-	return max(least, bits.Len(uint(len(c.records)+1)))
+// disseminationRounds is the number of periods in which an update reaches the fleet.
+func (c *Core) disseminationRounds() int {
+	const minRounds = 4
+	return max(minRounds, bits.Len(uint(len(c.records)+1)))
 }
 
 func (c *Core) send(to netip.AddrPort, updates []Entry, body Body) {
@@ -247,12 +252,12 @@
 	})
 }
 
-// emitOnce emits at most one event of this code in a period.
+// emitOnce emits at most one event with this code per period.
 func (c *Core) emitOnce(code event.Code, about *Entry) {
-	if at, noted := c.noted[code]; noted && at == c.periods {
+	if at, noted := c.lastEmitted[code]; noted && at == c.periods {
 		return
 	}
-	c.noted[code] = c.periods
+	c.lastEmitted[code] = c.periods
 	c.emit(code, about)
 }
 
--- a/pkg/membership/entry.go
+++ b/pkg/membership/entry.go
@@ -7,16 +7,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what this host believes of a member.
+// State is the state of a member as seen by this host.
 type State uint8
 
-// States, in the order in which news of one incarnation replaces older news.
+// States. Within one incarnation a later one in this list replaces an earlier one.
 const (
-	// Alive means that nothing speaks against the member.
+	// Alive means that no failure of the member is known.
 	Alive State = iota + 1
-	// Suspect means that it did not answer and may still refute.
+	// Suspect means that it did not respond to a probe and may still refute.
 	Suspect
-	// Dead means that it did not refute in time, or said that it stopped.
+	// Dead means that it did not refute in time, or announced that it stopped.
 	Dead
 )
 
@@ -33,37 +33,38 @@
 	return "invalid"
 }
 
-// Bounds on one entry. The codec and the core refuse what exceeds them.
+// Limits of one entry. The codec and the core reject entries that exceed them.
 const (
-	// MaxMetadataBytes bounds Entry.Metadata.
+	// MaxMetadataBytes is the maximum length of Entry.Metadata.
 	MaxMetadataBytes = 64
-	// MaxFailureDomainBytes bounds Entry.FailureDomain.
+	// MaxFailureDomainBytes is the maximum length of Entry.FailureDomain.
 	MaxFailureDomainBytes = 32
-	// MaxIncarnation bounds Entry.Incarnation; it leaves room to refute.
+	// MaxIncarnation is the exclusive upper bound of Entry.Incarnation; it leaves
+	// higher values for refutations.
 	MaxIncarnation = 1 << 62
 )
 
-// Entry is one piece of news about one member. It is immutable once built;
-// Metadata is shared and must not be written to.
+// Entry is the state of one member at one incarnation. It is immutable once
+// built; Metadata is shared and must not be modified.
 type Entry struct {
-	// Address is where peers reach the member. It is the member's key.
+	// Address is the address at which peers reach the member, and its key.
 	Address netip.AddrPort
-	// Process identifies the process at Address, drawn at its start. It stays
-	// the same for the life of the process and is not ordered by time.
+	// Process identifies the process at Address. It is chosen at random at start,
+	// constant for the lifetime of the process and not ordered by time.
 	Process uint64
-	// Incarnation orders the news about Address. Only the member raises it.
+	// Incarnation orders the entries of Address. Only the member increases it.
 	Incarnation uint64
 	// State is alive, suspect or dead.
 	State State
-	// Leaving is set by the member itself when it is about to go.
+	// Leaving is set by the member itself when it is about to leave.
 	Leaving bool
-	// FailureDomain is where the member runs.
+	// FailureDomain is the failure domain of the member.
 	FailureDomain string
-	// Metadata is up to MaxMetadataBytes of the member's own choosing.
+	// Metadata is up to MaxMetadataBytes set by the member.
 	Metadata []byte
 }
 
-// Valid reports whether e is within its bounds.
+// Valid reports whether e is well-formed and within its limits.
 func (e *Entry) Valid() bool {
 	return e.Address.IsValid() &&
 		!e.Address.Addr().IsUnspecified() &&
@@ -76,7 +77,7 @@
 }
 
 // newerThan reports whether e replaces old, which has the same address. It is
-// a total order, so that all hosts that saw the same news agree.
+// a total order, so that all hosts that received the same updates agree.
 func (e *Entry) newerThan(old *Entry) bool {
 	if e.Incarnation != old.Incarnation {
 		return e.Incarnation > old.Incarnation
@@ -87,17 +88,17 @@
 	return e.State > old.State
 }
 
-// entryOverheadBytes bounds the encoded size of an entry without its domain
+// entryOverheadBytes is the maximum encoded size of an entry without its domain
 // and metadata: 20 address, 9 process, 11 incarnation, 4 state and leaving,
 // 4 headers of domain and metadata, 3 header of the entry.
 const entryOverheadBytes = 51
 
-// maxBytes bounds the encoded size of e.
+// maxBytes returns an upper bound of the encoded size of e.
 func (e *Entry) maxBytes() int {
 	return entryOverheadBytes + len(e.FailureDomain) + len(e.Metadata)
 }
 
-// addressHash places an address in the hash space that syncs walk over.
+// addressHash returns the position of an address in the hash space of syncs.
 func addressHash(a netip.AddrPort) uint64 {
 	var b [18]byte
 	ip := a.Addr().As16()
@@ -106,8 +107,8 @@
 	return xxhash.Sum64(b[:])
 }
 
-// digest condenses the news in e: the address in the upper half, the version
-// in the lower one.
+// digest returns a digest of e: the address hash in the upper half, a hash of
+// the version in the lower half.
 func (e *Entry) digest(hash uint64) uint64 {
 	var b [17]byte
 	binary.BigEndian.PutUint64(b[:], e.Process)
--- a/pkg/membership/example_test.go
+++ b/pkg/membership/example_test.go
@@ -9,7 +9,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/membership"
 )
 
-// A host hears of a second one by a ping, and answers it.
+// A host learns of a second one from a ping and sends an ack.
 func Example() {
 	now := time.Unix(0, 0)
 	core := membership.New(now, membership.Config{
--- a/pkg/membership/fleet_faults_test.go
+++ b/pkg/membership/fleet_faults_test.go
@@ -19,12 +19,12 @@
 	}{
 		{"join", func(*fleet) {}, 30},
 		{"kill", func(f *fleet) { f.hosts[3].up = false }, 30},
-		{"restart at once", func(f *fleet) { f.start(3); f.list(2, f.live()) }, 40},
+		{"restart at once", func(f *fleet) { f.start(3); f.setHostList(2, f.live()) }, 40},
 		{"kill, forget the list, restart", func(f *fleet) {
 			f.hosts[3].up = false
 			f.run(30)
 			f.start(3)
-			f.list(2, f.live())
+			f.setHostList(2, f.live())
 		}, 40},
 		{"pause", func(f *fleet) { f.hosts[3].paused = true; f.run(60); f.resume(3) }, 40},
 		{"short pause of half", func(f *fleet) {
@@ -38,7 +38,7 @@
 		}, 60},
 		{"split and heal", func(f *fleet) { split(f, 6); f.run(60); heal(f) }, 90},
 		{"stop", func(f *fleet) {
-			f.do(3, func(c *membership.Core) membership.Effects { return c.Stop(f.now) })
+			f.apply(3, func(c *membership.Core) membership.Effects { return c.Stop(f.now) })
 			f.run(1)
 			f.hosts[3].up = false
 		}, 10},
@@ -52,7 +52,7 @@
 			row.fault(f)
 			_, done := f.runUntil(row.bound, f.agreed)
 			is.True(done) // all agree within the bound
-			is.Equal(f.breaches(), 0)
+			is.Equal(f.violations(), 0)
 		})
 	}
 }
@@ -60,19 +60,19 @@
 func split(f *fleet, first int) {
 	for i, h := range f.hosts {
 		if i < first {
-			h.side = 1
+			h.partition = 1
 		}
 	}
 }
 
 func heal(f *fleet) {
 	for _, h := range f.hosts {
-		h.side = 0
+		h.partition = 0
 	}
 }
 
-// A list with dead hosts and without most live ones is enough to find all, if
-// it names one live host.
+// A list with dead hosts and without most live ones is sufficient to find all
+// members if it contains one live host.
 func TestJoinFromStaleList(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(13, 2)
@@ -83,7 +83,7 @@
 	f.hosts[5].up = false
 	f.run(40)
 	f.start(5)
-	f.list(3, []int{0, 8, 9, 10, 11, 12})
+	f.setHostList(3, []int{0, 8, 9, 10, 11, 12})
 	_, done := f.runUntil(40, f.agreed)
 	is.True(done)
 }
@@ -92,7 +92,7 @@
 	is := is.New(t)
 	f := newFleet(9, 3)
 	f.run(30)
-	f.do(4, func(c *membership.Core) membership.Effects { return c.Leave(f.now) })
+	f.apply(4, func(c *membership.Core) membership.Effects { return c.Leave(f.now) })
 	f.run(8)
 	for _, h := range f.hosts {
 		is.Equal(h.core.Snapshot().Find(address(4)).Status(), "leaving")
@@ -112,12 +112,12 @@
 	f.run(20)
 	set := func(revision uint64, leaving bool) {
 		list := []membership.ListedHost{{Address: address(2), Leaving: leaving}}
-		f.do(0, func(c *membership.Core) membership.Effects { return c.SetHosts(f.now, revision, list) })
+		f.apply(0, func(c *membership.Core) membership.Effects { return c.SetHosts(f.now, revision, list) })
 	}
 	set(9, true)
 	set(8, false)
 	is.True(!f.hosts[0].core.Snapshot().Find(address(2)).Usable())
-	is.True(f.hosts[1].core.Snapshot().Find(address(2)).Usable()) // another host's list does not say so
+	is.True(f.hosts[1].core.Snapshot().Find(address(2)).Usable()) // the other host has not received that list
 	set(10, false)
 	is.True(f.hosts[0].core.Snapshot().Find(address(2)).Usable())
 }
@@ -134,31 +134,32 @@
 	}
 }
 
-// A host that wakes judges nobody before a peer has answered.
+// A host that resumes from a pause suspects nobody before a peer has replied.
 func TestWakingHostLearnsFirst(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(9, 6)
 	f.run(30)
 	f.hosts[0].paused = true
 	f.run(30)
-	f.hosts[0].side = 1 // awake, but nobody reaches it
+	f.hosts[0].partition = 1 // resumed, but unreachable
 	f.resume(0)
-	var judged []string
+	var suspicions []string
 	f.onEvent = func(at int, e event.Event) {
 		if at == 0 && (e.Code == event.MemberSuspected || e.Code == event.MemberDead) {
-			judged = append(judged, fmt.Sprint(e.Code, e.Detail))
+			suspicions = append(suspicions, fmt.Sprint(e.Code, e.Detail))
 		}
 	}
 	f.run(8)
 	is.True(f.hosts[0].core.Snapshot().Waking)
-	is.Equal(len(judged), 0)
+	is.Equal(len(suspicions), 0)
 	heal(f)
 	_, done := f.runUntil(30, f.agreed)
 	is.True(done)
-	is.Equal(f.breaches(), 0)
+	is.Equal(f.violations(), 0)
 }
 
-// Every datagram of a life is sent again to a fleet that has moved on.
+// Datagrams sent over 200 periods are replayed to a fleet whose state has
+// advanced since.
 func TestReplayedDatagramsChangeNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(9, 7)
@@ -170,7 +171,7 @@
 		old = append(old, f.queue...)
 	}
 	f.start(4)
-	f.list(2, f.live())
+	f.setHostList(2, f.live())
 	f.run(40)
 	is.Equal(f.disagreement(), "")
 	for _, d := range old {
@@ -179,7 +180,7 @@
 	is.Equal(f.disagreement(), "")
 	f.run(10)
 	is.Equal(f.disagreement(), "")
-	is.Equal(f.breaches(), 0)
+	is.Equal(f.violations(), 0)
 }
 
 func TestDeadMembersAreForgotten(t *testing.T) {
@@ -205,7 +206,7 @@
 	is.Equal(len(c.Snapshot().Members), 2)
 }
 
-// deaths counts how often a host took one of the given hosts for dead.
+// deaths counts how often a host considered one of the given hosts dead.
 func deaths(f *fleet, of func(at, member int) bool) *int {
 	n := 0
 	f.onEvent = func(at int, e event.Event) {
@@ -218,8 +219,8 @@
 	return &n
 }
 
-// When a split heals, no side takes its own members for dead on the word of
-// the other.
+// When a partition heals, no side considers its own members dead because the
+// other side claims so.
 func TestHealingBringsNoFalseDeaths(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(13, 10)
@@ -233,12 +234,12 @@
 	is.Equal(*wrong, 0)
 }
 
-// Two hosts that cannot reach each other reach one another through others.
+// Two hosts that cannot reach each other directly do so through indirect probes.
 func TestCutLinkIsNoDeath(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(9, 11)
 	f.run(30)
-	f.cut = func(from, to int) bool { return from+to == 1 }
+	f.linkDown = func(from, to int) bool { return from+to == 1 }
 	suspected := 0
 	f.onEvent = func(_ int, e event.Event) {
 		if e.Code == event.MemberSuspected {
@@ -250,7 +251,7 @@
 	is.Equal(f.disagreement(), "")
 }
 
-// News that are no longer passed on still reach a host through comparisons.
+// Updates that are no longer gossiped still reach a host through syncs.
 func TestComparisonFindsWhatGossipMissed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2, 12)
@@ -261,13 +262,13 @@
 			Address: address(i), Process: 1, Incarnation: 1, State: membership.Alive,
 		})
 	}
-	f.do(0, func(c *membership.Core) membership.Effects { return c.Receive(f.now, push) })
+	f.apply(0, func(c *membership.Core) membership.Effects { return c.Receive(f.now, push) })
 	f.run(15)
 	is.True(len(f.hosts[1].core.Snapshot().Members) >= 50)
 }
 
-// Two processes that happen to start with one incarnation are told apart, in
-// whatever order the news arrive.
+// Two processes that happen to start with the same incarnation are distinguished
+// in whatever order the updates arrive.
 func TestProcessesOfOneIncarnationAreOrdered(t *testing.T) {
 	is := is.New(t)
 	entry := func(process uint64, s membership.State) membership.Entry {
@@ -277,7 +278,7 @@
 	old, restarted := entry(1, membership.Suspect), entry(2, membership.Alive)
 	for _, updates := range [][]membership.Entry{{old, restarted}, {restarted, old}} {
 		f := newFleet(1, 13)
-		f.do(0, func(c *membership.Core) membership.Effects {
+		f.apply(0, func(c *membership.Core) membership.Effects {
 			return c.Receive(f.now, &membership.Message{From: from, Updates: updates, Body: membership.Ping{}})
 		})
 		got := f.hosts[0].core.Snapshot().Find(address(1))
@@ -286,7 +287,7 @@
 	}
 }
 
-// Acks that nobody asked for do not keep a killed host alive.
+// Unsolicited acks do not keep a killed host alive.
 func TestUnaskedAcksAreNoSignOfLife(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4, 14)
@@ -296,7 +297,7 @@
 	for range 30 {
 		for i := range 3 {
 			ack := &membership.Message{From: killed, Body: membership.Ack{Sequence: f.rand.Uint64()}}
-			f.do(i, func(c *membership.Core) membership.Effects { return c.Receive(f.now, ack) })
+			f.apply(i, func(c *membership.Core) membership.Effects { return c.Receive(f.now, ack) })
 		}
 		f.run(1)
 	}
--- a/pkg/membership/fleet_test.go
+++ b/pkg/membership/fleet_test.go
@@ -18,18 +18,18 @@
 	domains = 4
 )
 
-// host is one real core and what the network does to it.
+// host is one real core with its simulated network and process state.
 type host struct {
-	core    *membership.Core
-	address netip.AddrPort
-	process uint64
-	up      bool
-	paused  bool
-	side    int // hosts on different sides cannot reach each other
-	waiting []delivery
+	core      *membership.Core
+	address   netip.AddrPort
+	process   uint64
+	up        bool
+	paused    bool
+	partition int // hosts in different partitions cannot reach each other
+	buffered  []delivery
 }
 
-// delivery is a datagram under way.
+// delivery is a datagram in transit.
 type delivery struct {
 	at       time.Time
 	order    uint64
@@ -54,7 +54,8 @@
 	return last
 }
 
-// fleet is a seeded message queue around real cores, under virtual time.
+// fleet simulates a network of real cores with a seeded message queue in virtual
+// time.
 type fleet struct {
 	rand      *rand.Rand
 	now       time.Time
@@ -68,7 +69,7 @@
 	messages  int64
 	events    map[event.Code]int
 	onEvent   func(at int, e event.Event)
-	cut       func(from, to int) bool // links that are down, beyond sides
+	linkDown  func(from, to int) bool // links that are down, besides partitions
 	err       error
 }
 
@@ -86,7 +87,7 @@
 		f.hosts = append(f.hosts, &host{address: address(i)})
 		f.start(i)
 	}
-	f.list(0, f.live())
+	f.setHostList(0, f.live())
 	return f
 }
 
@@ -96,11 +97,11 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), 7000)
 }
 
-// start runs a new process at the address of host i. Its clock may be off.
+// start runs a new process at the address of host i, with a random clock skew.
 func (f *fleet) start(i int) {
 	h := f.hosts[i]
 	h.process = f.rand.Uint64()
-	h.up, h.paused, h.waiting = true, false, nil
+	h.up, h.paused, h.buffered = true, false, nil
 	skew := f.rand.Int64N(7200_000) - 3600_000
 	h.core = membership.New(f.now, membership.Config{
 		Address:       h.address,
@@ -111,14 +112,14 @@
 	})
 }
 
-// list hands a host list to the hosts that run.
-func (f *fleet) list(revision uint64, members []int) {
+// setHostList passes a host list to the running hosts.
+func (f *fleet) setHostList(revision uint64, members []int) {
 	var l []membership.ListedHost
 	for _, i := range members {
 		l = append(l, membership.ListedHost{Address: f.hosts[i].address})
 	}
 	for i := range f.hosts {
-		f.do(i, func(c *membership.Core) membership.Effects { return c.SetHosts(f.now, revision, l) })
+		f.apply(i, func(c *membership.Core) membership.Effects { return c.SetHosts(f.now, revision, l) })
 	}
 }
 
@@ -132,8 +133,8 @@
 	return out
 }
 
-// do gives an input to host i, if it runs, and sends what comes of it.
-func (f *fleet) do(i int, input func(*membership.Core) membership.Effects) {
+// apply passes an input to host i, if it is running, and carries out the effects.
+func (f *fleet) apply(i int, input func(*membership.Core) membership.Effects) {
 	h := f.hosts[i]
 	if !h.up || h.paused {
 		return
@@ -146,11 +147,11 @@
 		}
 	}
 	for _, s := range effects.Send {
-		f.post(i, s)
+		f.send(i, s)
 	}
 }
 
-func (f *fleet) post(from int, s membership.Envelope) {
+func (f *fleet) send(from int, s membership.Envelope) {
 	datagram, err := f.codec.Encode(s.To, s.Message)
 	if err != nil {
 		f.err = err
@@ -179,11 +180,11 @@
 
 func (f *fleet) deliver(d delivery) {
 	to := f.hosts[d.to]
-	if !to.up || f.hosts[d.from].side != to.side || f.cut != nil && f.cut(d.from, d.to) {
+	if !to.up || f.hosts[d.from].partition != to.partition || f.linkDown != nil && f.linkDown(d.from, d.to) {
 		return
 	}
 	if to.paused {
-		to.waiting = append(to.waiting, d)
+		to.buffered = append(to.buffered, d)
 		return
 	}
 	m, err := f.codec.Decode(to.address, d.datagram)
@@ -191,22 +192,22 @@
 		f.err = err
 		return
 	}
-	f.do(d.to, func(c *membership.Core) membership.Effects { return c.Receive(f.now, m) })
+	f.apply(d.to, func(c *membership.Core) membership.Effects { return c.Receive(f.now, m) })
 }
 
-// resume wakes a paused host; its socket has kept what came first.
+// resume resumes a paused host; its socket has buffered the first datagrams.
 func (f *fleet) resume(i int) {
 	const socketBuffer = 200
 	h := f.hosts[i]
 	h.paused = false
-	kept := h.waiting[:min(len(h.waiting), socketBuffer)]
-	h.waiting = nil
+	kept := h.buffered[:min(len(h.buffered), socketBuffer)]
+	h.buffered = nil
 	for _, d := range kept {
 		f.deliver(d)
 	}
 }
 
-// run lets n periods pass.
+// run advances the virtual time by n periods.
 func (f *fleet) run(n int) {
 	for range n * membership.TicksPerPeriod {
 		end := f.now.Add(tick)
@@ -217,13 +218,13 @@
 		}
 		f.now = end
 		for i := range f.hosts {
-			f.do(i, func(c *membership.Core) membership.Effects { return c.Tick(f.now) })
+			f.apply(i, func(c *membership.Core) membership.Effects { return c.Tick(f.now) })
 		}
 	}
 }
 
-// runUntil lets periods pass until done, at most bound; it returns how many,
-// and whether it was done.
+// runUntil runs until done returns true, for at most bound periods; it returns
+// the number of periods and the final result of done.
 func (f *fleet) runUntil(bound int, done func() bool) (int, bool) {
 	for n := range bound {
 		if done() {
@@ -234,7 +235,7 @@
 	return bound, done()
 }
 
-// disagreement names a pair of hosts whose views are wrong, or "".
+// disagreement describes a host whose view is wrong, or returns "".
 func (f *fleet) disagreement() string {
 	for _, h := range f.hosts {
 		if !h.up || h.paused {
@@ -257,8 +258,8 @@
 
 func (f *fleet) agreed() bool { return f.disagreement() == "" }
 
-// breaches counts broken invariants and broken datagrams.
-func (f *fleet) breaches() int {
+// violations counts violated invariants and codec errors.
+func (f *fleet) violations() int {
 	n := 0
 	for code := event.InvariantIncarnationBack; code <= event.InvariantWakingJudged; code++ {
 		n += f.events[code]
--- a/pkg/membership/hosts.go
+++ b/pkg/membership/hosts.go
@@ -9,35 +9,36 @@
 )
 
 const (
-	joinContacts   = 3  // hosts asked in a period while joining or waking
-	joinPeriods    = 10 // periods after which a host that nobody answers starts alone
-	joinPerPeriod  = 4  // tries in a period while joining: a fleet that starts has some hosts late
-	reconnectEvery = 3  // periods between two tries to reach a host held for dead
-	settlePeriods  = 30 // periods after the start in which such a try is made each time
+	joinContacts      = 3  // hosts contacted per attempt while joining, or per period while waking
+	joinPeriods       = 10 // periods without a reply after which a host starts alone
+	joinPerPeriod     = 4  // join attempts per period: in a fleet that starts, some hosts are late
+	reconnectInterval = 3  // periods between two attempts to reach a host considered dead
+	settlePeriods     = 30 // periods after the start in which an attempt is made every period
 )
 
 // ListedHost is one entry of the platform's lagging host list.
 type ListedHost struct {
-	// Address is where peers reach the host.
+	// Address is the address at which peers reach the host.
 	Address netip.AddrPort
 	// Leaving is true when the platform is about to remove the host.
 	Leaving bool
 }
 
-// hostState is what the platform's list said last.
+// hostState is the state of the platform's host list and of joining.
 type hostState struct {
 	read     bool
 	revision uint64
 	listed   map[netip.AddrPort]bool // leaving, by address
 	others   []netip.AddrPort        // without this host, sorted
-	selfLive bool                    // a list has shown this host as live
+	selfLive bool                    // some list has shown this host as live
 	joined   bool
-	tries    int
+	attempts int
 	nextTry  time.Duration // on Core.clock
 }
 
-// SetHosts takes in the platform's host list. An older list than the last one
-// is ignored. The list makes no member: it only names addresses to ask.
+// SetHosts applies the platform's host list. A list that is older than the last
+// one is ignored. The list adds no members: it only provides addresses to
+// contact.
 func (c *Core) SetHosts(now time.Time, revision uint64, hosts []ListedHost) Effects {
 	c.advance(now)
 	if c.stopped || c.hosts.read && revision < c.hosts.revision {
@@ -62,14 +63,14 @@
 	}
 	c.mergeLeaving()
 	if len(c.hosts.others) == 0 {
-		c.joined()
+		c.markJoined()
 	}
 	return c.effects()
 }
 
 // mergeLeaving marks the members that the list shows as leaving. This host
-// takes the mark for itself only when an earlier list showed it as live: the
-// first list may still speak of the process before.
+// applies the mark to itself only when an earlier list showed it as live: the
+// first list may still refer to the previous process.
 func (c *Core) mergeLeaving() {
 	for _, r := range c.order {
 		leaving := c.hosts.listed[r.entry.Address]
@@ -87,9 +88,9 @@
 	}
 }
 
-// stepJoin asks a few listed hosts for their members until one answers. A fleet
-// that starts together may have few listed hosts, which answer a few in a period;
-// so a host that it has heard of is asked too.
+// stepJoin requests syncs from a few listed hosts until one replies. When a whole
+// fleet starts together, few hosts may be listed, and each sends a limited number
+// of sync replies per period; so one known member is contacted as well.
 func (c *Core) stepJoin() {
 	if c.hosts.joined || !c.hosts.read {
 		return
@@ -98,25 +99,25 @@
 		return
 	}
 	c.hosts.nextTry = c.clock + c.conf.Period/joinPerPeriod
-	c.hosts.tries++
-	if c.hosts.tries > joinPeriods*joinPerPeriod {
-		c.joined()
+	c.hosts.attempts++
+	if c.hosts.attempts > joinPeriods*joinPerPeriod {
+		c.markJoined()
 		return
 	}
-	c.askListed(joinContacts)
+	c.syncWithListed(joinContacts)
 	for _, r := range c.sample(1, func(r *record) bool { return r.entry.State == Alive }) {
 		c.requestSync(r.entry.Address)
 	}
 }
 
-// askListed compares with up to n listed hosts, drawn at random.
-func (c *Core) askListed(n int) {
+// syncWithListed requests syncs from up to n listed hosts, chosen at random.
+func (c *Core) syncWithListed(n int) {
 	for _, i := range c.pick(len(c.hosts.others), n) {
 		c.requestSync(c.hosts.others[i])
 	}
 }
 
-// pick draws up to k of n indexes.
+// pick returns up to k of n indexes at random.
 func (c *Core) pick(n, k int) []int {
 	if n <= k {
 		return c.conf.Rand.Perm(n)
@@ -130,8 +131,8 @@
 	return out
 }
 
-// joined notes that this host has learnt from a peer, or found none.
-func (c *Core) joined() {
+// markJoined records that this host has synced with a peer, or found none.
+func (c *Core) markJoined() {
 	if c.hosts.joined {
 		return
 	}
@@ -140,21 +141,21 @@
 	c.out.Events = append(c.out.Events, event.Event{Code: event.MemberSelfJoined, Value: int64(len(c.records))})
 }
 
-// stepReconnect tries now and then to reach a host that is dead or was never
-// heard of, so that a split that healed finds itself again.
+// stepReconnect periodically attempts to reach a host that is dead or was never
+// known, so that the two sides of a healed partition find each other again.
 func (c *Core) stepReconnect() {
 	settling := c.periods < settlePeriods
-	if c.periods%reconnectEvery != 0 && !settling || !c.awakeAndJoined() {
+	if c.periods%reconnectInterval != 0 && !settling || !c.active() {
 		return
 	}
-	if c.periods%(2*reconnectEvery) == 0 || settling {
+	if c.periods%(2*reconnectInterval) == 0 || settling {
 		for _, i := range c.pick(len(c.hosts.others), 1) {
 			c.reconnect(c.hosts.others[i])
 		}
 		return
 	}
-	for _, i := range c.pick(len(c.timed), 1) {
-		c.reconnect(c.timed[i].entry.Address)
+	for _, i := range c.pick(len(c.expiring), 1) {
+		c.reconnect(c.expiring[i].entry.Address)
 	}
 }
 
--- a/pkg/membership/lifecycle.go
+++ b/pkg/membership/lifecycle.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	wakePeriods      = 10 // periods after which a host that nobody answers acts alone
-	metadataPeriods  = 5  // least periods between two news of own metadata
-	farewellContacts = 8  // members told at once that this host leaves
+	wakePeriods     = 10 // periods without a reply after which a waking host resumes on its own
+	metadataPeriods = 5  // minimum periods between two updates of this host's metadata
+	leaveFanOut     = 8  // members notified immediately that this host leaves
 )
 
-// ErrMetadataTooLong is returned for metadata over MaxMetadataBytes.
+// ErrMetadataTooLong is returned for metadata longer than MaxMetadataBytes.
 var ErrMetadataTooLong = errors.New("metadata is longer than 64 bytes")
 
-// wakeState is the state after a pause.
+// wakeState is the state of recovering from a pause.
 type wakeState struct {
-	waking bool
-	tries  int
+	waking   bool
+	attempts int
 }
 
-// metadataState holds the metadata that this host wants to publish.
+// metadataState holds the metadata that is waiting to be published.
 type metadataState struct {
 	wanted []byte
-	at     uint64 // period from which it may be published
+	at     uint64 // earliest period in which it may be published
 }
 
-// Wake tells the core of a pause that the clock handed in did not show.
+// Wake notifies the core of a pause that the time passed to its methods did not
+// show.
 func (c *Core) Wake(now time.Time, pause time.Duration) Effects {
 	c.advance(now)
 	if !c.stopped {
@@ -38,58 +39,59 @@
 	return c.effects()
 }
 
-// startWaking stops all judging until a peer has told what went on meanwhile.
+// startWaking suspends failure detection until a sync with a peer has brought
+// this host up to date.
 func (c *Core) startWaking(pause time.Duration) {
 	c.probe = probe{}
 	c.relays = nil
 	c.sync.outstanding = nil
-	c.awake.tries = 0
-	if c.awake.waking {
+	c.wake.attempts = 0
+	if c.wake.waking {
 		return
 	}
-	c.awake.waking = true
+	c.wake.waking = true
 	c.dirty = true
 	c.out.Events = append(c.out.Events, event.Event{Code: event.MemberSelfWaking, Value: pause.Milliseconds()})
 }
 
-// stepWake asks a few peers for what went on during the pause.
+// stepWake requests syncs from a few peers for the changes during the pause.
 func (c *Core) stepWake() {
-	if !c.awake.waking {
+	if !c.wake.waking {
 		return
 	}
-	c.awake.tries++
+	c.wake.attempts++
 	alone := len(c.records) == 0 && len(c.hosts.others) == 0
-	if alone || c.awake.tries > wakePeriods {
-		c.awoken()
+	if alone || c.wake.attempts > wakePeriods {
+		c.finishWaking()
 		return
 	}
 	for _, r := range c.sample(joinContacts, func(r *record) bool { return r.entry.State != Dead }) {
 		c.requestSync(r.entry.Address)
 	}
-	c.askListed(1)
+	c.syncWithListed(1)
 }
 
-// awoken lets this host act again. Suspicions start anew: their time ran
-// while this host could not hear a refutation.
-func (c *Core) awoken() {
-	if !c.awake.waking {
+// finishWaking resumes failure detection. Suspicion timeouts are restarted: they ran
+// while this host could not receive a refutation.
+func (c *Core) finishWaking() {
+	if !c.wake.waking {
 		return
 	}
-	c.awake.waking = false
-	for _, r := range c.timed {
+	c.wake.waking = false
+	for _, r := range c.expiring {
 		if r.entry.State == Suspect {
 			r.deadline = c.clock + c.suspicionTimeout()
 		}
 	}
-	c.raise(c.self.Incarnation + 1)
+	c.raiseIncarnation(c.self.Incarnation + 1)
 	c.emit(event.MemberSelfAwake, &c.self)
 }
 
-func (c *Core) awakeAndJoined() bool { return c.hosts.joined && !c.awake.waking }
+func (c *Core) active() bool { return c.hosts.joined && !c.wake.waking }
 
-// SetMetadata sets up to MaxMetadataBytes that travel with this host's entry.
-// It is published at most every few periods; the newest value wins. It fails
-// only with ErrMetadataTooLong.
+// SetMetadata sets up to MaxMetadataBytes of metadata in this host's entry. It
+// is published at most every few periods; the newest value wins. The only error
+// is ErrMetadataTooLong.
 func (c *Core) SetMetadata(metadata []byte) error {
 	if len(metadata) > MaxMetadataBytes {
 		return ErrMetadataTooLong
@@ -104,10 +106,11 @@
 	}
 	c.metadata.at = c.periods + metadataPeriods
 	c.self.Metadata = c.metadata.wanted
-	c.raise(c.self.Incarnation + 1)
+	c.raiseIncarnation(c.self.Incarnation + 1)
 }
 
-// Leave tells the peers that this host is about to go. It goes on taking part.
+// Leave announces to the peers that this host is about to leave. The host keeps
+// participating.
 func (c *Core) Leave(now time.Time) Effects {
 	c.advance(now)
 	if !c.stopped {
@@ -121,28 +124,29 @@
 		return
 	}
 	c.self.Leaving = true
-	c.raise(c.self.Incarnation + 1)
+	c.raiseIncarnation(c.self.Incarnation + 1)
 	c.emit(event.MemberSelfLeaving, &c.self)
-	c.tell()
+	c.announceSelf()
 }
 
-// Stop tells the peers that this host is gone. The core does nothing more.
+// Stop announces to the peers that this host has left. The core is inactive from
+// then on.
 func (c *Core) Stop(now time.Time) Effects {
 	c.advance(now)
 	if c.stopped {
 		return c.effects()
 	}
 	c.self.Leaving = true
-	c.raise(c.self.Incarnation + 1)
+	c.raiseIncarnation(c.self.Incarnation + 1)
 	c.self.State = Dead
 	c.stopped = true
-	c.tell()
+	c.announceSelf()
 	return c.effects()
 }
 
-// tell sends this host's own news to several members at once.
-func (c *Core) tell() {
-	for _, r := range c.sample(farewellContacts, func(r *record) bool { return r.entry.State == Alive }) {
+// announceSelf sends this host's own entry to several members immediately.
+func (c *Core) announceSelf() {
+	for _, r := range c.sample(leaveFanOut, func(r *record) bool { return r.entry.State == Alive }) {
 		c.send(r.entry.Address, c.piggyback(), SyncPush{})
 	}
 }
--- a/pkg/membership/machine_test.go
+++ b/pkg/membership/machine_test.go
@@ -14,40 +14,42 @@
 // hostsInMachine is the size of the fleet under random faults.
 const hostsInMachine = 9
 
-// agreeBound is how many periods after the last fault all must agree.
+// agreeBound is the number of periods after the last fault within which all
+// hosts must agree.
 const agreeBound = 150
 
-// machine applies random faults, any number at once, to a fleet.
+// machine applies random faults, also several at once, to a fleet. rapid orders
+// its actions by method name, so a renamed method changes the drawn sequences.
 type machine struct {
 	*fleet
 	revision uint64
-	counts   map[string]int // steps of each kind, over all fleets
+	counts   map[string]int // number of steps by kind, over all fleets
 }
 
-func (m *machine) any(t *rapid.T) int {
+func (m *machine) anyHost(t *rapid.T) int {
 	return rapid.IntRange(0, hostsInMachine-1).Draw(t, "host")
 }
 
 func (m *machine) Kill(t *rapid.T) {
 	m.counts["kill"]++
-	m.hosts[m.any(t)].up = false
+	m.hosts[m.anyHost(t)].up = false
 }
 
 func (m *machine) Restart(t *rapid.T) {
 	m.counts["restart"]++
-	i := m.any(t)
+	i := m.anyHost(t)
 	m.start(i)
 	m.StaleList(t)
 }
 
 func (m *machine) Pause(t *rapid.T) {
 	m.counts["pause"]++
-	m.hosts[m.any(t)].paused = true
+	m.hosts[m.anyHost(t)].paused = true
 }
 
 func (m *machine) Resume(t *rapid.T) {
 	m.counts["resume"]++
-	if i := m.any(t); m.hosts[i].paused {
+	if i := m.anyHost(t); m.hosts[i].paused {
 		m.resume(i)
 	}
 }
@@ -71,22 +73,22 @@
 	}).Draw(t, "delay")
 }
 
-// StaleList hands out a list that names some hosts, dead or alive.
+// StaleList publishes a list of arbitrary hosts, dead or alive.
 func (m *machine) StaleList(t *rapid.T) {
 	m.counts["stalelist"]++
 	m.revision++
-	m.list(m.revision, rapid.SliceOfDistinct(
+	m.setHostList(m.revision, rapid.SliceOfDistinct(
 		rapid.IntRange(0, hostsInMachine-1), rapid.ID[int]).Draw(t, "listed"))
 }
 
 func (m *machine) Metadata(t *rapid.T) {
 	m.counts["metadata"]++
-	if h := m.hosts[m.any(t)]; h.up && !h.paused {
+	if h := m.hosts[m.anyHost(t)]; h.up && !h.paused {
 		_ = h.core.SetMetadata([]byte{byte(m.revision)})
 	}
 }
 
-// Run lets time pass; it is listed more than once to come up more often.
+// Run advances the time. Run2 and Run3 make rapid choose it more often.
 func (m *machine) Run(t *rapid.T) {
 	m.counts["run"]++
 	m.run(rapid.IntRange(1, 40).Draw(t, "periods"))
@@ -94,20 +96,20 @@
 func (m *machine) Run2(t *rapid.T) { m.Run(t) }
 func (m *machine) Run3(t *rapid.T) { m.Run(t) }
 
-// Check holds after every step.
+// Check verifies the invariants; rapid calls it after every step.
 func (m *machine) Check(t *rapid.T) {
-	if m.breaches() > 0 {
-		t.Fatalf("invariant broken: %v %v", m.events, m.err)
+	if m.violations() > 0 {
+		t.Fatalf("invariant violated: %v %v", m.events, m.err)
 	}
 	for _, h := range m.hosts {
 		s := h.core.Snapshot()
 		if s.Self.Process != h.process || s.Self.State != membership.Alive {
-			t.Fatalf("%v holds foreign news about itself", h.address)
+			t.Fatalf("%v adopted another host's entry about itself", h.address)
 		}
 	}
 }
 
-// settle ends all faults and returns the periods until all agree.
+// settle ends all faults and returns the number of periods until all hosts agree.
 func (m *machine) settle(t *rapid.T) int {
 	heal(m.fleet)
 	m.loss, m.dup, m.maxDelay = 0, 0, 6*time.Millisecond
@@ -116,17 +118,17 @@
 			m.resume(i)
 		}
 	}
-	m.list(m.revision+1, m.live())
+	m.setHostList(m.revision+1, m.live())
 	n, done := m.runUntil(agreeBound, m.agreed)
 	if !done {
-		t.Fatalf("no agreement: %s", m.disagreement())
+		t.Fatalf("no agreement after %d periods: %s", agreeBound, m.disagreement())
 	}
 	m.Check(t)
 	return n
 }
 
-// TestMain fixes the seed unless one is given, by flag or RAPID_SEED. The
-// number of runs is RAPID_CHECKS.
+// TestMain fixes the seed unless one is set by flag or RAPID_SEED. RAPID_CHECKS
+// sets the number of runs.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/pkg/membership/measure_test.go
+++ b/pkg/membership/measure_test.go
@@ -12,7 +12,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/membership"
 )
 
-// fullFleet returns a fleet in which all know all, without the cost of joining.
+// fullFleet returns a fleet in which every host knows every other, without the
+// cost of joining.
 func fullFleet(n int, seed uint64) *fleet {
 	f := newFleet(n, seed)
 	var all []membership.Entry
@@ -21,7 +22,7 @@
 	}
 	for i := range f.hosts {
 		push := &membership.Message{From: all[(i+1)%n], Updates: all, Body: membership.SyncPush{}}
-		f.do(i, func(c *membership.Core) membership.Effects { return c.Receive(f.now, push) })
+		f.apply(i, func(c *membership.Core) membership.Effects { return c.Receive(f.now, push) })
 	}
 	return f
 }
@@ -39,9 +40,9 @@
 	return s.HeapAlloc
 }
 
-// BenchmarkCost measures bytes sent, CPU and memory of one host against the
-// number of hosts. CPU includes the codec and the test's queue, and leaves out
-// the socket. In busy fleets every host has new metadata every 6 seconds.
+// BenchmarkCost measures bytes sent, CPU and memory per host by the number of
+// hosts. CPU includes the codec and the test's queue but not the socket. In busy
+// fleets every host has new metadata every 6 seconds.
 func BenchmarkCost(b *testing.B) {
 	for _, busy := range []bool{false, true} {
 		for _, n := range []int{8, 16, 64, 256, 1024, 4096} {
@@ -76,13 +77,13 @@
 	b.ReportMetric(float64((cpuTime()-start).Microseconds())/hostSeconds, "cpu-µs/s")
 	b.ReportMetric(perMember, "B/member")
 	b.ReportMetric(0, "ns/op")
-	if f.breaches() > 0 {
-		b.Fatal("invariant broken")
+	if f.violations() > 0 {
+		b.Fatal("invariant violated")
 	}
 }
 
-// BenchmarkDetection measures, in seconds, how long after a kill the first
-// and the last host take the killed one for dead.
+// BenchmarkDetection measures, in seconds, how long after a kill the first and
+// the last host consider the killed one dead.
 func BenchmarkDetection(b *testing.B) {
 	for _, n := range []int{13, 18, 128} {
 		for _, loss := range []float64{0, 0.05, 0.2} {
@@ -114,7 +115,7 @@
 		}
 		f.runUntil(200, func() bool { return len(times) == n-1 })
 		if len(times) < n-1 {
-			b.Fatalf("only %d of %d hosts noticed", len(times), n-1)
+			b.Fatalf("only %d of %d hosts detected the death", len(times), n-1)
 		}
 		first = append(first, slices.Min(times))
 		last = append(last, slices.Max(times))
@@ -128,10 +129,10 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkFalse counts, per host and hour, wrong judgements of hosts that
-// run: how often all hosts together came to suspect one or to take one for
-// dead. With pauses, one random host is paused for that long every minute;
-// judgements of that host are counted apart.
+// BenchmarkFalse counts, per host and hour, false positives about running hosts:
+// how often all hosts together suspected one or considered one dead. With
+// pauses, one random host is paused for that long every minute; false positives
+// about that host are counted separately.
 func BenchmarkFalse(b *testing.B) {
 	rows := []struct {
 		loss  float64
@@ -177,9 +178,9 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkJoinAndHeal measures, in seconds, how long a fresh fleet takes to
-// know itself from a full list, and a fleet split in halves for two minutes
-// to agree again.
+// BenchmarkJoinAndHeal measures, in seconds, how long a new fleet with a complete
+// host list takes until all hosts agree, and how long a fleet that was
+// partitioned into halves for two minutes takes to agree again.
 func BenchmarkJoinAndHeal(b *testing.B) {
 	for _, n := range []int{18, 128, 512} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
--- a/pkg/membership/probe.go
+++ b/pkg/membership/probe.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	indirectProbes = 3  // helpers asked when a probe gets no answer
-	helperSample   = 12 // members looked at to find helpers
-	maxRelays      = 64 // pings made for others that wait for an answer
-	maxUrgent      = 16 // members to be probed out of turn
-	// retryShare is the part of a period, in percent, after which a probe that
-	// has no answer is repeated, directly and through helpers.
+	indirectProbes = 3  // helpers used when a probe gets no ack
+	helperSample   = 12 // members sampled to choose helpers from
+	maxRelays      = 64 // pending pings on behalf of other hosts
+	maxUrgent      = 16 // members to probe ahead of the round
+	// retryShare is the percentage of a period after which a probe without an
+	// ack is repeated, directly and through helpers.
 	retryShare   = 30
 	probeRetries = 2
 )
 
-// probe is the one member being probed.
+// probe is the probe in progress; there is at most one.
 type probe struct {
 	target   *record
 	sequence uint64
-	retries  int // left
+	retries  int // remaining
 	retryAt  time.Duration
 	endAt    time.Duration
 }
 
-// relay is a ping made on behalf of another host.
+// relay is a ping sent on behalf of another host.
 type relay struct {
-	sequence uint64
-	origin   netip.AddrPort
-	answer   uint64 // sequence the origin waits for
-	until    time.Duration
+	sequence    uint64
+	origin      netip.AddrPort
+	ackSequence uint64 // sequence of the ack that the origin expects
+	until       time.Duration
 }
 
-// stepProbe drives the current probe and starts the next one.
+// stepProbe advances the current probe and starts the next one.
 func (c *Core) stepProbe() {
-	if c.awake.waking {
+	if c.wake.waking {
 		return
 	}
 	if c.probe.target != nil && c.probe.retries > 0 && c.clock >= c.probe.retryAt {
@@ -49,7 +49,7 @@
 	c.startProbe()
 }
 
-// endProbe suspects the target if no answer came.
+// endProbe marks the target as suspect if no ack arrived.
 func (c *Core) endProbe() {
 	r := c.probe.target
 	c.probe.target = nil
@@ -57,7 +57,7 @@
 		return
 	}
 	if r.entry.State == Alive {
-		c.judge(r, Suspect)
+		c.declare(r, Suspect)
 	}
 }
 
@@ -78,21 +78,22 @@
 	c.ping(r, c.probe.sequence)
 }
 
-// ping probes r and tells it at once what is held against it.
+// ping probes r and includes any update about r that it must refute.
 func (c *Core) ping(r *record, sequence uint64) {
-	c.send(r.entry.Address, c.withNewsOf(r), Ping{sequence})
+	c.send(r.entry.Address, c.piggybackFor(r), Ping{sequence})
 }
 
-// withNewsOf returns the piggyback for r itself: what it must refute goes first.
-func (c *Core) withNewsOf(r *record) []Entry {
-	if r.entry.State == Alive && !r.behind {
+// piggybackFor returns the piggybacked updates for r: its own entry, if it must
+// refute it, comes first.
+func (c *Core) piggybackFor(r *record) []Entry {
+	if r.entry.State == Alive && !r.outdated {
 		return c.piggyback()
 	}
 	return append([]Entry{r.entry}, c.piggyback()...)
 }
 
-// nextTarget walks over all members that are not dead, in a random order that
-// is drawn anew for each round.
+// nextTarget iterates over all members that are not dead, in a random order that
+// is reshuffled for each round.
 func (c *Core) nextTarget() *record {
 	for len(c.urgent) > 0 {
 		r := c.urgent[0]
@@ -101,13 +102,13 @@
 			return r
 		}
 	}
-	if len(c.turn) == 0 {
-		c.turn = append(c.turn, c.order...)
-		c.conf.Rand.Shuffle(len(c.turn), func(i, j int) { c.turn[i], c.turn[j] = c.turn[j], c.turn[i] })
+	if len(c.round) == 0 {
+		c.round = append(c.round, c.order...)
+		c.conf.Rand.Shuffle(len(c.round), func(i, j int) { c.round[i], c.round[j] = c.round[j], c.round[i] })
 	}
-	for len(c.turn) > 0 {
-		r := c.turn[len(c.turn)-1]
-		c.turn = c.turn[:len(c.turn)-1]
+	for len(c.round) > 0 {
+		r := c.round[len(c.round)-1]
+		c.round = c.round[:len(c.round)-1]
 		if c.probeable(r) {
 			return r
 		}
@@ -119,15 +120,15 @@
 	return r.entry.State != Dead && c.records[r.entry.Address] == r
 }
 
-// enterTurn puts a new member at a random place of the current round.
-func (c *Core) enterTurn(r *record) {
-	at := c.conf.Rand.IntN(len(c.turn) + 1)
-	c.turn = slices.Insert(c.turn, at, r)
+// insertIntoRound inserts a new member at a random position of the current round.
+func (c *Core) insertIntoRound(r *record) {
+	at := c.conf.Rand.IntN(len(c.round) + 1)
+	c.round = slices.Insert(c.round, at, r)
 }
 
-// verify checks an old claim that a member is dead: the member hears of it
-// and is probed next. The claim itself is not taken over.
-func (c *Core) verify(r *record, claim Entry) {
+// verifyDeath checks a possibly outdated claim that a member is dead: it sends the
+// claim to the member and probes it next. The claim itself is not applied.
+func (c *Core) verifyDeath(r *record, claim Entry) {
 	if len(c.urgent) >= maxUrgent || slices.Contains(c.urgent, r) {
 		return
 	}
@@ -139,21 +140,21 @@
 	return c.conf.Period * retryShare / 100 * time.Duration(1+c.health)
 }
 
-// retryProbe probes the target again, and asks members in several failure
-// domains to do the same.
+// retryProbe probes the target again and requests indirect probes from members
+// in several failure domains.
 func (c *Core) retryProbe() {
 	c.probe.retries--
 	c.probe.retryAt = c.clock + c.retryInterval()
 	target := c.probe.target
 	c.ping(target, c.probe.sequence)
-	for _, h := range c.helpers(target) {
-		c.send(h.entry.Address, c.withNewsOf(target), PingRequest{c.probe.sequence, target.entry.Address})
+	for _, h := range c.chooseHelpers(target) {
+		c.send(h.entry.Address, c.piggybackFor(target), PingRequest{c.probe.sequence, target.entry.Address})
 	}
 }
 
-// helpers draws members that are alive, over as many failure domains as the
-// sample holds.
-func (c *Core) helpers(target *record) []*record {
+// chooseHelpers selects live members from as many failure domains as the sample
+// contains.
+func (c *Core) chooseHelpers(target *record) []*record {
 	sample := c.sample(helperSample, func(r *record) bool { return r != target && r.entry.State == Alive })
 	var chosen, rest []*record
 	seen := make(map[string]bool)
@@ -169,8 +170,8 @@
 	return chosen[:min(indirectProbes, len(chosen))]
 }
 
-// sample draws up to n different members that pass the filter. Its cost does
-// not grow with the fleet.
+// sample selects up to n different members at random that pass the filter. Its
+// cost does not grow with the fleet.
 func (c *Core) sample(n int, keep func(*record) bool) []*record {
 	var out []*record
 	if len(c.order) <= 2*n {
@@ -181,7 +182,7 @@
 		}
 		return out
 	}
-	for tries := 0; tries < 4*n && len(out) < n; tries++ {
+	for attempts := 0; attempts < 4*n && len(out) < n; attempts++ {
 		r := c.order[c.conf.Rand.IntN(len(c.order))]
 		if keep(r) && !slices.Contains(out, r) {
 			out = append(out, r)
--- a/pkg/membership/rendezvous/example_test.go
+++ b/pkg/membership/rendezvous/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/membership/rendezvous"
 )
 
-// One host of each failure domain is chosen; the choice moves only when the
-// chosen host goes.
+// One host of each failure domain is selected; the selection changes only when
+// the selected host leaves.
 func ExamplePerDomain() {
 	var members []membership.Member
 	for i, domain := range []string{"hanoi", "hanoi", "hanoi", "recife", "recife"} {
--- a/pkg/membership/rendezvous/rendezvous.go
+++ b/pkg/membership/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous chooses members by highest random weight: every host
-// with the same view makes the same choice, and when one member goes, only the
-// choices that fell on it change.
+// Package rendezvous selects members by rendezvous (highest random weight)
+// hashing: every host with the same view makes the same selection, and when one
+// member leaves, only the keys that were mapped to it move.
 package rendezvous
 
 import (
@@ -14,17 +14,18 @@
 )
 
 // PerDomain returns up to n usable members of each failure domain for key,
-// by domain, the preferred ones of a domain first. Views differ between hosts,
-// so choices may too: no two hosts may rely on choosing alike.
+// grouped by domain, those with the highest weight first. Views differ between
+// hosts, so selections may differ too: no host may rely on another making the
+// same selection.
 func PerDomain(key string, members []membership.Member, n int) []membership.Member {
 	ranked := rank(key, members)
-	taken := make(map[string]int)
+	selected := make(map[string]int)
 	var out []membership.Member
 	for _, r := range ranked {
-		if taken[r.member.FailureDomain] == n {
+		if selected[r.member.FailureDomain] == n {
 			continue
 		}
-		taken[r.member.FailureDomain]++
+		selected[r.member.FailureDomain]++
 		out = append(out, *r.member)
 	}
 	return out
@@ -35,7 +36,7 @@
 	weight uint64
 }
 
-// rank orders the usable members by domain, then by falling weight.
+// rank sorts the usable members by domain, then by descending weight.
 func rank(key string, members []membership.Member) []weighted {
 	var out []weighted
 	for i := range members {
--- a/pkg/membership/rendezvous/rendezvous_test.go
+++ b/pkg/membership/rendezvous/rendezvous_test.go
@@ -42,6 +42,6 @@
 	}
 	after := PerDomain("readers", members, 2)
 	is.Equal(len(after), 6)
-	is.Equal(after[0], chosen[1]) // the next in line moves up
+	is.Equal(after[0], chosen[1]) // the member with the next highest weight takes over
 	is.Equal(after[2:], chosen[2:])
 }
--- a/pkg/membership/snapshot.go
+++ b/pkg/membership/snapshot.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Member is one entry host as a snapshot shows it.
+// Member is one entry host in a snapshot.
 type Member struct {
 	Entry
-	// ListLeaving is true when the platform's list shows the member as leaving.
+	// ListLeaving is true when the platform's list marks the member as leaving.
 	ListLeaving bool
 }
 
-// Usable reports whether m is alive and not about to go. It is a guess.
+// Usable reports whether m is alive and not about to leave. It is an estimate.
 func (m *Member) Usable() bool {
 	return m.State == Alive && !m.Leaving && !m.ListLeaving
 }
@@ -25,21 +25,21 @@
 	return m.State.String()
 }
 
-// Snapshot is the view of one host at one moment. It is immutable.
+// Snapshot is the view of one host at one point in time. It is immutable.
 type Snapshot struct {
-	// Version rises with each new snapshot of this process.
+	// Version increases with each new snapshot of this process.
 	Version uint64
 	// Self is this host.
 	Self Member
-	// Joined is true once a peer has answered, or none could be found.
+	// Joined is true once a peer has replied to a sync, or none could be found.
 	Joined bool
-	// Waking is true after a pause, until a peer has answered.
+	// Waking is true after a pause, until a peer has replied to a sync.
 	Waking bool
-	// Members holds all known members and this host, by address.
+	// Members holds all known members and this host, sorted by address.
 	Members []Member
-	// Unheard holds the hosts that the platform's list calls live and that this host
-	// has never heard of, by address. While a fleet starts, some hosts hear of others
-	// seconds after they are ready themselves.
+	// Unheard holds the hosts that the platform's list shows as live and that are
+	// not known as members, sorted by address. While a fleet starts, some hosts
+	// applyUpdate of others only seconds after they are ready themselves.
 	Unheard []netip.AddrPort
 }
 
@@ -65,8 +65,8 @@
 	return n
 }
 
-// Snapshot returns the current view. It is built anew only after a change;
-// changes of metadata alone show up once a period.
+// Snapshot returns the current view. It is rebuilt only after a change; changes
+// of metadata only become visible once per period.
 func (c *Core) Snapshot() *Snapshot {
 	if !c.dirty && c.snapshot != nil {
 		return c.snapshot
@@ -87,14 +87,14 @@
 		Version: version,
 		Self:    self,
 		Joined:  c.hosts.joined,
-		Waking:  c.awake.waking,
+		Waking:  c.wake.waking,
 		Members: members,
 		Unheard: c.unheard(),
 	}
 	return c.snapshot
 }
 
-// unheard returns the listed hosts that no peer has told of.
+// unheard returns the listed hosts that are not leaving and not known as members.
 func (c *Core) unheard() []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, a := range c.hosts.others {
--- a/pkg/membership/sync.go
+++ b/pkg/membership/sync.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	syncEvery       = 5   // periods between two comparisons in a quiet fleet
-	windowTarget    = 48  // members in a window, on average
-	maxDigests      = 64  // digests in a request
-	syncEntryBytes  = 700 // bytes of entries in one datagram of a comparison
-	replyDatagrams  = 6   // datagrams in one reply
-	pushDatagrams   = 2   // datagrams in one push
-	maxOutstanding  = 8   // requests that wait for their reply
-	catchUpRequests = 4   // requests in a period while catching up
-	syncNewsEnough  = 6   // changes from a reply that make the next request come early
+	syncInterval     = 5   // periods between two syncs in a quiet fleet
+	windowTarget     = 48  // members per window, on average
+	maxDigests       = 64  // digests per request
+	syncEntryBytes   = 700 // bytes of entries per datagram of a sync
+	replyDatagrams   = 6   // datagrams per reply
+	pushDatagrams    = 2   // datagrams per push
+	maxOutstanding   = 8   // requests that wait for their reply
+	catchUpRequests  = 4   // requests per period while catching up
+	earlySyncChanges = 6   // differences in a reply from which on the next sync is early
 )
 
-// syncState is the state of comparing members with peers.
+// syncState is the state of anti-entropy syncs with peers.
 type syncState struct {
 	outstanding []uint64
-	at          uint64 // period of the next comparison
-	prefix      uint32 // next window
-	heard       int    // members that the last peer knew
-	catchUp     int    // windows left to catch up with
+	at          uint64 // period of the next sync
+	prefix      uint32 // of the last window
+	peerMembers int    // members known to the peer that replied last
+	catchUp     int    // requests remaining to catch up
 }
 
-// stepSync compares one window with one peer when it is due.
+// stepSync requests a sync of one window with one peer when it is due.
 func (c *Core) stepSync() {
-	if c.periods < c.sync.at || !c.awakeAndJoined() {
+	if c.periods < c.sync.at || !c.active() {
 		return
 	}
-	c.sync.at = c.periods + syncEvery
+	c.sync.at = c.periods + syncInterval
 	requests := 1
 	if c.sync.catchUp > 0 {
 		c.sync.at = c.periods + 1
@@ -62,10 +62,10 @@
 	c.send(to, nil, SyncRequest{sequence, w, digests})
 }
 
-// nextWindow walks over the windows in turn, so that after one round all
-// members were compared. The size of a window does not grow with the fleet.
+// nextWindow iterates over the windows, so that one round compares all members.
+// The size of a window does not grow with the fleet.
 func (c *Core) nextWindow() Window {
-	n := max(len(c.order), c.sync.heard)
+	n := max(len(c.order), c.sync.peerMembers)
 	var bits uint8
 	for n>>bits > windowTarget && bits < MaxWindowBits {
 		bits++
@@ -84,9 +84,9 @@
 	return c.order[first:last]
 }
 
-// replySync sends what differs here from the digests of a peer.
+// replySync sends the entries that differ from the digests of a peer.
 func (c *Core) replySync(from *record, b SyncRequest) {
-	if c.syncReplies >= syncRepliesPerPeriod || b.Window.Bits > MaxWindowBits || len(b.Digests) > maxDigests {
+	if c.syncReplies >= maxSyncRepliesPerPeriod || b.Window.Bits > MaxWindowBits || len(b.Digests) > maxDigests {
 		return
 	}
 	c.syncReplies++
@@ -104,15 +104,15 @@
 		}
 		differ = append(differ, r.entry)
 	}
-	delete(theirs, uint32(c.selfSum>>32))
-	if from.behind {
+	delete(theirs, uint32(c.selfHash>>32))
+	if from.outdated {
 		differ = append([]Entry{from.entry}, differ...)
 	}
 	c.sendReply(from, b.Sequence, differ, theirs)
 }
 
-// rotate starts a window at a random member, so that a reply that is cut
-// short does not always drop the same ones.
+// rotate starts a window at a random member, so that a truncated reply does not
+// always omit the same ones.
 func rotate(w []*record, intN func(int) int) []*record {
 	if len(w) == 0 {
 		return w
@@ -134,8 +134,8 @@
 	}
 }
 
-// split cuts entries into at most n datagrams; what does not fit is dropped.
-// It returns at least one part, which may be empty.
+// split divides entries into at most n datagrams; the entries that do not fit
+// are dropped. It returns at least one part, which may be empty.
 func split(entries []Entry, n int) [][]Entry {
 	var parts [][]Entry
 	for len(parts) < n {
@@ -153,8 +153,9 @@
 	return parts
 }
 
-// takeSync reports whether sequence is that of an open request, and closes it.
-func (c *Core) takeSync(sequence uint64) bool {
+// closeSync reports whether sequence is that of an outstanding request, and
+// removes it.
+func (c *Core) closeSync(sequence uint64) bool {
 	at := slices.Index(c.sync.outstanding, sequence)
 	if at < 0 {
 		return false
@@ -163,31 +164,31 @@
 	return true
 }
 
-// finishSync pushes what the peer lacks and plans the next comparison.
-func (c *Core) finishSync(m *Message, b SyncReply, behind []Entry, changes uint64) {
-	c.sync.heard = min(int(b.Members), c.conf.MaxMembers)
-	c.pushWanted(m.From.Address, b.Wanted, behind)
-	if changes+uint64(len(b.Wanted)) >= syncNewsEnough {
+// finishSync pushes the entries that the peer lacks and schedules the next sync.
+func (c *Core) finishSync(m *Message, b SyncReply, toPush []Entry, changes uint64) {
+	c.sync.peerMembers = min(int(b.Members), c.conf.MaxMembers)
+	c.pushWanted(m.From.Address, b.Wanted, toPush)
+	if changes+uint64(len(b.Wanted)) >= earlySyncChanges {
 		c.sync.at = c.periods + 1
 	}
-	if c.sync.catchUp == 0 && c.sync.heard > 2*len(c.order) {
-		c.sync.catchUp = 2 * c.sync.heard / windowTarget
+	if c.sync.catchUp == 0 && c.sync.peerMembers > 2*len(c.order) {
+		c.sync.catchUp = 2 * c.sync.peerMembers / windowTarget
 	}
-	c.joined()
-	c.awoken()
+	c.markJoined()
+	c.finishWaking()
 }
 
-func (c *Core) pushWanted(to netip.AddrPort, wanted []uint32, behind []Entry) {
+func (c *Core) pushWanted(to netip.AddrPort, wanted []uint32, toPush []Entry) {
 	for _, name := range wanted {
 		at, _ := slices.BinarySearchFunc(c.order, uint64(name)<<32, compareHash)
 		if at < len(c.order) && uint32(c.order[at].hash>>32) == name && c.order[at].entry.State != Dead {
-			behind = append(behind, c.order[at].entry)
+			toPush = append(toPush, c.order[at].entry)
 		}
 	}
-	if len(behind) == 0 {
+	if len(toPush) == 0 {
 		return
 	}
-	for _, p := range split(behind, pushDatagrams) {
+	for _, p := range split(toPush, pushDatagrams) {
 		c.send(to, p, SyncPush{})
 	}
 }
--- a/pkg/membership/unheard_test.go
+++ b/pkg/membership/unheard_test.go
@@ -11,9 +11,9 @@
 	"github.com/dapplespindle/dapplespindle/pkg/membership"
 )
 
-// TestListedHostsThatNobodyToldOf are in the snapshot until they are heard of, but
-// for those that leave.
-func TestListedHostsThatNobodyToldOf(t *testing.T) {
+// TestUnheardHoldsUnknownListedHosts checks that Snapshot.Unheard contains a
+// listed host until it is known as a member, and never one that is leaving.
+func TestUnheardHoldsUnknownListedHosts(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	self, peer, leaving := address(0), address(1), address(2)
--- a/pkg/membership/news.go
+++ b/pkg/membership/updates.go
@@ -7,42 +7,42 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// source is how news came to this host.
-type source uint8
+// updateSource is how an update reached this host.
+type updateSource uint8
 
 const (
-	direct source = iota // from the member itself
-	gossip               // piggybacked, so at most a few periods old
-	synced               // from a comparison, of any age
+	direct updateSource = iota // from the member itself
+	gossip                     // piggybacked, so at most a few periods old
+	synced                     // from a sync, of any age
 )
 
-// learn takes in news about a member, if they are new.
-func (c *Core) learn(e Entry, via source) {
+// applyUpdate applies an update about a member if it is newer than the known entry.
+func (c *Core) applyUpdate(e Entry, via updateSource) {
 	if !e.Valid() {
 		return
 	}
 	if e.Address == c.self.Address {
-		c.hearOfSelf(&e)
+		c.applySelfUpdate(&e)
 		return
 	}
 	r := c.records[e.Address]
 	if r == nil {
-		c.admit(e, via)
+		c.addMember(e, via)
 		return
 	}
 	if !e.newerThan(&r.entry) {
 		return
 	}
 	if via == synced && e.State == Dead && r.entry.State != Dead {
-		c.verify(r, e)
+		c.verifyDeath(r, e)
 		return
 	}
-	c.replace(r, e, via)
+	c.replaceEntry(r, e, via)
 }
 
-// admit takes in a member that was not known. The dead are not taken in: they
-// would come back for as long as some host remembers them.
-func (c *Core) admit(e Entry, via source) {
+// addMember adds an unknown member. Dead members are not added: they would reappear
+// for as long as some host remembers them.
+func (c *Core) addMember(e Entry, via updateSource) {
 	if e.State == Dead {
 		return
 	}
@@ -59,15 +59,15 @@
 	c.records[e.Address] = r
 	at, _ := slices.BinarySearchFunc(c.order, r.hash, compareHash)
 	c.order = slices.Insert(c.order, at, r)
-	c.enterTurn(r)
+	c.insertIntoRound(r)
 	c.emit(event.MemberJoined, &r.entry)
-	c.changed(r, Alive, false, via)
+	c.entryChanged(r, Alive, false, via)
 }
 
 func compareHash(r *record, hash uint64) int { return cmp.Compare(r.hash, hash) }
 
-// replace puts news e in place of older ones.
-func (c *Core) replace(r *record, e Entry, via source) {
+// replaceEntry replaces the entry of r by the newer entry e.
+func (c *Core) replaceEntry(r *record, e Entry, via updateSource) {
 	old := r.entry
 	if !e.newerThan(&old) || e.Address != old.Address {
 		c.emit(event.InvariantIncarnationBack, &e)
@@ -82,14 +82,14 @@
 		c.emit(event.MemberLeaving, &r.entry)
 	}
 	if old.State == Dead && e.State != Dead {
-		c.enterTurn(r)
+		c.insertIntoRound(r)
 	}
-	c.changed(r, old.State, minor, via)
+	c.entryChanged(r, old.State, minor, via)
 }
 
-// changed does what follows from new news in r. News from a comparison may be
-// old, and are left to comparisons to spread.
-func (c *Core) changed(r *record, was State, minor bool, via source) {
+// entryChanged carries out the consequences of a new entry in r. Updates from a sync
+// may be old, so they are not gossiped but left to further syncs.
+func (c *Core) entryChanged(r *record, was State, minor bool, via updateSource) {
 	switch r.entry.State {
 	case Alive:
 		if was != Alive {
@@ -102,8 +102,8 @@
 		r.deadline = c.clock + c.conf.DeadRetention
 		c.emit(event.MemberDead, &r.entry)
 	}
-	if was == Alive && r.entry.State != Alive && !slices.Contains(c.timed, r) {
-		c.timed = append(c.timed, r)
+	if was == Alive && r.entry.State != Alive && !slices.Contains(c.expiring, r) {
+		c.expiring = append(c.expiring, r)
 	}
 	r.token++
 	if via != synced {
@@ -117,9 +117,9 @@
 	c.dirty = true
 }
 
-// judge is this host's own judgement of a member.
-func (c *Core) judge(r *record, s State) {
-	if c.awake.waking {
+// declare sets the state of a member by this host's own failure detection.
+func (c *Core) declare(r *record, s State) {
+	if c.wake.waking {
 		c.emit(event.InvariantWakingJudged, &r.entry)
 		return
 	}
@@ -129,11 +129,11 @@
 	}
 	e := r.entry
 	e.State = s
-	c.replace(r, e, direct)
+	c.replaceEntry(r, e, direct)
 }
 
-// forget drops a member that was dead for long.
-func (c *Core) forget(r *record) {
+// removeMember removes a member that has been dead for DeadRetention.
+func (c *Core) removeMember(r *record) {
 	c.emit(event.MemberForgotten, &r.entry)
 	r.token++
 	delete(c.records, r.entry.Address)
@@ -143,9 +143,9 @@
 	c.dirty = true
 }
 
-// hearOfSelf answers news about this host that it did not issue: it issues
-// newer ones. It never takes them over.
-func (c *Core) hearOfSelf(e *Entry) {
+// applySelfUpdate refutes an update about this host that it did not issue, by raising
+// its incarnation. It never applies such an update.
+func (c *Core) applySelfUpdate(e *Entry) {
 	if e.Incarnation < c.self.Incarnation || c.stopped {
 		return
 	}
@@ -153,19 +153,19 @@
 		if e.State == Alive {
 			c.emitOnce(event.MemberAddressContested, e)
 		}
-		c.raise(e.Incarnation + 1)
+		c.raiseIncarnation(e.Incarnation + 1)
 		return
 	}
 	if e.Incarnation == c.self.Incarnation && e.State == Alive {
 		return
 	}
-	c.raise(e.Incarnation + 1)
+	c.raiseIncarnation(e.Incarnation + 1)
 	c.health = min(c.health+1, maxHealth)
 	c.emit(event.MemberSelfRefuted, &c.self)
 }
 
-// raise issues newer news about this host.
-func (c *Core) raise(incarnation uint64) {
+// raiseIncarnation increases the incarnation of this host's entry.
+func (c *Core) raiseIncarnation(incarnation uint64) {
 	if incarnation <= c.self.Incarnation {
 		c.emit(event.InvariantSelfOverwritten, &c.self)
 		return
--- a/pkg/membership/wire/example_test.go
+++ b/pkg/membership/wire/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/membership/wire"
 )
 
-// A datagram is bound to its receiver: another host refuses it.
+// A datagram is bound to its receiver: another host rejects it.
 func ExampleCodec() {
 	codec, err := wire.NewCodec([][]byte{[]byte("a key of sixteen")})
 	if err != nil {
--- a/pkg/membership/wire/wire.go
+++ b/pkg/membership/wire/wire.go
@@ -1,10 +1,11 @@
-// Package wire turns membership messages into datagrams and back.
+// Package wire encodes membership messages as datagrams and decodes them.
 //
-// A datagram is a version byte, a tag, and a protobuf message. With a key the
-// tag is a truncated HMAC-SHA256 over the receiver's address and the message,
-// so that a datagram cannot be altered, nor sent on to another host. Repeating
-// one to the same host is harmless: news are ordered by incarnation, and
-// answers count only for an open random sequence.
+// A datagram consists of a version byte, a tag if keys are set, and a protobuf
+// message. The tag is a truncated HMAC-SHA256 over the receiver's address and
+// the message, so that a datagram can be neither altered nor redirected to
+// another host. Replaying one to the same host is harmless: entries are ordered
+// by incarnation, and a response is accepted only for an outstanding random
+// sequence.
 package wire
 
 import (
@@ -21,9 +22,10 @@
 )
 
 const (
-	// MaxDatagramBytes bounds a datagram; it fits an Ethernet frame.
+	// MaxDatagramBytes is the maximum size of a datagram; it fits an Ethernet
+	// frame.
 	MaxDatagramBytes = 1200
-	// MinKeyBytes is the least length of a key.
+	// MinKeyBytes is the minimum length of a key.
 	MinKeyBytes = 16
 
 	versionPlain  = 1
@@ -44,9 +46,9 @@
 	keys [][]byte
 }
 
-// NewCodec returns a codec. The first key signs, every key is accepted, so
-// that keys can be replaced host by host. Without keys nothing is signed, and
-// signed datagrams are refused.
+// NewCodec returns a codec. The first key signs and every key is accepted, so
+// that keys can be rotated host by host. Without keys nothing is signed, and
+// signed datagrams are rejected.
 func NewCodec(keys [][]byte) (*Codec, error) {
 	for _, k := range keys {
 		if len(k) < MinKeyBytes {
@@ -64,7 +66,7 @@
 		out[0] = versionSigned
 		out = out[:1+tagBytes]
 	}
-	head := len(out)
+	payloadStart := len(out)
 	out, err := proto.MarshalOptions{}.MarshalAppend(out, toProto(m))
 	if err != nil {
 		return nil, err
@@ -73,17 +75,17 @@
 		return nil, ErrTooLong
 	}
 	if len(c.keys) > 0 {
-		copy(out[1:], tag(c.keys[0], to, out[head:]))
+		copy(out[1:], tag(c.keys[0], to, out[payloadStart:]))
 	}
 	return out, nil
 }
 
-// Decode returns the message in a datagram that reached the host at self.
+// Decode returns the message in a datagram received by the host at self.
 func (c *Codec) Decode(self netip.AddrPort, datagram []byte) (*membership.Message, error) {
 	if len(datagram) > MaxDatagramBytes {
 		return nil, ErrTooLong
 	}
-	payload, err := c.open(self, datagram)
+	payload, err := c.authenticate(self, datagram)
 	if err != nil {
 		return nil, err
 	}
@@ -94,8 +96,8 @@
 	return fromProto(&d)
 }
 
-// open checks the frame and returns the payload.
-func (c *Codec) open(self netip.AddrPort, datagram []byte) ([]byte, error) {
+// authenticate checks the version and the tag and returns the payload.
+func (c *Codec) authenticate(self netip.AddrPort, datagram []byte) ([]byte, error) {
 	if len(c.keys) == 0 {
 		if len(datagram) < 1 || datagram[0] != versionPlain {
 			return nil, ErrMalformed
--- a/pkg/membership/wire/wire_test.go
+++ b/pkg/membership/wire/wire_test.go
@@ -47,7 +47,7 @@
 	newKey = "fedcba9876543210"
 )
 
-func TestEveryBodySurvives(t *testing.T) {
+func TestEveryBodySurvivesARoundTrip(t *testing.T) {
 	is := is.New(t)
 	c := codec(t, oldKey)
 	for _, b := range bodies() {
@@ -99,7 +99,7 @@
 	is.Equal(err, ErrShortKey)
 }
 
-// FuzzDecode feeds datagrams to the decoder and, where they decode, to a core.
+// FuzzDecode passes datagrams to the decoder and the decoded messages to a core.
 func FuzzDecode(f *testing.F) {
 	c := codec(f)
 	for _, b := range bodies() {
@@ -118,8 +118,8 @@
 	})
 }
 
-// checkCore gives a decoded message to a core: it must stay itself, break no
-// invariant, and answer with datagrams that fit.
+// checkCore passes a decoded message to a core: the core must not adopt state
+// about itself or violate an invariant, and its messages must fit a datagram.
 func checkCore(t *testing.T, c *Codec, m *membership.Message) {
 	t.Helper()
 	now := time.Unix(0, 0)
@@ -131,7 +131,7 @@
 		for _, out := range []membership.Effects{core.Receive(now, m), core.Tick(now)} {
 			for _, e := range out.Events {
 				if e.Code >= event.InvariantIncarnationBack {
-					t.Fatal("invariant broken: ", e)
+					t.Fatal("invariant violated: ", e)
 				}
 			}
 			for _, s := range out.Send {
@@ -142,6 +142,6 @@
 		}
 	}
 	if s := core.Snapshot().Self; s.Process != 1 || s.State != membership.Alive {
-		t.Fatal("foreign news about self taken over: ", s)
+		t.Fatal("core adopted another host's entry about itself: ", s)
 	}
 }
