--- a/pkg/statechart/check.go
+++ b/pkg/statechart/check.go
@@ -1,85 +1,87 @@
 package statechart
 
-// check reports the faults of a chart whose names are all known.
+// check validates a chart in which all names have been resolved.
 func (p *parser) check() {
-	p.checkArrows()
+	p.checkTransitions()
 	p.checkReachable()
-	p.checkEnds()
+	p.checkDeadEnds()
 	p.checkUnused()
 }
 
-// checkArrows reports two arrows for one event and arrows out of final states.
-func (p *parser) checkArrows() {
+// checkTransitions reports duplicate transitions for one event and transitions from
+// final states.
+func (p *parser) checkTransitions() {
 	c := p.chart
 	first := make(map[[2]int]int)
-	for _, a := range c.arrows {
+	for _, a := range c.transitions {
 		key := [2]int{int(a.From), int(a.Event)}
-		if line, twice := first[key]; twice {
-			p.fault(a.line, "state %s has a second arrow for event %s; the first is in line %d",
+		if line, duplicate := first[key]; duplicate {
+			p.report(a.line, "state %s has a second transition for event %s; the first is on line %d",
 				c.StateName(a.From), c.EventName(a.Event), line)
 			continue
 		}
 		first[key] = a.line
 		if c.IsFinal(a.From) {
-			p.fault(a.line, "final state %s has an arrow for event %s", c.StateName(a.From), c.EventName(a.Event))
+			p.report(a.line, "final state %s has a transition for event %s", c.StateName(a.From), c.EventName(a.Event))
 		}
 	}
 }
 
-// checkReachable reports states that no path from the initial one reaches.
+// checkReachable reports states that are not reachable from the initial state.
 func (p *parser) checkReachable() {
 	c := p.chart
 	reached := make([]bool, len(c.states))
 	reached[c.initial] = true
-	for grown := true; grown; {
-		grown = false
-		for _, a := range c.arrows {
+	for changed := true; changed; {
+		changed = false
+		for _, a := range c.transitions {
 			if reached[a.From] && !reached[a.To] {
 				reached[a.To] = true
-				grown = true
+				changed = true
 			}
 		}
 	}
 	for s, ok := range reached {
 		if !ok {
-			p.fault(c.states[s].line, "state %s is unreachable", c.states[s].Name)
+			p.report(c.states[s].line, "state %s is unreachable", c.states[s].Name)
 		}
 	}
 }
 
-// checkEnds reports states that nothing leaves and that are not marked final.
-func (p *parser) checkEnds() {
+// checkDeadEnds reports states that have no transition to another state and are not
+// marked final.
+func (p *parser) checkDeadEnds() {
 	c := p.chart
 	left := make([]bool, len(c.states))
-	for _, a := range c.arrows {
+	for _, a := range c.transitions {
 		if a.From != a.To {
 			left[a.From] = true
 		}
 	}
 	for s, ok := range left {
 		if !ok && !c.states[s].Final {
-			p.fault(c.states[s].line, "state %s is a dead end and not marked final", c.states[s].Name)
+			p.report(c.states[s].line, "state %s has no transition to another state and is not marked final", c.states[s].Name)
 		}
 	}
 }
 
-// checkUnused reports events and effects that no arrow uses.
+// checkUnused reports events and effects that no transition uses.
 func (p *parser) checkUnused() {
 	c := p.chart
 	events := make([]bool, len(c.events))
 	var effects Effects
-	for _, a := range c.arrows {
+	for _, a := range c.transitions {
 		events[a.Event] = true
 		effects |= a.Effects
 	}
 	for e, used := range events {
 		if !used {
-			p.fault(c.events[e].line, "event %s has no arrow", c.events[e].Name)
+			p.report(c.events[e].line, "event %s has no transition", c.events[e].Name)
 		}
 	}
 	for e := range c.effects {
 		if !effects.Has(1 << e) {
-			p.fault(c.effects[e].line, "effect %s is never done", c.effects[e].Name)
+			p.report(c.effects[e].line, "effect %s is never used", c.effects[e].Name)
 		}
 	}
 }
--- a/pkg/statechart/example_test.go
+++ b/pkg/statechart/example_test.go
@@ -13,7 +13,7 @@
   - {name: grant, doc: A client asked for the lease.}
   - {name: expire, doc: The lease was not renewed in time.}
 effects:
-  - {name: notify, doc: Tell the client.}
+  - {name: notify, doc: Notify the client.}
 states:
   - {name: free, doc: Nobody holds the lease.}
   - {name: held, doc: A client holds the lease.}
@@ -22,8 +22,8 @@
   - {from: held, event: expire, to: free, do: [notify]}
 `
 
-// The names are looked up once, at start; a step is then one table look-up.
-// The state belongs to the caller.
+// The names are resolved once, at start; a step is then one table look-up. The
+// caller holds the state.
 func Example() {
 	chart, err := statechart.Parse("lease.yaml", []byte(leaseChart))
 	if err != nil {
@@ -36,9 +36,9 @@
 	state, effects, err := chart.Step(state, grant)
 	fmt.Println(chart.StateName(state), effects.Has(notify), err)
 
-	state, _, err = chart.Step(state, grant) // no arrow: the state stays
+	state, _, err = chart.Step(state, grant) // no transition: the state is unchanged
 	fmt.Println(chart.StateName(state), err)
 	// Output:
 	// held true <nil>
-	// held chart lease: state held has no arrow for event grant
+	// held chart lease: state held has no transition for event grant
 }
--- a/pkg/statechart/parse.go
+++ b/pkg/statechart/parse.go
@@ -8,30 +8,30 @@
 	"gopkg.in/yaml.v3"
 )
 
-// Limits of one chart.
+// Limits of one chart, given by the types State, Event and Effects.
 const (
 	maxStates  = 255
 	maxEvents  = 255
 	maxEffects = 32
 )
 
-// Problem is one fault of a chart file.
+// Problem is one error in a chart file.
 type Problem struct {
-	// Line is where, from 1; 0 for the whole file.
+	// Line is the line number, from 1; 0 stands for the whole file.
 	Line int
-	// Text says what is wrong.
+	// Text describes the error.
 	Text string
 }
 
-// FileError lists the faults of one chart file.
+// FileError lists the errors in one chart file.
 type FileError struct {
 	// File is the name of the file.
 	File string
-	// Problems are the faults in the order they were found.
+	// Problems are the errors in the order in which they were found.
 	Problems []Problem
 }
 
-// Error implements error, with one "file:line: text" per fault.
+// Error implements error, with one line "file:line: text" per problem.
 func (e *FileError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, p := range e.Problems {
@@ -40,17 +40,18 @@
 	return strings.Join(lines, "\n")
 }
 
-// parser collects the faults of one file.
+// parser builds the chart and collects the problems of one file.
 type parser struct {
 	chart    *Chart
 	problems []Problem
 }
 
-func (p *parser) fault(line int, format string, args ...any) {
+func (p *parser) report(line int, format string, args ...any) {
 	p.problems = append(p.problems, Problem{line, fmt.Sprintf(format, args...)})
 }
 
-// Parse reads and checks a chart. The error is a *FileError with every fault.
+// Parse parses and validates a chart. The error is a *FileError with every
+// problem.
 func Parse(file string, content []byte) (*Chart, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal(content, &root); err != nil {
@@ -58,9 +59,9 @@
 	}
 	p := &parser{chart: &Chart{}}
 	if len(root.Content) == 0 {
-		p.fault(0, "the file is empty")
+		p.report(0, "the file is empty")
 	} else {
-		p.readChart(&root, root.Content[0])
+		p.parseChart(&root, root.Content[0])
 	}
 	if len(p.problems) == 0 {
 		p.check()
@@ -72,7 +73,7 @@
 	return p.chart, nil
 }
 
-func (p *parser) readChart(root, n *yaml.Node) {
+func (p *parser) parseChart(root, n *yaml.Node) {
 	c := p.chart
 	fields := p.fields(n, "name", "initial", "events", "effects", "states", "arrows")
 	c.doc = comment(root, n)
@@ -81,19 +82,19 @@
 	c.effects = p.items(fields["effects"], maxEffects)
 	c.states = p.items(fields["states"], maxStates)
 	if len(c.states) == 0 {
-		p.fault(n.Line, "there are no states")
+		p.report(n.Line, "there are no states")
 	}
 	if initial := fields["initial"]; initial == nil {
-		p.fault(n.Line, "initial is missing")
+		p.report(n.Line, "initial is missing")
 	} else {
 		c.initial = State(p.lookup("state", c.states, initial))
 	}
 	for _, a := range p.list(fields["arrows"]) {
-		p.readArrow(a)
+		p.parseTransition(a)
 	}
 }
 
-// comment returns the text of the comment at the head of the file.
+// comment returns the text of the comment at the start of the file.
 func comment(nodes ...*yaml.Node) string {
 	for _, n := range append(nodes, nodes[len(nodes)-1].Content...) {
 		if text := strings.TrimSpace(strings.TrimPrefix(n.HeadComment, "#")); text != "" {
@@ -103,16 +104,16 @@
 	return ""
 }
 
-func (p *parser) readArrow(n *yaml.Node) {
+func (p *parser) parseTransition(n *yaml.Node) {
 	c := p.chart
 	f := p.fields(n, "from", "event", "to", "do")
 	for _, k := range []string{"from", "event", "to"} {
 		if f[k] == nil {
-			p.fault(n.Line, "the arrow has no %s", k)
+			p.report(n.Line, "the transition has no %s", k)
 			return
 		}
 	}
-	a := arrow{line: n.Line}
+	a := transition{line: n.Line}
 	a.Event = Event(p.lookup("event", c.events, f["event"]))
 	a.To = State(p.lookup("state", c.states, f["to"]))
 	for _, e := range p.list(f["do"]) {
@@ -124,7 +125,7 @@
 	}
 	for _, from := range sources {
 		a.From = State(p.lookup("state", c.states, from))
-		c.arrows = append(c.arrows, a)
+		c.transitions = append(c.transitions, a)
 	}
 }
 
@@ -132,16 +133,16 @@
 func (p *parser) fields(n *yaml.Node, allowed ...string) map[string]*yaml.Node {
 	out := make(map[string]*yaml.Node)
 	if n.Kind != yaml.MappingNode {
-		p.fault(n.Line, "not a mapping with the keys %s", strings.Join(allowed, ", "))
+		p.report(n.Line, "not a mapping with the keys %s", strings.Join(allowed, ", "))
 		return out
 	}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key := n.Content[i]
 		switch {
 		case !slices.Contains(allowed, key.Value):
-			p.fault(key.Line, "unknown key %q; known are %s", key.Value, strings.Join(allowed, ", "))
+			p.report(key.Line, "unknown key %q; known are %s", key.Value, strings.Join(allowed, ", "))
 		case out[key.Value] != nil:
-			p.fault(key.Line, "key %q stands twice", key.Value)
+			p.report(key.Line, "duplicate key %q", key.Value)
 		}
 		out[key.Value] = n.Content[i+1]
 	}
@@ -153,7 +154,7 @@
 		return nil
 	}
 	if n.Kind != yaml.SequenceNode {
-		p.fault(n.Line, "not a list")
+		p.report(n.Line, "not a list")
 		return nil
 	}
 	return n.Content
@@ -161,7 +162,7 @@
 
 func (p *parser) text(parent, n *yaml.Node, field string) string {
 	if n == nil || n.Kind != yaml.ScalarNode || n.Value == "" {
-		p.fault(parent.Line, "%s is missing or not a text", field)
+		p.report(parent.Line, "%s is missing or not a string", field)
 		return ""
 	}
 	return n.Value
@@ -176,21 +177,22 @@
 			declared.Final = final.Value == "true"
 		}
 		if indexOf(out, declared.Name) >= 0 {
-			p.fault(entry.Line, "%q is declared twice", declared.Name)
+			p.report(entry.Line, "%q is declared twice", declared.Name)
 		}
 		out = append(out, declared)
 	}
 	if len(out) > limit {
-		p.fault(n.Line, "%d entries; at most %d are allowed", len(out), limit)
+		p.report(n.Line, "%d entries; at most %d are allowed", len(out), limit)
 	}
 	return out
 }
 
-// lookup returns the index of the declared name, or 0 after a fault.
+// lookup returns the index of the declared name, or reports a problem and
+// returns 0.
 func (p *parser) lookup(kind string, items []item, n *yaml.Node) int {
 	i := indexOf(items, n.Value)
 	if i < 0 {
-		p.fault(n.Line, "unknown %s %q", kind, n.Value)
+		p.report(n.Line, "unknown %s %q", kind, n.Value)
 		return 0
 	}
 	return i
--- a/pkg/statechart/render.go
+++ b/pkg/statechart/render.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Markdown renders the chart as a section of docs/CHARTS.md: a diagram and the
-// meaning of its states, events and effects.
+// Markdown renders the chart as a section of docs/CHARTS.md: a diagram and tables
+// that describe its states, events and effects.
 func (c *Chart) Markdown() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "## %s\n\n%s\n\n```mermaid\nstateDiagram-v2\n", c.name, c.doc)
 	fmt.Fprintf(&b, "    [*] --> %s\n", diagramName(c.StateName(c.initial)))
-	for _, a := range c.arrows {
+	for _, a := range c.transitions {
 		fmt.Fprintf(&b, "    %s --> %s: %s%s\n", diagramName(c.StateName(a.From)),
 			diagramName(c.StateName(a.To)), c.EventName(a.Event), c.effectText(a.Effects))
 	}
@@ -27,7 +27,8 @@
 	return b.String()
 }
 
-// diagramName is a name without dashes, which the diagram language cannot take.
+// diagramName replaces the dashes in a name, which Mermaid does not accept in
+// state names.
 func diagramName(name string) string { return strings.ReplaceAll(name, "-", "_") }
 
 func (c *Chart) effectText(e Effects) string {
