--- a/pkg/lifecycle/notice.go
+++ b/pkg/lifecycle/notice.go
@@ -55,11 +55,11 @@
 
 const keyBytes = 8
 
-// ErrShortNotice means that an encoded notice is truncated.
-var ErrShortNotice = errors.New("notice is truncated")
+// ErrTruncatedNotice means that an encoded notice is truncated.
+var ErrTruncatedNotice = errors.New("notice is truncated")
 
-// ErrLongNumber means that a varint in a notice overflows 64 bits.
-var ErrLongNumber = errors.New("varint in a notice overflows 64 bits")
+// ErrVarintOverflow means that a varint in a notice overflows 64 bits.
+var ErrVarintOverflow = errors.New("varint in a notice overflows 64 bits")
 
 // appendTo appends the encoding of n to b.
 func (n Notice) appendTo(b []byte) []byte {
@@ -71,7 +71,7 @@
 // decodeNotice decodes one notice and returns the remainder of b.
 func decodeNotice(b []byte) (Notice, []byte, error) {
 	if len(b) < keyBytes {
-		return Notice{}, nil, ErrShortNotice
+		return Notice{}, nil, ErrTruncatedNotice
 	}
 	n := Notice{Key: Key(binary.BigEndian.Uint64(b))}
 	rest := b[keyBytes:]
@@ -89,9 +89,9 @@
 	v, size := binary.Uvarint(b)
 	switch {
 	case size == 0:
-		return 0, nil, ErrShortNotice
+		return 0, nil, ErrTruncatedNotice
 	case size < 0:
-		return 0, nil, ErrLongNumber
+		return 0, nil, ErrVarintOverflow
 	}
 	return v, b[size:], nil
 }
--- a/pkg/lifecycle/notice_test.go
+++ b/pkg/lifecycle/notice_test.go
@@ -45,7 +45,7 @@
 	is.NoErr(err)
 	is.Equal(notices, []Notice{usual, largest})
 	_, err = DecodeNotices(usual.appendTo(nil)[:10])
-	is.True(errors.Is(err, ErrShortNotice))
+	is.True(errors.Is(err, ErrTruncatedNotice))
 }
 
 // FuzzDecodeNotices checks that decoded notices survive an encoding round trip.
--- a/pkg/lifecycle/registry.go
+++ b/pkg/lifecycle/registry.go
@@ -26,8 +26,8 @@
 	// ConnectFailures is the number of consecutive connection failures after
 	// which an upstream counts as unreachable.
 	ConnectFailures int
-	// UnreachablePause is the delay before an unreachable upstream is retried.
-	UnreachablePause time.Duration
+	// UnreachableRetryDelay is the delay before an unreachable upstream is retried.
+	UnreachableRetryDelay time.Duration
 	// NoticeRetention is how long a notice about an upstream that is not
 	// configured is stored.
 	NoticeRetention time.Duration
@@ -40,10 +40,10 @@
 // DefaultConfig returns the limits for the target scale in docs/DEVELOPERS.md.
 func DefaultConfig() Config {
 	return Config{
-		ConnectFailures:  3,
-		UnreachablePause: 2 * time.Second,
-		NoticeRetention:  time.Hour,
-		MaxNotices:       4096,
+		ConnectFailures:       3,
+		UnreachableRetryDelay: 2 * time.Second,
+		NoticeRetention:       time.Hour,
+		MaxNotices:            4096,
 	}
 }
 
--- a/pkg/lifecycle/updates.go
+++ b/pkg/lifecycle/updates.go
@@ -213,7 +213,7 @@
 	switch {
 	case m.state == stWarming && now.Sub(m.warmSince) >= m.spec.SlowStart:
 		r.step(now, m, evWarm, fromTimer)
-	case m.state == stUnreachable && now.Sub(m.failedAt) >= r.conf.UnreachablePause:
+	case m.state == stUnreachable && now.Sub(m.failedAt) >= r.conf.UnreachableRetryDelay:
 		r.step(now, m, evReached, fromTimer)
 	}
 }
--- a/pkg/membership/wire/wire.go
+++ b/pkg/membership/wire/wire.go
@@ -35,10 +35,10 @@
 
 // Errors of the codec.
 var (
-	ErrTooLong         = errors.New("datagram is longer than 1200 bytes")
+	ErrDatagramTooLong = errors.New("datagram is longer than 1200 bytes")
 	ErrUnauthenticated = errors.New("datagram is not signed by a known key")
 	ErrMalformed       = errors.New("datagram is malformed")
-	ErrShortKey        = errors.New("key is shorter than 16 bytes")
+	ErrKeyTooShort     = errors.New("key is shorter than 16 bytes")
 )
 
 // Codec encodes and decodes. It is safe for concurrent use.
@@ -52,7 +52,7 @@
 func NewCodec(keys [][]byte) (*Codec, error) {
 	for _, k := range keys {
 		if len(k) < MinKeyBytes {
-			return nil, ErrShortKey
+			return nil, ErrKeyTooShort
 		}
 	}
 	return &Codec{keys: keys}, nil
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	if len(out) > MaxDatagramBytes {
-		return nil, ErrTooLong
+		return nil, ErrDatagramTooLong
 	}
 	if len(c.keys) > 0 {
 		copy(out[1:], tag(c.keys[0], to, out[payloadStart:]))
@@ -83,7 +83,7 @@
 // Decode returns the message in a datagram received by the host at self.
 func (c *Codec) Decode(self netip.AddrPort, datagram []byte) (*membership.Message, error) {
 	if len(datagram) > MaxDatagramBytes {
-		return nil, ErrTooLong
+		return nil, ErrDatagramTooLong
 	}
 	payload, err := c.authenticate(self, datagram)
 	if err != nil {
--- a/pkg/membership/wire/wire_test.go
+++ b/pkg/membership/wire/wire_test.go
@@ -96,7 +96,7 @@
 		is.True(err != nil)
 	}
 	_, err = NewCodec([][]byte{[]byte("short")})
-	is.Equal(err, ErrShortKey)
+	is.Equal(err, ErrKeyTooShort)
 }
 
 // FuzzDecode passes datagrams to the decoder and the decoded messages to a core.
