--- a/internal/members/hostlist.go
+++ b/internal/members/hostlist.go
@@ -11,24 +11,24 @@
 
 const (
 	hostsTimeout = 2 * time.Second
-	// hostsLeastInterval is the interval between two reads in a small fleet.
-	hostsLeastInterval = 5 * time.Second
-	// hostsShare times the members is the interval in a large fleet, so that
-	// all hosts together read twice a second, however many they are.
-	hostsShare = 500 * time.Millisecond
-	// hostsFirstRetry is the first interval of a host that has not joined; it
-	// doubles.
-	hostsFirstRetry = time.Second
-	hostsJitter     = 0.2
+	// minHostsInterval is the interval between reads in a small fleet.
+	minHostsInterval = 5 * time.Second
+	// hostsIntervalPerMember times the number of members is the interval in a large fleet, so
+	// that all hosts together read twice per second regardless of their number.
+	hostsIntervalPerMember = 500 * time.Millisecond
+	// initialHostsInterval is the initial interval of a host that has not joined; it
+	// doubles with each read.
+	initialHostsInterval = time.Second
+	hostsJitter          = 0.2
 )
 
-// readHosts reads the platform's list now and then, until ctx ends.
+// readHosts reads the platform's host list periodically until ctx is done.
 func (m *Members) readHosts(ctx context.Context) {
-	retry := hostsFirstRetry
+	retry := initialHostsInterval
 	failed := false
 	for {
 		failed = m.readHostsOnce(ctx, failed)
-		pause := max(hostsLeastInterval, hostsShare*time.Duration(len(m.Snapshot().Members)))
+		pause := max(minHostsInterval, hostsIntervalPerMember*time.Duration(len(m.Snapshot().Members)))
 		if !m.Snapshot().Joined {
 			pause = min(pause, retry)
 			retry *= 2
@@ -39,8 +39,8 @@
 	}
 }
 
-// readHostsOnce reports whether the read failed. Only the first failure in a
-// row is an event.
+// readHostsOnce reads the host list and reports whether that failed. Only the
+// first of consecutive failures emits an event.
 func (m *Members) readHostsOnce(ctx context.Context, failedBefore bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, hostsTimeout)
 	defer cancel()
--- a/internal/members/keys.go
+++ b/internal/members/keys.go
@@ -9,9 +9,9 @@
 	"github.com/dapplespindle/dapplespindle/pkg/membership/wire"
 )
 
-// ParseKeys reads fleet keys as operators write them: hexadecimal, separated
-// by commas, at least wire.MinKeyBytes each. Empty text means no key. Errors
-// do not show the keys.
+// ParseKeys parses fleet keys from the operator's settings: hexadecimal,
+// comma-separated, at least wire.MinKeyBytes each. An empty text means no keys.
+// Errors never contain the keys.
 func ParseKeys(text string) ([][]byte, error) {
 	if text == "" {
 		return nil, nil
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,5 +1,5 @@
-// Package members runs pkg/membership in the daemon: datagrams over UDP, the
-// platform's host list, and the control goroutine that owns the core.
+// Package members runs pkg/membership in the daemon: it connects the core, which
+// the control goroutine owns, to UDP and to the platform's host list.
 package members
 
 import (
@@ -20,70 +20,72 @@
 	"github.com/dapplespindle/dapplespindle/pkg/membership/wire"
 )
 
-// HostList names hosts of the fleet. It may lag and be incomplete.
+// HostList is a list of hosts of the fleet. It may be outdated and incomplete.
 type HostList struct {
-	// Revision orders lists.
+	// Revision orders the lists.
 	Revision uint64
-	// Hosts are the entries.
+	// Hosts are the listed hosts.
 	Hosts []membership.ListedHost
 }
 
-// HostSource reads the list of hosts.
+// HostSource reads the host list.
 type HostSource interface {
 	Hosts(ctx context.Context) (*HostList, error)
 }
 
-// Config holds what New needs. Zero durations take their defaults.
+// Config configures Members. Zero durations select the defaults.
 type Config struct {
-	// Address is where peers reach this host, over UDP. It is bound as it is.
+	// Address is the UDP address at which peers reach this host. The socket is
+	// bound to exactly this address.
 	Address netip.AddrPort
-	// FailureDomain is where this host runs.
+	// FailureDomain is the failure domain of this host.
 	FailureDomain string
 	// Keys are the fleet keys: the first signs, all are accepted. Without keys
 	// datagrams are not authenticated.
 	Keys [][]byte
-	// Process identifies this process. Default: drawn at random.
+	// Process identifies this process. Default: a random value.
 	Process uint64
 	// Period is the time between two probes. Default: membership.DefaultPeriod.
 	Period time.Duration
-	// PauseThreshold is the gap that counts as a pause. Default: two periods.
+	// PauseThreshold is the gap between two inputs that counts as a pause.
+	// Default: two periods.
 	PauseThreshold time.Duration
-	// DeadRetention is how long dead members are kept. Default: 600 periods.
+	// DeadRetention is how long dead members are remembered. Default: 600 periods.
 	DeadRetention time.Duration
-	// Hosts reads the list of hosts.
+	// Hosts reads the host list.
 	Hosts HostSource
-	// OnTick, if not nil, is given the newest view after each tick, on the control
-	// goroutine.
+	// OnTick, if not nil, is called with the newest snapshot after each tick, on
+	// the control goroutine.
 	OnTick func(*membership.Snapshot)
 	// Loop is the control loop; New must be called before it runs.
 	Loop *control.Loop
-	// Events receives the decisions.
+	// Events receives the events of the core.
 	Events event.Sink
 }
 
-// ErrBusy is returned when the control queue is full; try again later.
+// ErrBusy is returned when the control queue is full; the call may be retried.
 var ErrBusy = errors.New("control queue is full")
 
-// Members is membership on this host.
+// Members runs the membership protocol on this host.
 type Members struct {
-	conf      Config
-	core      *membership.Core // belongs to the control goroutine
-	transport *transport
-	snapshot  atomic.Pointer[membership.Snapshot]
-	started   time.Time
-	lastTick  atomic.Int64 // nanoseconds after started
-	reported  time.Time    // when refused datagrams were last reported
-	refused   int64        // reported so far
-	cancel    context.CancelFunc
-}
-
-// New prepares membership and registers its tick with the loop.
+	conf            Config
+	core            *membership.Core // used on the control goroutine only
+	transport       *transport
+	snapshot        atomic.Pointer[membership.Snapshot]
+	started         time.Time
+	lastTick        atomic.Int64 // nanoseconds since started
+	lastReport      time.Time    // last report of refused datagrams
+	reportedRefused int64        // refused datagrams reported so far
+	cancel          context.CancelFunc
+}
+
+// New creates Members and registers its tick with the loop.
 func New(conf Config) (*Members, error) {
 	if len(conf.FailureDomain) > membership.MaxFailureDomainBytes {
 		return nil, errors.Newf("failure domain %q is longer than %d bytes", conf.FailureDomain, membership.MaxFailureDomainBytes)
 	}
 	if !conf.Address.IsValid() || conf.Address.Addr().IsUnspecified() {
-		return nil, errors.Newf("peer address %q is not one that peers can reach", conf.Address)
+		return nil, errors.Newf("peer address %q is invalid or unspecified: peers cannot reach it", conf.Address)
 	}
 	codec, err := wire.NewCodec(conf.Keys)
 	if err != nil {
@@ -97,7 +99,7 @@
 	}
 	conf.Address = netip.AddrPortFrom(conf.Address.Addr().Unmap(), conf.Address.Port())
 	now := clock.Now()
-	m := &Members{conf: conf, started: now, reported: now}
+	m := &Members{conf: conf, started: now, lastReport: now}
 	m.core = membership.New(now, m.coreConfig(now))
 	m.snapshot.Store(m.core.Snapshot())
 	m.transport = newTransport(conf.Address, codec, m.receive)
@@ -125,8 +127,8 @@
 	}
 }
 
-// Start opens the socket and begins to read the platform's list. The control
-// loop must run, or be about to.
+// Start opens the socket and starts to read the platform's host list. The control
+// loop must be running or about to run.
 func (m *Members) Start() error {
 	if err := m.transport.start(); err != nil {
 		return err
@@ -137,16 +139,16 @@
 	return nil
 }
 
-// Leave tells the peers that this host is about to go. Call it when a planned
-// stop begins, not on the control goroutine; membership goes on. It fails only
-// with ctx's error.
+// Leave announces to the peers that this host is about to leave. It must be
+// called at the start of a graceful shutdown and not on the control goroutine;
+// the host remains a member. The only error is ctx's.
 func (m *Members) Leave(ctx context.Context) error {
 	return m.conf.Loop.Call(ctx, func() { m.apply(m.core.Leave(clock.Now())) })
 }
 
-// Stop tells the peers that this host is gone, and closes the socket. The
-// control loop must still run, else the peers have to find out. Call it not on
-// the control goroutine.
+// Stop announces to the peers that this host has left, and closes the socket. The
+// control loop must still be running, otherwise the peers have to detect the stop.
+// It must not be called on the control goroutine.
 func (m *Members) Stop(ctx context.Context) {
 	_ = m.conf.Loop.Call(ctx, func() { m.apply(m.core.Stop(clock.Now())) })
 	if m.cancel != nil {
@@ -155,20 +157,20 @@
 	m.transport.stop()
 }
 
-// Snapshot returns the newest view. It never blocks and is never nil.
+// Snapshot returns the newest snapshot. It never blocks and never returns nil.
 func (m *Members) Snapshot() *membership.Snapshot { return m.snapshot.Load() }
 
-// Waking reports whether this process was paused and has not caught up. It
-// notices a pause before the control goroutine does, so a traffic goroutine
-// that asks right after waking gets the right answer.
+// Waking reports whether this process was paused and has not caught up yet. It
+// detects a pause before the control goroutine does, so the result is correct
+// also for a traffic goroutine that calls it immediately after the pause.
 func (m *Members) Waking() bool {
-	silent := clock.Since(m.started) - time.Duration(m.lastTick.Load())
-	return silent > m.conf.PauseThreshold || m.snapshot.Load().Waking
+	sinceTick := clock.Since(m.started) - time.Duration(m.lastTick.Load())
+	return sinceTick > m.conf.PauseThreshold || m.snapshot.Load().Waking
 }
 
-// SetMetadata publishes up to 64 bytes with this host's entry, at most every
-// five periods; the newest wins. It may be called on any goroutine, and reports
-// membership.ErrMetadataTooLong or ErrBusy.
+// SetMetadata publishes up to 64 bytes of metadata with this host's entry, at most
+// every five periods; the newest value wins. It may be called on any goroutine.
+// The errors are membership.ErrMetadataTooLong and ErrBusy.
 func (m *Members) SetMetadata(metadata []byte) error {
 	if len(metadata) > membership.MaxMetadataBytes {
 		return membership.ErrMetadataTooLong
@@ -180,7 +182,7 @@
 	return nil
 }
 
-// Stats returns the traffic since the start.
+// Stats returns the traffic counters since the start.
 func (m *Members) Stats() Stats { return m.transport.stats() }
 
 func (m *Members) tick(now time.Time) {
@@ -195,8 +197,8 @@
 	}
 }
 
-// receive hands a message to the control goroutine; it reports false when
-// that goroutine is behind.
+// receive posts a message to the control goroutine. It reports false when the
+// control queue is full; done is then not called.
 func (m *Members) receive(msg *membership.Message, done func()) bool {
 	return m.conf.Loop.Post(func() {
 		defer done()
@@ -219,15 +221,15 @@
 	m.conf.Events.Emit(e)
 }
 
-const refusedReportEvery = 10 * time.Second
+const refusedReportInterval = 10 * time.Second
 
-// reportRefused reports refused datagrams, many in one event.
+// reportRefused emits one event for all datagrams refused since the last report.
 func (m *Members) reportRefused(now time.Time) {
 	refused := m.transport.stats().Refused
-	if refused == m.refused || now.Sub(m.reported) < refusedReportEvery {
+	if refused == m.reportedRefused || now.Sub(m.lastReport) < refusedReportInterval {
 		return
 	}
-	m.emit(event.Event{Code: event.MemberMessageRefused, Value: refused - m.refused})
-	m.refused = refused
-	m.reported = now
+	m.emit(event.Event{Code: event.MemberMessageRefused, Value: refused - m.reportedRefused})
+	m.reportedRefused = refused
+	m.lastReport = now
 }
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -14,8 +14,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/membership"
 )
 
-// patience bounds every wait; nothing is asserted about how long one takes.
-const patience = 20 * time.Second
+// waitTimeout is the timeout of every wait; the tests do not assert durations.
+const waitTimeout = 20 * time.Second
 
 const testPeriod = 80 * time.Millisecond
 
@@ -44,7 +44,7 @@
 		FailureDomain:  "a",
 		Keys:           [][]byte{[]byte(key)},
 		Period:         testPeriod,
-		PauseThreshold: patience, // a busy machine is no pause
+		PauseThreshold: waitTimeout, // delays on a busy machine must not count as a pause
 		Hosts:          l,
 		Loop:           loop,
 		Events:         event.Discard{},
@@ -63,12 +63,12 @@
 
 func eventually(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	t.Fatal("not reached: " + what)
+	t.Fatalf("condition not met within %s: %s", waitTimeout, what)
 }
 
 const (
@@ -88,7 +88,7 @@
 		m := start(t, a, l, key)
 		all = append(all, m)
 	}
-	stranger := start(t, addresses[6], l, otherKey)
+	outsider := start(t, addresses[6], l, otherKey)
 	count := func(n int) func() bool {
 		return func() bool {
 			for _, m := range all {
@@ -117,9 +117,9 @@
 	all = append(all, restarted)
 	eventually(t, "the new process is alive", count(6))
 	is.True(all[0].Snapshot().Find(addresses[5]).Process != gone.Snapshot().Self.Process)
-	eventually(t, "the stranger was refused", func() bool { return all[0].Stats().Refused > 0 })
+	eventually(t, "datagrams with the other key were refused", func() bool { return all[0].Stats().Refused > 0 })
 	is.Equal(all[0].Snapshot().Find(addresses[6]), nil)
-	is.Equal(stranger.Snapshot().Count(), 1)
+	is.Equal(outsider.Snapshot().Count(), 1)
 }
 
 func TestKilledHostIsDetectedOverSockets(t *testing.T) {
--- a/internal/members/transport.go
+++ b/internal/members/transport.go
@@ -11,9 +11,9 @@
 	"github.com/dapplespindle/dapplespindle/pkg/membership/wire"
 )
 
-// maxWaiting bounds the messages that wait for the control goroutine, so that
-// a flood of datagrams does not crowd out other control work.
-const maxWaiting = 256
+// maxQueued is the maximum number of messages queued for the control goroutine,
+// so that a flood of datagrams does not starve other control work.
+const maxQueued = 256
 
 // Stats counts membership traffic, without IP and UDP headers.
 type Stats struct {
@@ -21,20 +21,20 @@
 	SentBytes, ReceivedBytes int64
 	// SentMessages and ReceivedMessages count datagrams.
 	SentMessages, ReceivedMessages int64
-	// Refused counts datagrams that were malformed, unauthenticated, from
-	// another address than they say, or too many.
+	// Refused counts datagrams that were malformed, unauthenticated, sent from
+	// an address other than the one they state, or above the queue limit.
 	Refused int64
-	// Unsent counts messages that the socket did not take.
+	// Unsent counts messages that could not be encoded or written to the socket.
 	Unsent int64
 }
 
-// transport moves messages over one UDP socket.
+// transport sends and receives messages over one UDP socket.
 type transport struct {
 	address netip.AddrPort
 	codec   *wire.Codec
 	receive func(m *membership.Message, done func()) bool
 	conn    *net.UDPConn
-	waiting atomic.Int64
+	queued  atomic.Int64
 
 	sentBytes, receivedBytes       atomic.Int64
 	sentMessages, receivedMessages atomic.Int64
@@ -61,8 +61,8 @@
 	}
 }
 
-// send is called on the control goroutine. What is lost is sent again by the
-// protocol.
+// send sends a message on the control goroutine. The protocol tolerates lost
+// messages.
 func (t *transport) send(s membership.Envelope) {
 	if t.conn == nil {
 		return
@@ -80,7 +80,7 @@
 	t.sentMessages.Add(1)
 }
 
-// read takes datagrams until the socket is closed.
+// read receives datagrams until the socket is closed.
 func (t *transport) read() {
 	buffer := make([]byte, wire.MaxDatagramBytes+1)
 	for {
@@ -93,15 +93,15 @@
 		}
 		t.receivedBytes.Add(int64(n))
 		t.receivedMessages.Add(1)
-		if !t.take(buffer[:n], from) {
+		if !t.handleDatagram(buffer[:n], from) {
 			t.refused.Add(1)
 		}
 	}
 }
 
-// take decodes a datagram and hands it on. A host speaks only for the address
-// that it sends from.
-func (t *transport) take(datagram []byte, from netip.AddrPort) bool {
+// handleDatagram decodes a datagram and queues the message. It rejects a message whose
+// sender address is not the source address of the datagram.
+func (t *transport) handleDatagram(datagram []byte, from netip.AddrPort) bool {
 	m, err := t.codec.Decode(t.address, datagram)
 	if err != nil {
 		return false
@@ -109,14 +109,14 @@
 	if m.From.Address != netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) {
 		return false
 	}
-	if t.waiting.Add(1) > maxWaiting || !t.receive(m, t.done) {
+	if t.queued.Add(1) > maxQueued || !t.receive(m, t.done) {
 		t.done()
 		return false
 	}
 	return true
 }
 
-func (t *transport) done() { t.waiting.Add(-1) }
+func (t *transport) done() { t.queued.Add(-1) }
 
 func (t *transport) stats() Stats {
 	return Stats{
