--- a/internal/notices/notices.go
+++ b/internal/notices/notices.go
@@ -1,7 +1,8 @@
-// Package notices spreads notices about leaving upstreams between entry hosts:
-// news is pushed at once to a few peers for a few rounds, and everything known
-// is exchanged with one random peer each second. A starting host fetches the
-// notices of a peer that has fetched them itself before it serves.
+// Package notices distributes notices about leaving upstreams among entry hosts:
+// new notices are pushed immediately to a few peers for a few rounds, and all
+// known notices are exchanged with one random peer each second. Before it serves,
+// a starting host fetches the notices of a peer that has already fetched them
+// itself.
 package notices
 
 import (
@@ -23,158 +24,164 @@
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 )
 
-// The schedule, as measured in docs/design/08-drain.md.
+// Intervals and fan-outs; docs/design/08-drain.md has the measurements for them.
 const (
-	pushEvery     = 200 * time.Millisecond
-	pushRounds    = 5
-	pushFanOut    = 2
-	exchangeEvery = time.Second
-	callTimeout   = 500 * time.Millisecond
-	refetchFanOut = 4
-	// fetchFanOut bounds the peers that a starting host asks at a time: all the others
-	// of the largest fleets today, which have 18 hosts.
+	pushInterval     = 200 * time.Millisecond
+	pushRounds       = 5
+	pushFanOut       = 2
+	exchangeInterval = time.Second
+	callTimeout      = 500 * time.Millisecond
+	refetchFanOut    = 4
+	// fetchFanOut is the maximum number of peers that a starting host contacts at a
+	// time: all others in the largest fleets today, which have 18 hosts.
 	fetchFanOut = 17
 )
 
-// Config is what New needs. All fields are required.
+// Config configures a Broadcaster. All fields are required.
 type Config struct {
 	// Loop is the control loop; New must be called before it runs.
 	Loop *control.Loop
-	// Server is where peers reach this host; New must be called before it serves.
+	// Server serves the calls of peers; New must be called before it serves.
 	Server *peer.Server
 	// Pool connects to peers.
 	Pool *peer.Pool
 	// Peers returns the addresses of the other entry hosts.
 	Peers func() []string
-	// Known returns the notices known here. It runs on the control goroutine.
+	// Known returns the notices known to this host. It runs on the control
+	// goroutine.
 	Known func(now time.Time) []lifecycle.Notice
-	// Merge takes in notices of a peer. It runs on the control goroutine.
+	// Merge merges the notices of a peer. It runs on the control goroutine.
 	Merge func(now time.Time, notices []lifecycle.Notice)
 	// Waking reports whether this host was paused and may lack notices, so that
-	// it must not answer for others. It runs on any goroutine.
+	// it must not return its notices to peers. It runs on any goroutine.
 	Waking func() bool
 }
 
-// Broadcaster spreads notices. Tell belongs to the control goroutine.
+// Broadcaster distributes notices. Broadcast must be called on the control
+// goroutine.
 type Broadcaster struct {
 	noticesv1.UnimplementedNoticesServer
-	conf   Config
-	news   map[lifecycle.Key]lifecycle.Notice // being pushed
-	rounds int                                // pushes left
-	// awake counts the starts and wakings of this process, and fetched is the
-	// last of them after which a peer's notices were taken in.
-	awake, fetched atomic.Uint64
+	conf            Config
+	pending         map[lifecycle.Key]lifecycle.Notice // being pushed
+	remainingRounds int                                // remaining push rounds
+	// epoch counts the start and the resumptions of this process. fetchedEpoch is
+	// the last epoch in which a peer's notices were requested and then merged.
+	epoch, fetchedEpoch atomic.Uint64
 }
 
-// New registers a spreader with the loop and the peers' server.
+// New registers a Broadcaster with the loop and the peer server.
 func New(conf Config) *Broadcaster {
-	s := &Broadcaster{conf: conf, news: make(map[lifecycle.Key]lifecycle.Notice)}
-	s.awake.Store(1)
+	s := &Broadcaster{conf: conf, pending: make(map[lifecycle.Key]lifecycle.Notice)}
+	s.epoch.Store(1)
 	noticesv1.RegisterNoticesServer(conf.Server, s)
-	conf.Loop.Every(pushEvery, s.push)
-	conf.Loop.Every(exchangeEvery, s.exchange)
+	conf.Loop.Every(pushInterval, s.push)
+	conf.Loop.Every(exchangeInterval, s.exchange)
 	return s
 }
 
-// Fetched reports whether a peer's notices were taken in since the start, or
-// since the last Refetch.
-func (s *Broadcaster) Fetched() bool { return s.fetched.Load() == s.awake.Load() }
+// Fetched reports whether a peer's notices were merged since the start, or since
+// the last Refetch. It is also true if all peers that responded are starting too;
+// see fetch.
+func (s *Broadcaster) Fetched() bool { return s.fetchedEpoch.Load() == s.epoch.Load() }
 
-// Refetch asks several peers for their notices, since this process was paused.
-// Answers to what was asked before do not count. It belongs to the control
-// goroutine.
+// Refetch requests the notices of several peers after this process was paused.
+// Responses to earlier requests do not count as fetched. It must be called on the
+// control goroutine.
 func (s *Broadcaster) Refetch() {
-	s.awake.Add(1)
-	s.ask(clock.Now(), refetchFanOut, func(error) {})
+	s.epoch.Add(1)
+	s.exchangeWith(clock.Now(), refetchFanOut, func(error) {})
 }
 
-// Broadcast pushes news to peers in the next rounds. News about an upstream that is
-// being pushed is joined with it, so that a push holds each upstream once.
-func (s *Broadcaster) Broadcast(news []lifecycle.Notice) {
-	if len(news) == 0 {
+// Broadcast pushes notices to peers in the next rounds. Notices about the same
+// upstream are joined, so that a push contains each upstream once.
+func (s *Broadcaster) Broadcast(notices []lifecycle.Notice) {
+	if len(notices) == 0 {
 		return
 	}
-	if s.rounds == 0 {
-		clear(s.news)
+	if s.remainingRounds == 0 {
+		clear(s.pending)
 	}
-	for _, n := range news {
-		if old, ok := s.news[n.Key]; ok {
+	for _, n := range notices {
+		if old, ok := s.pending[n.Key]; ok {
 			n = old.Join(n)
 		}
-		s.news[n.Key] = n
+		s.pending[n.Key] = n
 	}
-	s.rounds = pushRounds
+	s.remainingRounds = pushRounds
 	s.push(clock.Now())
 }
 
 func (s *Broadcaster) push(time.Time) {
-	if s.rounds == 0 {
+	if s.remainingRounds == 0 {
 		return
 	}
-	s.rounds--
-	text := lifecycle.EncodeNotices(slices.Collect(maps.Values(s.news)))
-	for _, p := range choose(s.conf.Peers(), pushFanOut) {
-		// A peer that is not reached hears it from others.
-		go func() { _ = s.call(p, &noticesv1.ExchangeRequest{Notices: text}, s.awake.Load()) }()
+	s.remainingRounds--
+	encoded := lifecycle.EncodeNotices(slices.Collect(maps.Values(s.pending)))
+	for _, p := range choosePeers(s.conf.Peers(), pushFanOut) {
+		// A failed push is not retried: the peer gets the notices from others.
+		go func() { _ = s.call(p, &noticesv1.ExchangeRequest{Notices: encoded}, s.epoch.Load()) }()
 	}
 }
 
-// exchange exchanges everything known with one peer, or fetches until that was
-// done.
+// exchange exchanges all known notices with one peer once this host has fetched;
+// until then it fetches.
 func (s *Broadcaster) exchange(now time.Time) {
 	if s.Fetched() {
-		s.ask(now, 1, func(error) {})
+		s.exchangeWith(now, 1, func(error) {})
 		return
 	}
 	s.fetch(now)
 }
 
-// fetch asks many peers: one that has just started too has nothing to tell. When
-// each host asked a single one, and eight of thirteen were restarted together, one
-// of them served without a notice that the five others had.
+// fetch requests the notices of many peers, because a peer that has just started
+// too has none. With a single peer per host, when eight of thirteen hosts were
+// restarted together, one of them served without a notice that the five others
+// had.
 func (s *Broadcaster) fetch(now time.Time) {
-	awake := s.awake.Load()
-	f := fetching{left: min(fetchFanOut, len(s.conf.Peers()))}
-	s.ask(now, f.left, func(err error) {
-		if f.answered(err) {
-			s.raiseFetched(awake)
+	epoch := s.epoch.Load()
+	f := fetchCalls{inProgress: min(fetchFanOut, len(s.conf.Peers()))}
+	s.exchangeWith(now, f.inProgress, func(err error) {
+		if f.finished(err) {
+			s.markFetched(epoch)
 		}
 	})
 }
 
-// fetching is one question to many peers. It is safe for concurrent use.
-type fetching struct {
-	mu       sync.Mutex
-	left     int // peers that have not answered yet
-	starting int // of those that have, the ones without knowledge of their own
+// fetchCalls tracks the calls of one fetch. It is safe for concurrent use.
+type fetchCalls struct {
+	mu         sync.Mutex
+	inProgress int // calls in progress
+	starting   int // finished calls to peers that have not fetched either
 }
 
-// answered takes in how one call ended. It reports true when it was the last one,
-// and some peers answered that they have fetched nothing either: with none that
-// has been there for longer, a fleet that starts must not wait for one. Without any
-// answer nothing is known of the fleet.
-func (f *fetching) answered(err error) bool {
+// finished records the result of one call. It reports true after the last call if
+// at least one peer responded that it has not fetched either: when a whole fleet
+// starts, no peer has been running for longer, and waiting for one would never
+// end. If no peer responded, nothing is known about the fleet.
+func (f *fetchCalls) finished(err error) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.left--
+	f.inProgress--
 	if status.Code(err) == codes.FailedPrecondition {
 		f.starting++
 	}
-	return f.left == 0 && f.starting > 0
+	return f.inProgress == 0 && f.starting > 0
 }
 
-// ask exchanges everything known with n peers, and tells how each call ended.
-func (s *Broadcaster) ask(now time.Time, n int, ended func(error)) {
+// exchangeWith exchanges all known notices with n peers and calls ended with the
+// result of each call.
+func (s *Broadcaster) exchangeWith(now time.Time, n int, ended func(error)) {
 	req := &noticesv1.ExchangeRequest{Notices: lifecycle.EncodeNotices(s.conf.Known(now)), Want: true}
-	awake := s.awake.Load()
-	for _, p := range choose(s.conf.Peers(), n) {
-		go func() { ended(s.call(p, req, awake)) }()
+	epoch := s.epoch.Load()
+	for _, p := range choosePeers(s.conf.Peers(), n) {
+		go func() { ended(s.call(p, req, epoch)) }()
 	}
 }
 
-// call sends one message. A peer that does not answer hears it from another.
-// Awake is when it was asked for.
-func (s *Broadcaster) call(address string, req *noticesv1.ExchangeRequest, awake uint64) error {
+// call sends one request and merges the notices in the response. A failed call is
+// not retried: the peer gets the notices from others. Epoch is the value of
+// s.epoch when the request was made.
+func (s *Broadcaster) call(address string, req *noticesv1.ExchangeRequest, epoch uint64) error {
 	conn, err := s.conf.Pool.Conn(address)
 	if err != nil {
 		return err
@@ -185,19 +192,19 @@
 	if err != nil || !req.GetWant() {
 		return err
 	}
-	if err := s.take(ctx, resp.GetNotices()); err != nil {
+	if err := s.merge(ctx, resp.GetNotices()); err != nil {
 		return err
 	}
-	s.raiseFetched(awake)
+	s.markFetched(epoch)
 	return nil
 }
 
-// raiseFetched records that notices asked for at awake were taken in. An older
-// call that ends later changes nothing.
-func (s *Broadcaster) raiseFetched(awake uint64) {
+// markFetched records that notices requested at epoch were merged. An older call
+// that finishes later has no effect.
+func (s *Broadcaster) markFetched(epoch uint64) {
 	for {
-		known := s.fetched.Load()
-		if known >= awake || s.fetched.CompareAndSwap(known, awake) {
+		known := s.fetchedEpoch.Load()
+		if known >= epoch || s.fetchedEpoch.CompareAndSwap(known, epoch) {
 			return
 		}
 	}
@@ -205,7 +212,7 @@
 
 // Exchange implements noticesv1.NoticesServer.
 func (s *Broadcaster) Exchange(ctx context.Context, req *noticesv1.ExchangeRequest) (*noticesv1.ExchangeResponse, error) {
-	if err := s.take(ctx, req.GetNotices()); err != nil {
+	if err := s.merge(ctx, req.GetNotices()); err != nil {
 		return nil, err
 	}
 	resp := new(noticesv1.ExchangeResponse)
@@ -224,16 +231,16 @@
 	return resp, err
 }
 
-func (s *Broadcaster) take(ctx context.Context, text []byte) error {
-	list, err := lifecycle.DecodeNotices(text)
+func (s *Broadcaster) merge(ctx context.Context, encoded []byte) error {
+	list, err := lifecycle.DecodeNotices(encoded)
 	if err != nil {
 		return err
 	}
 	return s.conf.Loop.Call(ctx, func() { s.conf.Merge(clock.Now(), list) })
 }
 
-// choose returns up to n of the peers, at random.
-func choose(peers []string, n int) []string {
+// choosePeers returns up to n random peers. It shuffles peers in place.
+func choosePeers(peers []string, n int) []string {
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	return peers[:min(n, len(peers))]
 }
--- a/internal/notices/notices_test.go
+++ b/internal/notices/notices_test.go
@@ -20,12 +20,12 @@
 	ledger   = lifecycle.KeyOf("ledger", "caruaru-3")
 	lots     = lifecycle.KeyOf("lots", "caruaru-4")
 	known    = lifecycle.Notice{Key: ledger, DrainRevision: 7}
-	arriving = lifecycle.Notice{Key: lots, MinActivation: 1}
+	received = lifecycle.Notice{Key: lots, MinActivation: 1}
 )
 
-// newSpreader returns a spreader without peers that knows one notice, and what
-// it has merged.
-func newSpreader(t *testing.T) (*Broadcaster, *[]lifecycle.Notice) {
+// newBroadcaster returns a Broadcaster without peers that knows one notice, and
+// the notices it has merged.
+func newBroadcaster(t *testing.T) (*Broadcaster, *[]lifecycle.Notice) {
 	t.Helper()
 	var merged []lifecycle.Notice
 	loop := control.NewLoop()
@@ -53,64 +53,65 @@
 
 func TestExchange(t *testing.T) {
 	is := is.New(t)
-	s, merged := newSpreader(t)
-	s.raiseFetched(1)
-	text := lifecycle.EncodeNotices([]lifecycle.Notice{arriving})
+	s, merged := newBroadcaster(t)
+	s.markFetched(1)
+	encoded := lifecycle.EncodeNotices([]lifecycle.Notice{received})
 	for _, want := range []bool{false, true} {
 		*merged = nil
-		resp, err := s.Exchange(t.Context(), &noticesv1.ExchangeRequest{Notices: text, Want: want})
+		resp, err := s.Exchange(t.Context(), &noticesv1.ExchangeRequest{Notices: encoded, Want: want})
 		is.NoErr(err)
-		is.Equal(*merged, []lifecycle.Notice{arriving})
+		is.Equal(*merged, []lifecycle.Notice{received})
 		got, err := lifecycle.DecodeNotices(resp.GetNotices())
 		is.NoErr(err)
-		is.Equal(len(got) == 1, want) // a push gets no answer
+		is.Equal(len(got) == 1, want) // the response to a push has no notices
 	}
 }
 
-// TestWakingHostDoesNotAnswer: it takes notices in but must not be taken for a
-// host that knows all.
+// TestWakingHostDoesNotAnswer checks that a host that resumes from a pause merges
+// notices but does not return its own, which may be incomplete.
 func TestWakingHostDoesNotAnswer(t *testing.T) {
 	is := is.New(t)
-	s, merged := newSpreader(t)
+	s, merged := newBroadcaster(t)
 	s.conf.Waking = func() bool { return true }
-	text := lifecycle.EncodeNotices([]lifecycle.Notice{arriving})
-	_, err := s.Exchange(t.Context(), &noticesv1.ExchangeRequest{Notices: text, Want: true})
+	encoded := lifecycle.EncodeNotices([]lifecycle.Notice{received})
+	_, err := s.Exchange(t.Context(), &noticesv1.ExchangeRequest{Notices: encoded, Want: true})
 	is.Equal(status.Code(err), codes.Unavailable)
-	is.Equal(*merged, []lifecycle.Notice{arriving})
+	is.Equal(*merged, []lifecycle.Notice{received})
 }
 
-// TestHostThatHasNotFetchedDoesNotAnswer: it may lack what older peers know, and
-// must not be taken for a host that knows all.
+// TestHostThatHasNotFetchedDoesNotAnswer checks that a starting host does not
+// return its notices, which may lack those that older peers know.
 func TestHostThatHasNotFetchedDoesNotAnswer(t *testing.T) {
 	is := is.New(t)
-	s, merged := newSpreader(t)
-	text := lifecycle.EncodeNotices([]lifecycle.Notice{arriving})
-	_, err := s.Exchange(t.Context(), &noticesv1.ExchangeRequest{Notices: text, Want: true})
+	s, merged := newBroadcaster(t)
+	encoded := lifecycle.EncodeNotices([]lifecycle.Notice{received})
+	_, err := s.Exchange(t.Context(), &noticesv1.ExchangeRequest{Notices: encoded, Want: true})
 	is.Equal(status.Code(err), codes.FailedPrecondition)
-	is.Equal(*merged, []lifecycle.Notice{arriving})
-	s.raiseFetched(1)
-	_, err = s.Exchange(t.Context(), &noticesv1.ExchangeRequest{Notices: text, Want: true})
+	is.Equal(*merged, []lifecycle.Notice{received})
+	s.markFetched(1)
+	_, err = s.Exchange(t.Context(), &noticesv1.ExchangeRequest{Notices: encoded, Want: true})
 	is.NoErr(err)
 }
 
 func TestMalformedNoticesAreRefused(t *testing.T) {
 	is := is.New(t)
-	s, merged := newSpreader(t)
+	s, merged := newBroadcaster(t)
 	_, err := s.Exchange(t.Context(), &noticesv1.ExchangeRequest{Notices: []byte{1, 2, 3}})
 	is.True(err != nil)
 	is.Equal(len(*merged), 0)
 }
 
-// TestTellJoins: a push holds each upstream once, however often it is told.
-func TestTellJoins(t *testing.T) {
+// TestBroadcastJoins checks that a push contains each upstream once, regardless
+// of how many notices about it were broadcast.
+func TestBroadcastJoins(t *testing.T) {
 	is := is.New(t)
-	s, _ := newSpreader(t)
+	s, _ := newBroadcaster(t)
 	var pushed map[lifecycle.Key]lifecycle.Notice
 	err := s.conf.Loop.Call(t.Context(), func() {
 		for revision := range uint64(100) {
 			s.Broadcast([]lifecycle.Notice{{Key: ledger, DrainRevision: revision}, {Key: ledger, MinActivation: 2}})
 		}
-		pushed = maps.Clone(s.news)
+		pushed = maps.Clone(s.pending)
 	})
 	is.NoErr(err)
 	joined := lifecycle.Notice{Key: ledger, DrainRevision: 99, MinActivation: 2}
@@ -119,27 +120,27 @@
 
 func TestChoose(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(choose([]string{"a", "b", "c"}, 2)), 2)
-	is.Equal(len(choose([]string{"a"}, 2)), 1)
-	is.Equal(len(choose(nil, 2)), 0)
+	is.Equal(len(choosePeers([]string{"a", "b", "c"}, 2)), 2)
+	is.Equal(len(choosePeers([]string{"a"}, 2)), 1)
+	is.Equal(len(choosePeers(nil, 2)), 0)
 }
 
-// TestOlderCallDoesNotTakeBack: a call that was made before a pause may end
-// after one that was made since.
-func TestOlderCallDoesNotTakeBack(t *testing.T) {
+// TestOlderCallDoesNotLowerFetched checks that a call made before a pause that
+// finishes after a newer one has no effect.
+func TestOlderCallDoesNotLowerFetched(t *testing.T) {
 	is := is.New(t)
-	s, _ := newSpreader(t)
-	s.raiseFetched(1)
+	s, _ := newBroadcaster(t)
+	s.markFetched(1)
 	is.True(s.Fetched())
-	s.awake.Add(1)
+	s.epoch.Add(1)
 	is.True(!s.Fetched())
-	s.raiseFetched(2)
-	s.raiseFetched(1)
+	s.markFetched(2)
+	s.markFetched(1)
 	is.True(s.Fetched())
 }
 
-// TestFetching: a start goes on without any older peer only when all peers that
-// were asked have answered or failed, and at least one answered.
+// TestFetching checks that a start proceeds without an older peer only when all
+// calls have finished and at least one peer responded.
 func TestFetching(t *testing.T) {
 	starting := status.Error(codes.FailedPrecondition, "")
 	failed := status.Error(codes.Unavailable, "")
@@ -147,16 +148,16 @@
 		ends []error
 		done bool
 	}{
-		"all start":           {[]error{starting, starting, starting}, true},
-		"some are down":       {[]error{starting, failed, failed}, true},
-		"all are down":        {[]error{failed, failed, failed}, false},
-		"one answers at last": {[]error{failed, failed, starting}, true},
+		"all start":         {[]error{starting, starting, starting}, true},
+		"some are down":     {[]error{starting, failed, failed}, true},
+		"all are down":      {[]error{failed, failed, failed}, false},
+		"one responds last": {[]error{failed, failed, starting}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := fetching{left: len(test.ends)}
+			f := fetchCalls{inProgress: len(test.ends)}
 			for i, err := range test.ends {
-				is.Equal(f.answered(err), test.done && i == len(test.ends)-1)
+				is.Equal(f.finished(err), test.done && i == len(test.ends)-1)
 			}
 		})
 	}
