--- a/internal/members/hostlist.go
+++ b/internal/members/hostlist.go
@@ -13,8 +13,9 @@
 	hostsTimeout = 2 * time.Second
 	// minHostsInterval is the interval between reads in a small fleet.
 	minHostsInterval = 5 * time.Second
-	// hostsIntervalPerMember times the number of members is the interval in a large fleet, so
-	// that all hosts together read twice per second regardless of their number.
+	// hostsIntervalPerMember times the number of members is the interval in a
+	// large fleet, so that all hosts together read twice per second regardless of
+	// their number.
 	hostsIntervalPerMember = 500 * time.Millisecond
 	// initialHostsInterval is the initial interval of a host that has not joined; it
 	// doubles with each read.
--- a/pkg/lifecycle/registry.go
+++ b/pkg/lifecycle/registry.go
@@ -163,8 +163,8 @@
 // member returns a configured upstream, or nil.
 func (r *Registry) member(k UpstreamKey) *member { return r.services[k.Service][k.Upstream] }
 
-// addMember and removeMember keep the two indexes of the members, services and byKey,
-// consistent.
+// addMember and removeMember keep the two indexes of the members, services and
+// byKey, consistent.
 func (r *Registry) addMember(m *member) {
 	of := r.services[m.key.Service]
 	if of == nil {
@@ -214,8 +214,8 @@
 	return notices
 }
 
-// shouldRepeat reports whether a notice about m is still sent to peers; m is nil for
-// an upstream that is not configured.
+// shouldRepeat reports whether a notice about m is still sent to peers; m is nil
+// for an upstream that is not configured.
 func (r *Registry) shouldRepeat(now time.Time, m *member, n *storedNotice) bool {
 	if m == nil {
 		return now.Sub(n.learned) < r.conf.NoticeRetention/2
--- a/pkg/membership/broadcast.go
+++ b/pkg/membership/broadcast.go
@@ -1,6 +1,7 @@
 package membership
 
-// retransmitFactor times disseminationRounds is how often one host transmits an update.
+// retransmitFactor times disseminationRounds is how often one host transmits an
+// update.
 const retransmitFactor = 2
 
 // piggybackBytes is the maximum size of the updates on one message, in bytes.
--- a/pkg/membership/core.go
+++ b/pkg/membership/core.go
@@ -109,9 +109,9 @@
 	round    []*record // remaining members of the current probe round
 	urgent   []*record // members to probe before the round continues
 
-	sync  syncState
-	hosts hostState
-	wake  wakeState
+	sync   syncState
+	hosts  hostState
+	resume resumeState
 
 	metadata metadataState
 
@@ -182,7 +182,7 @@
 		c.minorDirty = false
 	}
 	c.publishMetadata()
-	c.stepWake()
+	c.stepResume()
 	c.stepSync()
 	c.stepReconnect()
 }
@@ -196,7 +196,7 @@
 		return
 	}
 	if gap > c.conf.PauseThreshold && !c.stopped {
-		c.startWaking(gap)
+		c.startResuming(gap)
 	}
 	if gap > c.conf.Period/2 {
 		c.health = min(c.health+1, maxHealth)
@@ -207,7 +207,7 @@
 // expire declares suspects dead whose timeout has elapsed, and removes dead
 // members after DeadRetention.
 func (c *Core) expire() {
-	if c.wake.waking {
+	if c.resume.resuming {
 		return
 	}
 	kept := c.expiring[:0]
@@ -234,7 +234,8 @@
 	return c.conf.Period * time.Duration(c.disseminationRounds()*(1+c.health))
 }
 
-// disseminationRounds is the number of periods in which an update reaches the fleet.
+// disseminationRounds is the number of periods in which an update reaches the
+// whole fleet.
 func (c *Core) disseminationRounds() int {
 	const minRounds = 4
 	return max(minRounds, bits.Len(uint(len(c.records)+1)))
--- a/pkg/membership/fleet_test.go
+++ b/pkg/membership/fleet_test.go
@@ -243,7 +243,7 @@
 		}
 		s := h.core.Snapshot()
 		if s.Waking || !s.Joined {
-			return h.address.String() + " waking or not joined"
+			return h.address.String() + " resuming or not joined"
 		}
 		for _, other := range f.hosts {
 			m := s.Find(other.address)
--- a/pkg/membership/hosts.go
+++ b/pkg/membership/hosts.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	joinContacts      = 3  // hosts contacted per attempt while joining, or per period while waking
+	joinContacts      = 3  // hosts contacted per attempt while joining, or per period while resuming
 	joinPeriods       = 10 // periods without a reply after which a host starts alone
 	joinPerPeriod     = 4  // join attempts per period: in a fleet that starts, some hosts are late
 	reconnectInterval = 3  // periods between two attempts to reach a host considered dead
--- a/pkg/membership/lifecycle.go
+++ b/pkg/membership/lifecycle.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	wakePeriods     = 10 // periods without a reply after which a waking host resumes on its own
+	resumePeriods   = 10 // periods without a reply after which a resuming host continues on its own
 	metadataPeriods = 5  // minimum periods between two updates of this host's metadata
 	leaveFanOut     = 8  // members notified immediately that this host leaves
 )
@@ -17,9 +17,9 @@
 // ErrMetadataTooLong is returned for metadata longer than MaxMetadataBytes.
 var ErrMetadataTooLong = errors.New("metadata is longer than 64 bytes")
 
-// wakeState is the state of recovering from a pause.
-type wakeState struct {
-	waking   bool
+// resumeState is the state of recovering from a pause.
+type resumeState struct {
+	resuming bool
 	attempts int
 }
 
@@ -34,35 +34,35 @@
 func (c *Core) Wake(now time.Time, pause time.Duration) Effects {
 	c.advance(now)
 	if !c.stopped {
-		c.startWaking(pause)
+		c.startResuming(pause)
 	}
 	return c.effects()
 }
 
-// startWaking suspends failure detection until a sync with a peer has brought
+// startResuming suspends failure detection until a sync with a peer has brought
 // this host up to date.
-func (c *Core) startWaking(pause time.Duration) {
+func (c *Core) startResuming(pause time.Duration) {
 	c.probe = probe{}
 	c.relays = nil
 	c.sync.outstanding = nil
-	c.wake.attempts = 0
-	if c.wake.waking {
+	c.resume.attempts = 0
+	if c.resume.resuming {
 		return
 	}
-	c.wake.waking = true
+	c.resume.resuming = true
 	c.dirty = true
 	c.out.Events = append(c.out.Events, event.Event{Code: event.MemberSelfWaking, Value: pause.Milliseconds()})
 }
 
-// stepWake requests syncs from a few peers for the changes during the pause.
-func (c *Core) stepWake() {
-	if !c.wake.waking {
+// stepResume requests syncs from a few peers for the changes during the pause.
+func (c *Core) stepResume() {
+	if !c.resume.resuming {
 		return
 	}
-	c.wake.attempts++
+	c.resume.attempts++
 	alone := len(c.records) == 0 && len(c.hosts.others) == 0
-	if alone || c.wake.attempts > wakePeriods {
-		c.finishWaking()
+	if alone || c.resume.attempts > resumePeriods {
+		c.finishResuming()
 		return
 	}
 	for _, r := range c.sample(joinContacts, func(r *record) bool { return r.entry.State != Dead }) {
@@ -71,13 +71,13 @@
 	c.syncWithListed(1)
 }
 
-// finishWaking resumes failure detection. Suspicion timeouts are restarted: they ran
-// while this host could not receive a refutation.
-func (c *Core) finishWaking() {
-	if !c.wake.waking {
+// finishResuming restarts failure detection. Suspicion timeouts start anew: they
+// ran while this host could not receive a refutation.
+func (c *Core) finishResuming() {
+	if !c.resume.resuming {
 		return
 	}
-	c.wake.waking = false
+	c.resume.resuming = false
 	for _, r := range c.expiring {
 		if r.entry.State == Suspect {
 			r.deadline = c.clock + c.suspicionTimeout()
@@ -87,7 +87,7 @@
 	c.emit(event.MemberSelfAwake, &c.self)
 }
 
-func (c *Core) active() bool { return c.hosts.joined && !c.wake.waking }
+func (c *Core) active() bool { return c.hosts.joined && !c.resume.resuming }
 
 // SetMetadata sets up to MaxMetadataBytes of metadata in this host's entry. It
 // is published at most every few periods; the newest value wins. The only error
--- a/pkg/membership/probe.go
+++ b/pkg/membership/probe.go
@@ -36,7 +36,7 @@
 
 // stepProbe advances the current probe and starts the next one.
 func (c *Core) stepProbe() {
-	if c.wake.waking {
+	if c.resume.resuming {
 		return
 	}
 	if c.probe.target != nil && c.probe.retries > 0 && c.clock >= c.probe.retryAt {
--- a/pkg/membership/receive.go
+++ b/pkg/membership/receive.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// requestRefutation sends a member the newer entry about itself, which it must refute.
+// requestRefutation sends a member the newer entry about itself, which it must
+// refute.
 func (c *Core) requestRefutation(from *record) {
 	if from.outdated {
 		c.ping(from, c.conf.Rand.Uint64())
--- a/pkg/membership/snapshot.go
+++ b/pkg/membership/snapshot.go
@@ -87,7 +87,7 @@
 		Version: version,
 		Self:    self,
 		Joined:  c.hosts.joined,
-		Waking:  c.wake.waking,
+		Waking:  c.resume.resuming,
 		Members: members,
 		Unheard: c.unheard(),
 	}
--- a/pkg/membership/sync.go
+++ b/pkg/membership/sync.go
@@ -14,7 +14,7 @@
 	pushDatagrams    = 2   // datagrams per push
 	maxOutstanding   = 8   // requests that wait for their reply
 	catchUpRequests  = 4   // requests per period while catching up
-	earlySyncChanges = 6   // differences in a reply from which on the next sync is early
+	earlySyncChanges = 6   // differences in a reply that make the next sync early
 )
 
 // syncState is the state of anti-entropy syncs with peers.
@@ -175,7 +175,7 @@
 		c.sync.catchUp = 2 * c.sync.peerMembers / windowTarget
 	}
 	c.markJoined()
-	c.finishWaking()
+	c.finishResuming()
 }
 
 func (c *Core) pushWanted(to netip.AddrPort, wanted []uint32, toPush []Entry) {
--- a/pkg/membership/updates.go
+++ b/pkg/membership/updates.go
@@ -40,8 +40,8 @@
 	c.replaceEntry(r, e, via)
 }
 
-// addMember adds an unknown member. Dead members are not added: they would reappear
-// for as long as some host remembers them.
+// addMember adds an unknown member. Dead members are not added: they would
+// reappear for as long as some host remembers them.
 func (c *Core) addMember(e Entry, via updateSource) {
 	if e.State == Dead {
 		return
@@ -87,8 +87,8 @@
 	c.entryChanged(r, old.State, minor, via)
 }
 
-// entryChanged carries out the consequences of a new entry in r. Updates from a sync
-// may be old, so they are not gossiped but left to further syncs.
+// entryChanged carries out the consequences of a new entry in r. Updates from a
+// sync may be old, so they are not gossiped but left to further syncs.
 func (c *Core) entryChanged(r *record, was State, minor bool, via updateSource) {
 	switch r.entry.State {
 	case Alive:
@@ -119,7 +119,7 @@
 
 // declare sets the state of a member by this host's own failure detection.
 func (c *Core) declare(r *record, s State) {
-	if c.wake.waking {
+	if c.resume.resuming {
 		c.emit(event.InvariantWakingJudged, &r.entry)
 		return
 	}
@@ -143,8 +143,8 @@
 	c.dirty = true
 }
 
-// applySelfUpdate refutes an update about this host that it did not issue, by raising
-// its incarnation. It never applies such an update.
+// applySelfUpdate refutes an update about this host that it did not issue, by
+// raising its incarnation. It never applies such an update.
 func (c *Core) applySelfUpdate(e *Entry) {
 	if e.Incarnation < c.self.Incarnation || c.stopped {
 		return
