--- a/pkg/balancer/embedding_example_test.go
+++ b/pkg/balancer/embedding_example_test.go
@@ -21,11 +21,11 @@
 	waiting *queue.Queue[string]
 }
 
-// exchangeTime is how long an exchange takes in the example.
+// exchangeTime is the duration of an exchange in the example.
 const exchangeTime = time.Millisecond
 
-// exchange stands for the embedder's own client. The connection to the first
-// upstream fails.
+// exchange stands in for the embedder's own HTTP client. The connection to the
+// first upstream fails.
 func exchange(u *balancer.Upstream) errkind.Kind {
 	if u.ID == "a" {
 		return errkind.ConnectFailed
@@ -33,7 +33,7 @@
 	return errkind.None
 }
 
-// send makes one send and reports how it went to the policy and the limit.
+// send makes one attempt and reports the result to the policy and the limiter.
 func (g *group) send(u *balancer.Upstream, now time.Time) errkind.Kind {
 	call := u.Begin(now)
 	kind := exchange(u)
@@ -48,7 +48,7 @@
 	return kind
 }
 
-// wait keeps a request until a slot is free. Its place in the limit goes back.
+// wait queues a request until a slot is free and returns its limiter permit.
 func (g *group) wait(now, deadline time.Time) {
 	g.limiter.Release(limit.Sample{Outcome: limit.Ignored})
 	e := &queue.Entry[string]{Value: "lookup", Priority: queue.Normal, Deadline: deadline}
@@ -56,7 +56,7 @@
 	fmt.Println("waits:", reason == queue.Kept)
 }
 
-// run serves one request that may run twice.
+// run serves one repeatable request.
 func (g *group) run(now, deadline time.Time) {
 	info := balancer.PickInfo{Now: now, Random: 1}
 	attempt := retry.Attempt{Repeatable: true, MaxAttempts: 2}
@@ -82,15 +82,15 @@
 		attempt.Sent++
 		attempt.Left = deadline.Sub(info.Now)
 		decision := retry.Decide(attempt, g.budget)
-		fmt.Println(choice.Upstream.ID, "failed; another send:", decision)
+		fmt.Println(choice.Upstream.ID, "failed; retry:", decision)
 		if decision != retry.Allowed {
 			return
 		}
 	}
 }
 
-// One request through all parts of the call path: limit, policy, retry budget,
-// and the queue when every upstream is believed full.
+// One request through all parts of the call path: limiter, policy, retry budget,
+// and the queue if every upstream is estimated to be full.
 func Example_callPath() {
 	members := []*balancer.Upstream{
 		{ID: "a", Address: "10.0.0.1:8080", FailureDomain: "hanoi", Slots: 3},
@@ -106,6 +106,6 @@
 	now := time.Unix(1000, 0)
 	g.run(now, now.Add(100*time.Millisecond))
 	// Output:
-	// a failed; another send: allowed
+	// a failed; retry: allowed
 	// answered by b
 }
--- a/pkg/balancer/ewma.go
+++ b/pkg/balancer/ewma.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// ewma is a moving average over time. Concurrent samples may lose one another,
-// which only weakens the average.
+// ewma is an exponentially weighted moving average over time. Of concurrent samples
+// some may be lost, which only makes the average less precise.
 type ewma struct {
 	mean atomic.Int64 // ns
 	at   atomic.Int64 // Unix time in ns of the last sample, 0 if none
@@ -17,7 +17,7 @@
 	e.blend(now, sample)
 }
 
-// addPeak takes a sample above the decayed average at full weight.
+// addPeak adds a sample, which replaces the average if it exceeds the decayed average.
 func (e *ewma) addPeak(now time.Time, sample time.Duration) {
 	mean, age := e.value(now)
 	if float64(sample) > float64(mean)*weight(age) {
@@ -50,9 +50,9 @@
 	return math.Exp(-float64(age) / float64(LatencyDecay))
 }
 
-// blendOver mixes a sample in by how long ago the last one was: after decay
-// the old average has lost 63% of its weight. A sample weighs at least a
-// quarter, so that two in a row count although no time has passed.
+// blendOver adds a sample, weighted by the time since the last one: after decay the
+// old average has lost 63% of its weight. A sample has a weight of at least a
+// quarter, so that consecutive samples count even if no time has passed between them.
 func (e *ewma) blendOver(now time.Time, sample, decay time.Duration) {
 	mean, age := e.value(now)
 	w := min(math.Exp(-float64(age)/float64(decay)), maxBlendWeight)
@@ -60,5 +60,5 @@
 	e.at.Store(now.UnixNano())
 }
 
-// maxBlendWeight bounds what the old average keeps of its weight.
+// maxBlendWeight is the maximum weight of the old average in blendOver.
 const maxBlendWeight = 0.75
--- a/pkg/balancer/example_test.go
+++ b/pkg/balancer/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/spindle"
 )
 
-// A program that embeds a policy keeps the records of its upstreams, publishes
-// the picker that Update returns, and reports the end of each request.
+// A program that embeds a policy keeps the state of its upstreams, publishes the
+// picker that Update returns, and reports the end of each request.
 func Example() {
 	a := &balancer.Upstream{ID: "a", Address: "10.0.0.1:8080", FailureDomain: "hanoi", Slots: 3}
 	b := &balancer.Upstream{ID: "b", Address: "10.0.0.2:8080", FailureDomain: "bac-ninh", Slots: 3}
--- a/pkg/balancer/feedback.go
+++ b/pkg/balancer/feedback.go
@@ -2,72 +2,74 @@
 
 import "time"
 
-// Outcome says how a send ended, as far as a policy cares.
+// Outcome is the result of an attempt as policies distinguish it.
 type Outcome uint8
 
 const (
-	// Answered is a whole answer.
+	// Answered means that a complete response arrived.
 	Answered Outcome = iota
-	// Refused is an upstream that declared it did not run the request.
+	// Refused means that the upstream stated that it did not execute the request.
 	Refused
-	// Failed is an error of the upstream or of the connection to it.
+	// Failed means an error of the upstream or of the connection to it.
 	Failed
-	// Cancelled is a send that the entry host gave up; it says nothing on the upstream.
+	// Cancelled means that the entry host abandoned the attempt, which says nothing
+	// about the upstream.
 	Cancelled
 )
 
-// Report is the load that an upstream stated in an answer or a probe.
+// Report is the load that an upstream reported in a response to a request or a probe.
 type Report struct {
-	// Valid is false when the answer carried no report.
+	// Valid is false if the response carried no report.
 	Valid bool
 	// InFlight is the number of requests at the upstream, over all entry hosts.
 	InFlight int
-	// Age is the time between the sampling of InFlight and the answer's arrival.
+	// Age is the time between the sampling of InFlight and the arrival of the response.
 	Age time.Duration
-	// Slots is the number of requests that it serves at the same time; 0 if the
-	// report does not say.
+	// Slots is the number of requests that the upstream serves concurrently; 0 if
+	// the report does not include it.
 	Slots int
-	// Slowdown is how long work takes there at this moment, relative to usual;
-	// 0 if the report does not say.
+	// Slowdown is the current processing time relative to the usual one; 0 if the
+	// report does not include it.
 	Slowdown float64
 }
 
-// Feedback is the end of one send or one probe.
+// Feedback describes the end of one attempt or one probe.
 type Feedback struct {
-	// Now is the time of the end, from the caller's clock.
+	// Now is the end time, from the caller's clock.
 	Now time.Time
-	// Latency is the time since the send.
+	// Latency is the time since the start of the attempt.
 	Latency time.Duration
-	// Outcome says how it ended.
+	// Outcome is the result.
 	Outcome Outcome
-	// Report is the load report that came with the answer.
+	// Report is the load report in the response.
 	Report Report
-	// Asked is when a probe was sent; zero for the answer to a request.
+	// Asked marks when a probe was sent; zero for the response to a request.
 	Asked Mark
-	// Target is the time within which an answer has its full worth; 0 if unknown.
+	// Target is the target latency, within which a response has its full value; 0 if
+	// unknown.
 	Target time.Duration
-	// Sent is what was known of the upstream's load at the send, that request
-	// included; nil if nothing fresh was. Finish sets it.
+	// Sent is the upstream's load as known at the start of the attempt, including
+	// that request; nil if none was known. Finish sets it.
 	Sent *Load
 }
 
-// IsAnswerToProbe reports whether f is an upstream's answer to a probe, with its load.
-func (f *Feedback) IsAnswerToProbe() bool { return f.Asked.set && f.Report.Valid }
+// IsProbeResponse reports whether f is a probe response with a load report.
+func (f *Feedback) IsProbeResponse() bool { return f.Asked.set && f.Report.Valid }
 
-// Call is one request in flight. It belongs to the goroutine that sent it.
+// Call is one attempt in flight. It is owned by the goroutine that sent it.
 type Call struct {
-	// Upstream is where it was sent.
+	// Upstream is the upstream that it was sent to.
 	Upstream *Upstream
-	// Started is the time of the send.
+	// Started is the start time.
 	Started time.Time
 
-	cell int
-	load *Load
+	startIndex int
+	load       *Load
 }
 
 // Finish records the end of a call and passes the feedback to the picker.
-// Traffic goroutines call it exactly once for each Begin; the picker is the
-// one in force now, which may be newer than the one that chose.
+// Traffic goroutines call it exactly once for each Begin, with the current
+// picker, which may be newer than the one that made the choice.
 func Finish(p Picker, c Call, f Feedback) {
 	f.Sent = c.load
 	c.Upstream.end(c, f)
@@ -76,14 +78,14 @@
 	}
 }
 
-// FinishProbe records the answer of a probe. Its latency does not count as a
-// request's.
+// FinishProbe records the result of a probe. Its latency is not added to the
+// request latencies.
 func FinishProbe(p Picker, u *Upstream, f Feedback) {
-	u.learnReport(f)
-	u.learnLoad(f)
+	u.recordReport(f)
+	u.recordLoad(f)
 	if f.Outcome == Failed {
 		u.failedAt.Store(f.Now.UnixNano())
-		u.trouble.blendOver(f.Now, troubleUnit, FailureRateDecay)
+		u.failureRate.blendOver(f.Now, failureUnit, FailureRateDecay)
 	}
 	if o, ok := p.(Observer); ok {
 		o.Observe(u, f)
--- a/pkg/balancer/leastoutstanding/leastoutstanding.go
+++ b/pkg/balancer/leastoutstanding/leastoutstanding.go
@@ -1,5 +1,5 @@
 // Package leastoutstanding chooses the upstream with the fewest requests in
-// flight from this entry host. It is a baseline.
+// flight from this entry host. It is a baseline for comparisons.
 package leastoutstanding
 
 import "github.com/dapplespindle/dapplespindle/pkg/balancer"
@@ -27,7 +27,7 @@
 	members []*balancer.Upstream
 }
 
-// Pick scans from a random start, so that ties are spread.
+// Pick scans from a random index, so that ties are broken evenly.
 func (p *picker) Pick(info balancer.PickInfo) (balancer.Result, error) {
 	n := len(p.members)
 	if n == 0 {
--- a/pkg/balancer/peakewma/peakewma.go
+++ b/pkg/balancer/peakewma/peakewma.go
@@ -1,6 +1,6 @@
-// Package peakewma draws two upstreams and takes the one with the lower
-// product of peak latency and requests in flight from this entry host. It is
-// a baseline.
+// Package peakewma selects two upstreams at random and chooses the one with the
+// lower product of peak latency and requests in flight from this entry host. It
+// is a baseline for comparisons.
 package peakewma
 
 import (
@@ -32,7 +32,7 @@
 	members []*balancer.Upstream
 }
 
-// Pick compares the cost of two members that were not tried.
+// Pick compares the cost of two random eligible members.
 func (p *picker) Pick(info balancer.PickInfo) (balancer.Result, error) {
 	a, b := balancer.TwoFrom(p.members, info)
 	switch {
--- a/pkg/balancer/probefirst/probefirst.go
+++ b/pkg/balancer/probefirst/probefirst.go
@@ -101,7 +101,7 @@
 // Observe implements balancer.Observer.
 func (p *picker) Observe(u *balancer.Upstream, f balancer.Feedback) {
 	p.crowding.observe(f)
-	if l := u.Load(); f.IsAnswerToProbe() && l != nil {
+	if l := u.Load(); f.IsProbeResponse() && l != nil {
 		p.idle.add(cost(u, l, p.crowding.learned(), f.Now) <= IdleCost)
 	}
 }
--- a/pkg/balancer/probepool/probepool.go
+++ b/pkg/balancer/probepool/probepool.go
@@ -1,7 +1,7 @@
 // Package probepool keeps a small pool of recent load reports and chooses from
-// it: among upstreams with few requests in flight the one with the lowest
-// latency (cold), otherwise the one with the fewest requests in flight (hot).
-// Reports come from probes and from answers. It is a baseline.
+// it: among upstreams with few requests in flight (cold) the one with the lowest
+// latency, otherwise (all hot) the one with the fewest requests in flight.
+// Reports come from probes and from responses. It is a baseline for comparisons.
 package probepool
 
 import (
@@ -15,13 +15,13 @@
 const Name = "probe-pool"
 
 const (
-	// PoolSize is the number of reports kept.
+	// PoolSize is the maximum number of reports in the pool.
 	PoolSize = 16
-	// MaxAge is the age at which a report is no longer used.
+	// MaxAge is the age above which a report is no longer used.
 	MaxAge = time.Second
-	// MaxUses is how often one report may decide.
+	// MaxUses is how often one report may be used for a choice.
 	MaxUses = 2
-	// HotQuantile splits hot from cold by requests in flight.
+	// HotQuantile is the quantile of requests in flight up to which an upstream is cold.
 	HotQuantile = 0.84
 )
 
@@ -43,7 +43,7 @@
 	uses     atomic.Int64
 }
 
-// policy holds the pool, which outlives a snapshot.
+// policy holds the pool, which is kept across snapshots.
 type policy struct {
 	pool [PoolSize]atomic.Pointer[entry]
 	next atomic.Uint64
@@ -80,12 +80,13 @@
 	p.policy.pool[p.policy.next.Add(1)%PoolSize].Store(e)
 }
 
-// Probe implements balancer.Prober with a random member.
+// Probe implements balancer.Prober by returning a random member.
 func (p *picker) Probe(now time.Time, random uint64) *balancer.Upstream {
 	return balancer.FirstFrom(p.members, random, balancer.PickInfo{Now: now})
 }
 
-// Pick applies the hot-cold rule, or draws at random from an empty pool.
+// Pick applies the hot-cold rule, or chooses a random member if the pool has fewer
+// than two usable reports.
 func (p *picker) Pick(info balancer.PickInfo) (balancer.Result, error) {
 	var usable [PoolSize]*entry
 	n := p.collect(&usable, info)
@@ -141,7 +142,7 @@
 	return hot
 }
 
-// hotLimit is the largest number in flight that still counts as cold.
+// hotLimit returns the largest number of requests in flight that counts as cold.
 func hotLimit(pool []*entry) int64 {
 	var counts [PoolSize]int64
 	for i, e := range pool {
--- a/pkg/balancer/random/random.go
+++ b/pkg/balancer/random/random.go
@@ -1,4 +1,5 @@
-// Package random chooses an upstream with equal chance. It is a baseline.
+// Package random chooses among the upstreams with equal probability. It is a
+// baseline for comparisons.
 package random
 
 import "github.com/dapplespindle/dapplespindle/pkg/balancer"
@@ -26,7 +27,7 @@
 	members []*balancer.Upstream
 }
 
-// Pick takes the first member from a random start that was not tried.
+// Pick returns the first eligible member after a random index.
 func (p *picker) Pick(info balancer.PickInfo) (balancer.Result, error) {
 	u := balancer.FirstFrom(p.members, info.Random, info)
 	if u == nil {
--- a/pkg/balancer/registry/baselines_test.go
+++ b/pkg/balancer/registry/baselines_test.go
@@ -10,7 +10,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/registry"
 )
 
-// TestBaselinesPreferTheBetter holds what each baseline goes by, on two upstreams.
+// TestBaselinesPreferTheBetter checks the criterion of each baseline on two upstreams.
 func TestBaselinesPreferTheBetter(t *testing.T) {
 	now := time.Unix(1, 0)
 	answer := func(p balancer.Picker, u *balancer.Upstream, latency time.Duration, inFlight int) {
@@ -32,11 +32,11 @@
 		}},
 		{"probe-pool", func(p balancer.Picker, bad, good *balancer.Upstream) {
 			answer(p, bad, time.Millisecond, 9)
-			answer(p, good, 5*time.Millisecond, 1) // hot counts more than slow
+			answer(p, good, 5*time.Millisecond, 1) // load takes precedence over latency
 		}},
 		{"probe-pool", func(p balancer.Picker, bad, good *balancer.Upstream) {
 			answer(p, bad, 5*time.Millisecond, 1)
-			answer(p, good, time.Millisecond, 1) // both cold: the faster
+			answer(p, good, time.Millisecond, 1) // both cold: the lower latency
 		}},
 	}
 	for _, c := range cases {
--- a/pkg/balancer/registry/bench_test.go
+++ b/pkg/balancer/registry/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/registry"
 )
 
-// BenchmarkPick measures one choice and its feedback on a group where every
-// upstream has reported.
+// BenchmarkPick measures one choice in a group where every upstream has reported
+// its load.
 func BenchmarkPick(b *testing.B) {
 	for _, name := range registry.Names() {
 		for _, size := range []int{10, 100, 1000} {
--- a/pkg/balancer/registry/registry.go
+++ b/pkg/balancer/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry finds a policy's builder by the name that stands in
-// configuration documents.
+// Package registry looks up the builder of a policy by its name in configuration
+// documents.
 package registry
 
 import (
@@ -18,15 +18,15 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer/twochoices"
 )
 
-// UnknownPolicyError is a name that no builder has.
+// UnknownPolicyError is returned for a name that no policy has.
 type UnknownPolicyError struct {
-	// Policy is the name that was asked for.
+	// Policy is the unknown name.
 	Policy string
 }
 
-// Error implements error and lists the names that exist.
+// Error implements error and lists the known names.
 func (e *UnknownPolicyError) Error() string {
-	return "unknown policy " + e.Policy + "; write one of " + strings.Join(Names(), ", ")
+	return "unknown policy " + e.Policy + "; expected one of " + strings.Join(Names(), ", ")
 }
 
 var builders = index(
--- a/pkg/balancer/registry/registry_test.go
+++ b/pkg/balancer/registry/registry_test.go
@@ -31,7 +31,7 @@
 	is.Equal(unknown.Policy, "best")
 }
 
-// TestEveryPolicy holds what all policies have in common.
+// TestEveryPolicy checks what all policies have in common.
 func TestEveryPolicy(t *testing.T) {
 	now := time.Unix(1, 0)
 	for _, name := range registry.Names() {
@@ -69,14 +69,14 @@
 			}
 			is.Equal(len(seen), 5)
 			for _, n := range seen {
-				is.True(n > 120 && n < 280) // no upstream is favoured while nothing is known
+				is.True(n > 120 && n < 280) // no upstream is preferred while nothing is known
 			}
 		})
 	}
 }
 
-// hosts is the number of entry hosts over which choices must be even: each one
-// prefers some upstreams under the spindle policy.
+// hosts is the number of entry hosts over which choices must be even: with the
+// spindle policy each host prefers some upstreams.
 func hosts(policy string) int {
 	if policy == spindle.Name {
 		return 40
--- a/pkg/balancer/roundrobin/roundrobin.go
+++ b/pkg/balancer/roundrobin/roundrobin.go
@@ -1,4 +1,5 @@
-// Package roundrobin takes the upstreams in turn. It is a baseline.
+// Package roundrobin chooses the upstreams in turn. It is a baseline for
+// comparisons.
 package roundrobin
 
 import (
@@ -23,7 +24,7 @@
 	return p
 }
 
-// policy holds the turn, which outlives a snapshot.
+// policy holds the position, which is kept across snapshots.
 type policy struct {
 	next atomic.Uint64
 }
@@ -38,7 +39,7 @@
 	members []*balancer.Upstream
 }
 
-// Pick takes the next member that was not tried.
+// Pick returns the next eligible member.
 func (p *picker) Pick(info balancer.PickInfo) (balancer.Result, error) {
 	u := balancer.FirstFrom(p.members, p.policy.next.Add(1), info)
 	if u == nil {
--- a/pkg/balancer/sample.go
+++ b/pkg/balancer/sample.go
@@ -1,7 +1,7 @@
 package balancer
 
-// FirstFrom returns the first member that was not tried, from a start modulo
-// the number of members; nil if there is none.
+// FirstFrom returns the first member that info does not exclude, searching from
+// index start modulo the number of members; nil if there is none.
 func FirstFrom(members []*Upstream, start uint64, info PickInfo) *Upstream {
 	n := uint64(len(members))
 	for i := range n {
@@ -12,8 +12,8 @@
 	return nil
 }
 
-// TwoFrom returns two different members that were not tried, drawn by
-// info.Random. The second is nil if only one is left, both if none.
+// TwoFrom returns two different members that info does not exclude, selected by
+// info.Random. The second is nil if only one is available, both if none is.
 func TwoFrom(members []*Upstream, info PickInfo) (first, second *Upstream) {
 	n := uint64(len(members))
 	if n == 0 {
@@ -33,8 +33,8 @@
 	return first, nil
 }
 
-// Mix returns the next number of a sequence that starts at x, for policies that need
-// several draws for one choice (the splitmix64 step).
+// Mix returns the pseudo-random number that follows x (one splitmix64 step), for
+// policies that need several random numbers for one choice.
 func Mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/pkg/balancer/twochoices/twochoices.go
+++ b/pkg/balancer/twochoices/twochoices.go
@@ -1,5 +1,5 @@
-// Package twochoices draws two upstreams and takes the one with fewer requests
-// in flight from this entry host. It is a baseline.
+// Package twochoices selects two upstreams at random and chooses the one with
+// fewer requests in flight from this entry host. It is a baseline for comparisons.
 package twochoices
 
 import "github.com/dapplespindle/dapplespindle/pkg/balancer"
@@ -27,7 +27,7 @@
 	members []*balancer.Upstream
 }
 
-// Pick compares two members that were not tried.
+// Pick compares two random eligible members.
 func (p *picker) Pick(info balancer.PickInfo) (balancer.Result, error) {
 	a, b := balancer.TwoFrom(p.members, info)
 	switch {
--- a/pkg/balancer/upstream.go
+++ b/pkg/balancer/upstream.go
@@ -13,85 +13,88 @@
 const (
 	// LatencyDecay is the time after which a latency sample has lost 63% of its weight.
 	LatencyDecay = 100 * time.Millisecond
-	// FailureRateDecay is the time after which a failed send has lost 63% of its
-	// weight: some seconds, in which an entry host sends to an upstream again.
+	// FailureRateDecay is the time after which a failed attempt has lost 63% of its
+	// weight. It is some seconds because an entry host sends to the same upstream
+	// again within that time.
 	FailureRateDecay = 4 * time.Second
-	// troubleUnit is a share of 1 in the moving average.
-	troubleUnit = time.Second
-	// maxTracked is the number of sends whose start is known, per upstream.
+	// failureUnit represents a failure rate of 1 in the moving average.
+	failureUnit = time.Second
+	// maxTracked is the number of calls in flight whose start time is tracked, per upstream.
 	maxTracked = 8
-	// untracked marks a call whose start has no cell.
+	// untracked marks a call whose start time is not tracked.
 	untracked = -1
 
 	reportTimeBits = 52
 	maxReported    = 1<<(64-reportTimeBits) - 1
 )
 
-// Upstream is one server as seen by one entry host. Identity fields are
-// immutable; the rest is updated by traffic goroutines through atomics.
+// Upstream is the state that one entry host keeps of one upstream. The identity
+// fields are immutable; traffic goroutines update the rest atomically.
 type Upstream struct {
 	// ID identifies the upstream.
 	ID string
-	// Activation counts the starts under this id that are known; a record is of one.
+	// Activation counts the known starts of a process under this ID. The state is that
+	// of one such start.
 	Activation uint64
 	// Address is "IP:port".
 	Address string
-	// FailureDomain is where it runs.
+	// FailureDomain is the failure domain that it runs in.
 	FailureDomain string
-	// Slots is the number of requests it serves at the same time.
+	// Slots is the number of requests that it serves concurrently.
 	Slots int
-	// MaxConnections bounds the connections over all entry hosts; 0 is no bound.
+	// MaxConnections limits the connections over all entry hosts; 0 means no limit.
 	MaxConnections int
-	// Cold is how cold it is, and what it bears meanwhile.
+	// Cold is its warm-up state and the request rate that it accepts until it is warm.
 	Cold coldstart.Upstream
-	// Rest is the rest that it asked this host for.
+	// Rest is the backoff period that it requested from this host.
 	Rest rest.State
-	// Limit is the limit that it names for all hosts together, and this host's turns; nil
-	// is none.
+	// Limit is the rate limit that it has set for all hosts together, with this host's
+	// time slots; nil means none.
 	Limit *ratelimit.State
-	// Added is when it joined the group; zero if it was there at the start.
+	// Added is the time when it joined the group; zero if it was a member from the start.
 	Added time.Time
 
 	outstanding atomic.Int64
-	begun       atomic.Int64             // sends, ever
+	begun       atomic.Int64             // attempts started in total
 	started     [maxTracked]atomic.Int64 // Unix time in ns, 0 if free
 	latency     ewma
 	peak        ewma
-	report      atomic.Uint64 // others in flight and Unix time in µs
+	report      atomic.Uint64 // requests in flight of other hosts, and Unix time in µs
 	failures    atomic.Int64
 	failedAt    atomic.Int64 // Unix time in ns
 	refusedAt   atomic.Int64 // Unix time in ns, 0 if never
 	load        atomic.Pointer[Load]
-	trouble     ewma // share of recent sends that failed, in units of troubleUnit
+	failureRate ewma // share of recent attempts that failed, in units of failureUnit
 }
 
-// Load is the newest whole load report of an upstream.
+// Load is the newest complete load report of an upstream.
 type Load struct {
-	// InFlight is the number of requests there, waiting ones included.
+	// InFlight is the number of requests there, including queued ones.
 	InFlight int
-	// Slots is the number of requests that it serves at the same time.
+	// Slots is the number of requests that the upstream serves concurrently.
 	Slots int
-	// Slowdown is how long work takes there, relative to usual.
+	// Slowdown is the processing time there relative to the usual one.
 	Slowdown float64
-	// At is when it arrived.
+	// At is the time when the load was sampled.
 	At time.Time
-	// begun and ended count this entry host's sends that the report may hold.
+	// begun and ended count this entry host's attempts that the report may include.
 	begun, ended int64
 }
 
-// Mark is a moment in the sends of one entry host to one upstream.
+// Mark is a position in the sequence of attempts from one entry host to one upstream.
 type Mark struct {
 	begun int64
 	set   bool
 }
 
-// Mark returns the present moment. What is sent after it may be missing in a
-// report that is asked for now.
+// Mark returns the current position. A report that is queried now may not include
+// attempts that start later.
 func (u *Upstream) Mark() Mark { return Mark{u.begun.Load(), true} }
 
-// Load returns the newest whole load report, or nil. InFlight counts what this
-// entry host has sent since it asked, and seen end since the answer came: where
-// the report may or may not hold a request, it is counted.
+// Load returns the newest complete load report, or nil. InFlight is adjusted by the
+// attempts that this entry host has started since it sent the query and by those
+// that have ended since the response arrived: a request that the report may or may
+// not include is counted.
 func (u *Upstream) Load() *Load {
 	l := u.load.Load()
 	if l == nil {
@@ -104,8 +107,9 @@
 	return &now
 }
 
-// learnLoad keeps a whole report. Of two that arrive at once one may be lost.
-func (u *Upstream) learnLoad(f Feedback) {
+// recordLoad stores a complete report. Of two that arrive at the same time, one may
+// be lost.
+func (u *Upstream) recordLoad(f Feedback) {
 	if !f.Report.Valid || f.Report.Slots == 0 {
 		return
 	}
@@ -124,19 +128,19 @@
 	})
 }
 
-// SendDelay returns how much longer u gets nothing from this host: it rests, or this host has
-// its next turn only then. It is 0 if a request may be sent now.
+// SendDelay returns how long this host must not send to u, because u is backing off or
+// because this host's next time slot has not begun. It is 0 if a request may be sent now.
 func (u *Upstream) SendDelay(now time.Time) time.Duration {
 	return max(u.Rest.Left(now), u.Limit.Delay(now))
 }
 
-// HasTimeSlot reports whether u names a limit and this host may send it a request now.
+// HasTimeSlot reports whether u has set a rate limit and this host may send it a request now.
 func (u *Upstream) HasTimeSlot(now time.Time) bool { return u.Limit.Limited() && u.Limit.Open(now) }
 
-// Outstanding returns the requests that this entry host has in flight there.
+// Outstanding returns the number of requests that this entry host has in flight to u.
 func (u *Upstream) Outstanding() int64 { return u.outstanding.Load() }
 
-// Start records a request sent to u without its time. Prefer Begin.
+// Start records a request sent to u without its start time. Prefer Begin.
 func (u *Upstream) Start() {
 	u.begun.Add(1)
 	u.outstanding.Add(1)
@@ -145,15 +149,15 @@
 // Done records the end of a request that was recorded with Start.
 func (u *Upstream) Done() { u.outstanding.Add(-1) }
 
-// Begin records a request sent to u. Finish must be called once for the result.
+// Begin records a request sent to u. Finish must be called exactly once with the result.
 func (u *Upstream) Begin(now time.Time) Call {
 	u.begun.Add(1)
 	u.outstanding.Add(1)
 	load := u.Load()
-	c := Call{Upstream: u, Started: now, cell: untracked, load: load}
+	c := Call{Upstream: u, Started: now, startIndex: untracked, load: load}
 	for i := range u.started {
 		if u.started[i].CompareAndSwap(0, now.UnixNano()) {
-			c.cell = i
+			c.startIndex = i
 			break
 		}
 	}
@@ -161,31 +165,32 @@
 }
 
 func (u *Upstream) end(c Call, f Feedback) {
-	u.learnReport(f)
+	u.recordReport(f)
 	u.outstanding.Add(-1)
-	u.learnLoad(f)
-	if c.cell != untracked {
-		u.started[c.cell].Store(0)
+	u.recordLoad(f)
+	if c.startIndex != untracked {
+		u.started[c.startIndex].Store(0)
 	}
 	switch f.Outcome {
 	case Answered:
 		u.failures.Store(0)
-		u.trouble.blendOver(f.Now, 0, FailureRateDecay)
+		u.failureRate.blendOver(f.Now, 0, FailureRateDecay)
 		u.latency.add(f.Now, f.Latency)
 		u.peak.addPeak(f.Now, f.Latency)
 	case Failed:
 		u.failedAt.Store(f.Now.UnixNano())
 		u.failures.Add(1)
-		u.trouble.blendOver(f.Now, troubleUnit, FailureRateDecay)
+		u.failureRate.blendOver(f.Now, failureUnit, FailureRateDecay)
 	case Refused:
 		u.refusedAt.Store(f.Now.UnixNano())
 	case Cancelled:
 	}
 }
 
-// learnReport keeps the share of other entry hosts: what was reported less
-// what this host has in flight itself. An older sample does not replace a newer.
-func (u *Upstream) learnReport(f Feedback) {
+// recordReport stores the number of requests of other entry hosts: the reported
+// number less this host's own requests in flight. An older sample does not replace
+// a newer one.
+func (u *Upstream) recordReport(f Feedback) {
 	if !f.Report.Valid {
 		return
 	}
@@ -200,9 +205,9 @@
 	}
 }
 
-// RemoteInFlight returns the requests that other entry hosts had in flight there by
-// the newest report, and the report's age at the given time. It is false if
-// there was none.
+// RemoteInFlight returns the number of requests that other entry hosts had in flight
+// according to the newest report, and the age of that report. ok is false if there
+// was no report.
 func (u *Upstream) RemoteInFlight(now time.Time) (count int64, age time.Duration, ok bool) {
 	r := u.report.Load()
 	if r == 0 {
@@ -213,15 +218,15 @@
 	return int64(r >> reportTimeBits), max(age, 0), true
 }
 
-// FailureRate returns the share of this host's recent sends there that failed, from
-// 0 to 1. It fades with time when nothing is sent.
+// FailureRate returns the share of this host's recent attempts at u that failed, from
+// 0 to 1. It decays over time when nothing is sent.
 func (u *Upstream) FailureRate(now time.Time) float64 {
-	share, age := u.trouble.value(now)
-	return float64(share) / float64(troubleUnit) * math.Exp(-float64(age)/float64(FailureRateDecay))
+	share, age := u.failureRate.value(now)
+	return float64(share) / float64(failureUnit) * math.Exp(-float64(age)/float64(FailureRateDecay))
 }
 
-// OldestAge returns how long the oldest request in flight has been waiting for
-// its answer. At most eight sends are tracked.
+// OldestAge returns how long the oldest request in flight has been waiting for its
+// response. At most eight requests are tracked.
 func (u *Upstream) OldestAge(now time.Time) time.Duration {
 	oldest := int64(math.MaxInt64)
 	for i := range u.started {
@@ -235,26 +240,26 @@
 	return max(time.Duration(now.UnixNano()-oldest), 0)
 }
 
-// Latency returns the moving average of answers and the time since the last;
-// zero if there was none.
+// Latency returns the moving average of the response latency and the time since the
+// last response; both are zero if there was none.
 func (u *Upstream) Latency(now time.Time) (mean, age time.Duration) {
 	return u.latency.value(now)
 }
 
-// PeakLatency returns a moving average that follows a rise at once and decays
-// slowly; zero if there was no answer.
+// PeakLatency returns a moving average that follows a rise immediately and decays
+// slowly; zero if there was no response.
 func (u *Upstream) PeakLatency(now time.Time) time.Duration {
 	v, age := u.peak.value(now)
 	return time.Duration(float64(v) * math.Exp(-float64(age)/float64(LatencyDecay)))
 }
 
-// Failures returns the failures since the last answer and the time since the
-// last failure.
+// Failures returns the number of failures since the last response and the time since
+// the last failure.
 func (u *Upstream) Failures(now time.Time) (count int64, age time.Duration) {
 	return u.failures.Load(), time.Duration(now.UnixNano() - u.failedAt.Load())
 }
 
-// SinceRefusal returns the time since the upstream last refused a request; it is
+// SinceRefusal returns the time since the upstream last refused a request; ok is
 // false if it never did.
 func (u *Upstream) SinceRefusal(now time.Time) (age time.Duration, ok bool) {
 	at := u.refusedAt.Load()
--- a/pkg/balancer/upstream_test.go
+++ b/pkg/balancer/upstream_test.go
@@ -13,10 +13,10 @@
 
 var start = time.Unix(1000, 0)
 
-// deaf is a picker that learns nothing.
-type deaf struct{}
+// noopPicker is a picker that is no Observer.
+type noopPicker struct{}
 
-func (deaf) Pick(balancer.PickInfo) (balancer.Result, error) {
+func (noopPicker) Pick(balancer.PickInfo) (balancer.Result, error) {
 	return balancer.Result{}, balancer.ErrNoUpstream
 }
 
@@ -29,7 +29,7 @@
 	is.True(!ok)
 	u.Begin(start)
 	c := u.Begin(start)
-	balancer.Finish(deaf{}, c, balancer.Feedback{
+	balancer.Finish(noopPicker{}, c, balancer.Feedback{
 		Now:    at(10 * time.Millisecond),
 		Report: balancer.Report{Valid: true, InFlight: 7, Age: 4 * time.Millisecond},
 	})
@@ -37,7 +37,7 @@
 	is.True(ok)
 	is.Equal(n, int64(5))
 	is.Equal(age, 5*time.Millisecond)
-	balancer.FinishProbe(deaf{}, u, balancer.Feedback{
+	balancer.FinishProbe(noopPicker{}, u, balancer.Feedback{
 		Now:    at(12 * time.Millisecond),
 		Report: balancer.Report{Valid: true, InFlight: 1, Age: 8 * time.Millisecond},
 	})
@@ -52,7 +52,7 @@
 	first := u.Begin(start)
 	u.Begin(at(time.Millisecond))
 	is.Equal(u.OldestAge(at(5*time.Millisecond)), 5*time.Millisecond)
-	balancer.Finish(deaf{}, first, balancer.Feedback{Now: at(5 * time.Millisecond)})
+	balancer.Finish(noopPicker{}, first, balancer.Feedback{Now: at(5 * time.Millisecond)})
 	is.Equal(u.OldestAge(at(5*time.Millisecond)), 4*time.Millisecond)
 }
 
@@ -61,7 +61,7 @@
 	u := &balancer.Upstream{}
 	for i, latency := range []time.Duration{2, 50, 2} {
 		now := at(time.Duration(i) * time.Millisecond)
-		balancer.Finish(deaf{}, u.Begin(now), balancer.Feedback{Now: now, Latency: latency * time.Millisecond})
+		balancer.Finish(noopPicker{}, u.Begin(now), balancer.Feedback{Now: now, Latency: latency * time.Millisecond})
 	}
 	soon := u.PeakLatency(at(3 * time.Millisecond))
 	is.True(soon > 40*time.Millisecond)
@@ -72,14 +72,14 @@
 	is := is.New(t)
 	u := &balancer.Upstream{}
 	end := func(o balancer.Outcome) {
-		balancer.Finish(deaf{}, u.Begin(start), balancer.Feedback{Now: start, Outcome: o})
+		balancer.Finish(noopPicker{}, u.Begin(start), balancer.Feedback{Now: start, Outcome: o})
 	}
 	end(balancer.Failed)
 	end(balancer.Failed)
 	n, age := u.Failures(at(time.Second))
 	is.Equal(n, int64(2))
 	is.Equal(age, time.Second)
-	end(balancer.Cancelled) // says nothing
+	end(balancer.Cancelled) // not counted
 	n, _ = u.Failures(start)
 	is.Equal(n, int64(2))
 	end(balancer.Answered)
@@ -94,7 +94,8 @@
 	is.Equal(u.Outstanding(), int64(0))
 }
 
-// TestConcurrentCalls leaves nothing outstanding, tracked or untracked.
+// TestConcurrentCalls checks that nothing stays outstanding, whether the start time was
+// tracked or not.
 func TestConcurrentCalls(t *testing.T) {
 	is := is.New(t)
 	u := &balancer.Upstream{}
@@ -103,7 +104,7 @@
 		wg.Go(func() {
 			for range 200 {
 				c := u.Begin(start)
-				balancer.Finish(deaf{}, c, balancer.Feedback{Now: at(time.Millisecond), Latency: time.Millisecond})
+				balancer.Finish(noopPicker{}, c, balancer.Feedback{Now: at(time.Millisecond), Latency: time.Millisecond})
 			}
 		})
 	}
