--- a/pkg/balancer/probefirst/idle_test.go
+++ b/pkg/balancer/probefirst/idle_test.go
@@ -34,14 +34,14 @@
 // queriesUntilChosen returns the number of queries for one request. The upstreams respond
 // with the given numbers of requests in flight, cyclically.
 func queriesUntilChosen(p *picker, info balancer.PickInfo, inFlight ...int) int {
-	asked := 0
+	queries := 0
 	for {
-		list := p.QueryTargets(info, asked)
+		list := p.QueryTargets(info, queries)
 		if len(list) == 0 {
-			return asked
+			return queries
 		}
-		answerProbe(p, list[0], info, inFlight[asked%len(inFlight)])
-		asked++
+		answerProbe(p, list[0], info, inFlight[queries%len(inFlight)])
+		queries++
 	}
 }
 
--- a/pkg/balancer/probefirst/probefirst_test.go
+++ b/pkg/balancer/probefirst/probefirst_test.go
@@ -77,18 +77,18 @@
 		members = append(members, member(strconv.Itoa(i), "here"))
 	}
 	p := pickerOf(members...)
-	asked := 0
+	queries := 0
 	for round := 0; ; round++ {
 		list := p.QueryTargets(balancer.PickInfo{Now: start}, round)
 		if len(list) == 0 {
 			break
 		}
-		asked += len(list)
+		queries += len(list)
 		for _, u := range list {
 			reportLoad(u, start, 5, 5)
 		}
 	}
-	is.Equal(asked, MaxRounds*QueriesPerRound)
+	is.Equal(queries, MaxRounds*QueriesPerRound)
 }
 
 func TestOwnRequestsCountImmediately(t *testing.T) {
--- a/pkg/balancer/spindle/constants.go
+++ b/pkg/balancer/spindle/constants.go
@@ -2,64 +2,66 @@
 
 import "time"
 
-// Constants are the tuning constants. docs/design/05-choosing.md names the run
-// that chose each.
+// Constants are the tuning constants. docs/design/05-choosing.md lists the measurement
+// behind each of them.
 type Constants struct {
-	// Sample is the number of upstreams that one choice looks at, at most 32:
-	// the preferred ones and others drawn at random.
+	// Sample is the number of upstreams that one choice considers, at most 32: the
+	// preferred ones and a random sample of the others.
 	Sample float64
 	// ReportDecay is the age, in expected service times, at which a report has
-	// lost 63% of its weight against the mean of the group.
+	// lost 63% of its weight in favour of the mean of the group.
 	ReportDecay float64
-	// NearEqual is the difference in cost, as a share of the expected answer
-	// time, within which upstreams count as equal and one is drawn.
+	// NearEqual is the difference in cost, in expected service times, within which
+	// upstreams count as equal and one is chosen at random.
 	NearEqual float64
-	// BindSlack is the estimated load above the slots, in requests, up to which
-	// a request is still bound.
+	// BindSlack is the estimated load above the slots, in requests, below which a request
+	// is still assigned to an upstream.
 	BindSlack float64
-	// MaxHold is the longest wait for a slot, in expected service times.
+	// MaxHold is the maximum wait for a slot, in expected service times.
 	MaxHold float64
 	// SlowRatio is the latency of an upstream, relative to the group, above
 	// which it counts as slow.
 	SlowRatio float64
-	// SlowAge is the age of the oldest request in flight, in expected answer
-	// times, above which an upstream counts as slow.
+	// SlowAge is the age of the oldest request in flight, in expected service times, above
+	// which an upstream counts as slow.
 	SlowAge float64
 	// HomeSize is the number of upstreams that an entry host prefers.
 	HomeSize float64
-	// AwayCost is the cost of an upstream that is not preferred, in expected
+	// AwayCost is the extra cost of an upstream that is not preferred, in expected
 	// service times.
 	AwayCost float64
 	// DomainCost is the round trip to another failure domain.
 	DomainCost time.Duration
-	// ColdFactor is the extra cost of an upstream that has just joined, in
-	// expected service times; it falls to 0 over the slow start.
+	// ColdFactor is the extra cost of an upstream that has just joined, in expected service
+	// times; it decreases linearly to 0 during the slow start.
 	ColdFactor float64
 	// RefusedHold is the time, in expected service times, for which an upstream
 	// that refused a request counts as full.
 	RefusedHold float64
-	// OverdueAfter is the time after which an answer is overdue, in expected
-	// service times.
+	// OverdueAfter is the time after which a response is overdue, in expected service
+	// times.
 	OverdueAfter float64
-	// ServiceQuantile is the quantile of the answer times that is tracked: a low
-	// one, since quick answers did not wait.
+	// ServiceQuantile is the quantile of the response times that is tracked: a low one,
+	// because fast responses include no queueing time.
 	ServiceQuantile float64
-	// ServiceScale relates that quantile to the mean service time: 3.2 for the
+	// ServiceScale is the ratio of the mean service time to that quantile: 3.2 for the
 	// first quartile of a log-normal distribution with shape 1.
 	ServiceScale float64
-	// QuantileStep is the relative change of the tracked quantile by one answer.
+	// QuantileStep is the relative change of the tracked quantile by one response.
 	QuantileStep float64
-	// AverageSamples is the number of reports over which the group's mean decays.
+	// AverageSamples is the decay constant of the group's mean load, in reports.
 	AverageSamples float64
-	// EjectFailures is the number of failures in a row that ejects an upstream.
+	// EjectFailures is the number of consecutive failures that ejects an upstream.
 	EjectFailures float64
-	// EjectTime is how long an ejected upstream stays out after its last failure.
+	// EjectTime is how long an upstream stays ejected after its last failure, for each
+	// failure from EjectFailures on.
 	EjectTime time.Duration
-	// EjectFloor is the share of the group below which nothing is ejected.
+	// EjectFloor is the minimum share of the considered upstreams that are not ejected. If
+	// fewer are left, ejection is ignored.
 	EjectFloor float64
 }
 
-// Defaults are the constants in force.
+// Defaults are the default constants.
 var Defaults = Constants{
 	Sample:          12,
 	ReportDecay:     0.6,
--- a/pkg/balancer/spindle/estimate.go
+++ b/pkg/balancer/spindle/estimate.go
@@ -11,15 +11,15 @@
 type candidate struct {
 	member  *member
 	load    float64 // estimated requests there, of all entry hosts
-	full    bool    // what is known, without the group's mean, fills it
-	cost    float64 // estimated time to the answer, ns; +Inf without a connection
+	full    bool    // own requests and the report, without the group's mean, fill it
+	cost    float64 // estimated time to the response, ns; +Inf if no connection is left
 	ejected bool
 }
 
-// estimate predicts load and time to the answer at m.
+// estimate predicts the load of m and the time to its response.
 func (p *picker) estimate(m *member, now time.Time, service float64) candidate {
 	own := float64(m.Outstanding())
-	reported, mean := p.others(m, now, service)
+	reported, mean := p.remoteLoad(m, now, service)
 	load := own + reported + mean
 	slots := float64(m.Slots)
 	queue := max(load+1-slots, 0) / slots
@@ -28,7 +28,7 @@
 		member:  m,
 		load:    load,
 		full:    own+reported >= slots+p.policy.constants.BindSlack,
-		cost:    m.rtt + service*(slow*(1+queue)+p.away(m)+p.cold(m, now)),
+		cost:    m.rtt + service*(slow*(1+queue)+p.awayCost(m)+p.slowStartCost(m, now)),
 		ejected: p.ejected(m, now),
 	}
 	if m.Outstanding() >= m.share {
@@ -37,15 +37,15 @@
 	return c
 }
 
-// others estimates the requests of other entry hosts as the sum of two parts:
-// the newest report, which loses weight as it ages, and the group's mean, which
-// takes that weight. An upstream that has just refused a request is full.
-func (p *picker) others(m *member, now time.Time, service float64) (reported, mean float64) {
+// remoteLoad estimates the requests of other entry hosts as a weighted sum of the newest
+// report and the group's mean. As the report ages, its weight shifts to the mean. An upstream that
+// has just refused a request counts as full.
+func (p *picker) remoteLoad(m *member, now time.Time, service float64) (reported, mean float64) {
 	c := p.policy.constants
 	if age, ok := m.SinceRefusal(now); ok && float64(age) < c.RefusedHold*service {
 		return float64(m.Slots) + c.BindSlack, 0
 	}
-	mean = p.policy.group.others.load()
+	mean = p.policy.group.remoteLoad.load()
 	n, age, ok := m.RemoteInFlight(now)
 	if !ok {
 		return 0, mean
@@ -54,17 +54,17 @@
 	return w * float64(n), (1 - w) * mean
 }
 
-// away is the extra cost of an upstream that this entry host does not prefer,
-// in expected service times.
-func (p *picker) away(m *member) float64 {
+// awayCost returns the extra cost of an upstream that this entry host does not prefer, in
+// expected service times.
+func (p *picker) awayCost(m *member) float64 {
 	if m.home {
 		return 0
 	}
 	return p.policy.constants.AwayCost
 }
 
-// cold is the extra cost of an upstream in its slow start, in expected service times.
-func (p *picker) cold(m *member, now time.Time) float64 {
+// slowStartCost returns the extra cost of an upstream in its slow start, in expected service times.
+func (p *picker) slowStartCost(m *member, now time.Time) float64 {
 	ramp := p.policy.options.SlowStart
 	since := now.Sub(m.Added)
 	if m.Added.IsZero() || since >= ramp {
@@ -73,8 +73,8 @@
 	return p.policy.constants.ColdFactor * (1 - float64(since)/float64(ramp))
 }
 
-// slowness is the factor by which m is slower than the group. A request that
-// is older than expected counts before its answer comes.
+// slowness returns the factor by which m is slower than the group. A request in flight that
+// is older than expected counts before its response arrives.
 func (p *picker) slowness(m *member, now time.Time, service float64) float64 {
 	c := p.policy.constants
 	factor := 1.0
@@ -94,10 +94,10 @@
 	return factor
 }
 
-// negligibleAge is the age, in time constants, at which a weight counts as 0.
+// negligibleAge is the age, in time constants, above which a weight is treated as 0.
 const negligibleAge = 8
 
-// decay is the weight left at an age.
+// decay returns the exponential weight at an age.
 func decay(age, timeConstant float64) float64 {
 	if age > negligibleAge*timeConstant {
 		return 0
@@ -105,11 +105,12 @@
 	return math.Exp(-age / timeConstant)
 }
 
-// maxEjectSteps bounds the growth of the ejection time.
+// maxEjectSteps limits the growth of the ejection time.
 const maxEjectSteps = 8
 
-// ejected reports whether m failed so recently that it gets no request. The
-// time grows with the failures in a row; afterwards one request at a time tries.
+// ejected reports whether m is ejected because of recent failures. The ejection time grows
+// with the number of consecutive failures; after it, m gets one request at a time until one
+// succeeds.
 func (p *picker) ejected(m *member, now time.Time) bool {
 	c := p.policy.constants
 	n, age := m.Failures(now)
--- a/pkg/balancer/spindle/home.go
+++ b/pkg/balancer/spindle/home.go
@@ -8,10 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// preferHome puts the members that this entry host prefers first and returns
-// their number: those of its own failure domain, in an order that differs from
-// host to host (rendezvous hashing), so that a change of membership moves few
-// preferences.
+// preferHome moves the members that this entry host prefers to the front and returns their
+// number. Members in the local failure domain come first, in an order that differs between
+// hosts (rendezvous hashing), so that a membership change affects few preferences.
 func (p *policy) preferHome(members []member) int {
 	self := strconv.Itoa(p.options.Self) + "/"
 	for i := range members {
--- a/pkg/balancer/spindle/picker.go
+++ b/pkg/balancer/spindle/picker.go
@@ -7,27 +7,28 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 )
 
-// maxCandidates bounds the upstreams that one choice looks at.
+// maxCandidates limits the upstreams that one choice considers.
 const maxCandidates = 32
 
 // Reasons of a choice, for the decision event.
 const (
-	// ReasonFree is an upstream where a slot is believed free.
+	// ReasonFree means that the upstream is estimated to have a free slot.
 	ReasonFree = "free-slot"
-	// ReasonShortQueue is an upstream whose queue is believed short.
+	// ReasonShortQueue means that the upstream is estimated to have a short queue.
 	ReasonShortQueue = "short-queue"
-	// ReasonWaited is a request that waited long enough.
+	// ReasonWaited means that the request has waited for the maximum time.
 	ReasonWaited = "waited"
-	// ReasonPanic is a choice among all members, since most look bad.
+	// ReasonPanic means that ejection was ignored, because too many members were ejected.
 	ReasonPanic = "panic"
-	// ReasonFull is a request that is held, since every upstream is believed full.
+	// ReasonFull means that the request is held, because every upstream is estimated to be
+	// full.
 	ReasonFull = "all-full"
 )
 
 // picker is one snapshot of the group's membership.
 type picker struct {
 	policy  *policy
-	members []member // the preferred ones first
+	members []member // preferred ones first
 	home    int      // number of preferred members
 }
 
@@ -36,8 +37,8 @@
 	p.policy.group.observe(u, f, p.policy.rtt(u))
 }
 
-// Pick takes one of the cheapest upstreams, or holds the request when all are
-// believed full.
+// Pick chooses one of the upstreams with the lowest cost, or holds the request if all are
+// estimated to be full.
 func (p *picker) Pick(info balancer.PickInfo) (balancer.Result, error) {
 	var buf [maxCandidates]candidate
 	service := p.policy.group.service()
@@ -45,11 +46,11 @@
 	if len(cands) == 0 {
 		return balancer.Result{}, balancer.ErrNoUpstream
 	}
-	cands, panicking := p.eligible(cands)
+	cands, panicking := p.withoutEjected(cands)
 	c := p.policy.constants
-	near := c.NearEqual * service
+	tolerance := c.NearEqual * service
 	waited := float64(info.Waited) > c.MaxHold*service
-	best, ok := drawCheapest(cands, near, info.Random, panicking || waited)
+	best, ok := chooseCheapest(cands, tolerance, info.Random, panicking || waited)
 	if !ok {
 		hold := time.Duration(max(service/float64(cands[0].member.Slots), 1))
 		return balancer.Result{Reason: ReasonFull, RetryAfter: hold}, balancer.ErrNoSlot
@@ -61,7 +62,7 @@
 	}, nil
 }
 
-// reason names the ground of a choice.
+// reason returns the reason of a choice for the decision event.
 func (c candidate) reason(panicking bool) string {
 	switch {
 	case panicking:
@@ -75,11 +76,11 @@
 	}
 }
 
-// candidates estimates the preferred members and a sample of the others, as
-// far as they were not tried. Its work does not grow with the group.
+// candidates returns the estimates of the preferred members and of a sample of the others,
+// without excluded ones. Unless members are excluded, its cost does not grow with the group.
 func (p *picker) candidates(out []candidate, info balancer.PickInfo, service float64) []candidate {
 	for i := range p.home {
-		out = p.consider(out, &p.members[i], info, service)
+		out = p.appendEstimate(out, &p.members[i], info, service)
 	}
 	others := p.members[p.home:]
 	if len(others) == 0 {
@@ -91,22 +92,22 @@
 		if len(out) >= want {
 			break
 		}
-		out = p.consider(out, &others[w.next()], info, service)
+		out = p.appendEstimate(out, &others[w.next()], info, service)
 	}
 	return out
 }
 
-// consider appends the estimate of m unless it was tried.
-func (p *picker) consider(out []candidate, m *member, info balancer.PickInfo, service float64) []candidate {
+// appendEstimate appends the estimate of m unless m is excluded.
+func (p *picker) appendEstimate(out []candidate, m *member, info balancer.PickInfo, service float64) []candidate {
 	if info.Excludes(m.Upstream) {
 		return out
 	}
 	return append(out, p.estimate(m, info.Now, service))
 }
 
-// eligible drops the ejected candidates. When more than the floor allows are
-// ejected, their failures say little on single upstreams, and all are kept.
-func (p *picker) eligible(cands []candidate) (kept []candidate, panicking bool) {
+// withoutEjected removes the ejected candidates. If the rest is below EjectFloor, the failures are
+// probably not the fault of single upstreams, and all candidates are kept (panic mode).
+func (p *picker) withoutEjected(cands []candidate) (kept []candidate, panicking bool) {
 	ejected := 0
 	for i := range cands {
 		if cands[i].ejected {
@@ -128,9 +129,9 @@
 	return kept, false
 }
 
-// drawCheapest draws among the candidates whose cost is near the lowest. Full
-// ones count only when full is set. It is false if no candidate is left.
-func drawCheapest(cands []candidate, near float64, random uint64, full bool) (candidate, bool) {
+// chooseCheapest returns a random one of the candidates whose cost is near the lowest.
+// Full candidates are considered only if full is set. It returns false if none is left.
+func chooseCheapest(cands []candidate, tolerance float64, random uint64, full bool) (candidate, bool) {
 	lowest := math.Inf(1)
 	for i := range cands {
 		if full || !cands[i].full {
@@ -143,7 +144,7 @@
 	}
 	seen := uint64(0)
 	for i := range cands {
-		if cands[i].cost > lowest+near || cands[i].full && !full {
+		if cands[i].cost > lowest+tolerance || cands[i].full && !full {
 			continue
 		}
 		seen++
--- a/pkg/balancer/spindle/policy.go
+++ b/pkg/balancer/spindle/policy.go
@@ -6,7 +6,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/balancer"
 )
 
-// policy holds what outlives a snapshot: the group's averages.
+// policy holds the group's averages, which are kept across snapshots.
 type policy struct {
 	constants Constants
 	options   balancer.Options
@@ -23,7 +23,7 @@
 	return pk
 }
 
-// rtt is the cost of the way to u, in nanoseconds.
+// rtt returns the assumed round-trip time to u, in nanoseconds.
 func (p *policy) rtt(u *balancer.Upstream) float64 {
 	if p.options.FailureDomain == "" || u.FailureDomain == p.options.FailureDomain {
 		return 0
@@ -31,7 +31,7 @@
 	return float64(p.constants.DomainCost)
 }
 
-// share is this entry host's part of the connections to u.
+// share returns the number of connections to u that this entry host may use.
 func (p *policy) share(u *balancer.Upstream) int64 {
 	if u.MaxConnections == 0 {
 		return math.MaxInt64
@@ -39,11 +39,11 @@
 	return int64(max(u.MaxConnections/max(p.options.EntryHosts, 1), 1))
 }
 
-// member is an upstream with what the snapshot knows of it.
+// member is an upstream with its properties in a snapshot.
 type member struct {
 	*balancer.Upstream
-	rtt   float64 // cost of the way, ns
+	rtt   float64 // assumed round-trip time, ns
 	home  bool    // preferred by this entry host
-	rank  uint64  // order among members of one domain
+	rank  uint64  // order among the members of one failure domain
 	share int64   // connections that this entry host may use
 }
--- a/pkg/balancer/spindle/spindle.go
+++ b/pkg/balancer/spindle/spindle.go
@@ -1,6 +1,6 @@
-// Package spindle is the product's own policy. It estimates the whole load of
-// each upstream from reports that ride on answers, binds a request only when a
-// slot is believed free, and reacts to requests that grow older than expected.
+// Package spindle estimates the total load of each upstream from the load reports
+// in responses, assigns a request only if the estimated load leaves room for it, and
+// avoids upstreams whose requests in flight are older than expected.
 package spindle
 
 import "github.com/dapplespindle/dapplespindle/pkg/balancer"
@@ -10,7 +10,7 @@
 
 // Builder creates policies.
 type Builder struct {
-	// Constants replaces the defaults; the zero value keeps them.
+	// Constants replaces Defaults if it is not nil.
 	Constants *Constants
 }
 
--- a/pkg/balancer/spindle/spindle_test.go
+++ b/pkg/balancer/spindle/spindle_test.go
@@ -35,7 +35,7 @@
 	})
 }
 
-// warm teaches the picker the service time.
+// warm feeds the picker responses, so that its averages reflect the service time.
 func warm(p balancer.Picker, group []*balancer.Upstream) {
 	for i := range 400 {
 		latency := service / 2 * time.Duration(1+i%4) / 2
@@ -43,7 +43,7 @@
 	}
 }
 
-// shares counts the choices of many draws by upstream.
+// shares counts the upstreams and the reasons of many choices.
 func shares(t *testing.T, p balancer.Picker, at time.Time) (counts map[*balancer.Upstream]int, reasons map[string]int) {
 	t.Helper()
 	counts, reasons = map[*balancer.Upstream]int{}, map[string]int{}
@@ -65,8 +65,8 @@
 	}{
 		{"failed", func(p balancer.Picker, u *balancer.Upstream) { answer(p, u, start, 0, balancer.Failed) }},
 		{"refused", func(p balancer.Picker, u *balancer.Upstream) { answer(p, u, start, 0, balancer.Refused) }},
-		{"slow answers", func(p balancer.Picker, u *balancer.Upstream) { answer(p, u, start, 20*service, balancer.Answered) }},
-		{"old request without an answer", func(_ balancer.Picker, u *balancer.Upstream) { u.Begin(start.Add(-5 * service)) }},
+		{"slow responses", func(p balancer.Picker, u *balancer.Upstream) { answer(p, u, start, 20*service, balancer.Answered) }},
+		{"old request without a response", func(_ balancer.Picker, u *balancer.Upstream) { u.Begin(start.Add(-5 * service)) }},
 		{"fresh report of a queue", func(p balancer.Picker, u *balancer.Upstream) { report(p, u, start, 9, 0) }},
 		{"just joined", func(_ balancer.Picker, u *balancer.Upstream) { u.Added = start }},
 	}
@@ -82,7 +82,7 @@
 			c.harm(p, g[0])
 			counts, _ := shares(t, p, start)
 			is.Equal(counts[g[0]], 0) // avoided
-			is.Equal(len(counts), 3)  // the rest shares
+			is.Equal(len(counts), 3)  // the others are used
 		})
 	}
 }
@@ -114,7 +114,7 @@
 			panicking := failed > 5
 			is.Equal(reasons[spindle.ReasonPanic] > 0, panicking)
 			for _, u := range g[:failed] {
-				is.True(panicking || counts[u] == 0) // ejected while the floor holds
+				is.True(panicking || counts[u] == 0) // ejected unless below EjectFloor
 			}
 		})
 	}
@@ -135,7 +135,7 @@
 	is.Equal(err, balancer.ErrNoSlot)
 	is.True(res.RetryAfter > 0)
 	res, err = p.Pick(balancer.PickInfo{Now: start, Waited: time.Second})
-	is.NoErr(err) // held long enough
+	is.NoErr(err) // maximum wait reached
 	is.Equal(res.Reason, spindle.ReasonWaited)
 	for _, c := range calls[:6] {
 		balancer.Finish(p, c, balancer.Feedback{Now: start, Latency: service})
@@ -174,11 +174,11 @@
 		}
 	}
 	counts, _ = shares(t, p, start)
-	is.Equal(counts[g[1]]+counts[g[3]]+counts[g[5]], 0) // full at home, so across
+	is.Equal(counts[g[1]]+counts[g[3]]+counts[g[5]], 0) // local ones are full, so remote ones are used
 }
 
-// TestOldReportsDoNotHerd gives all entry hosts the same old reports: no
-// upstream may attract much more than its share.
+// TestOldReportsDoNotHerd checks that no upstream gets much more than its share if all entry
+// hosts have the same old reports.
 func TestOldReportsDoNotHerd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(4, 12).Draw(t, "upstreams")
--- a/pkg/balancer/spindle/tunables.go
+++ b/pkg/balancer/spindle/tunables.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Tunable gives access to one constant by name, for runs over its neighbouring values.
+// Tunable gives access to one constant by name, for parameter sweeps.
 type Tunable struct {
-	// Name is the field's name.
+	// Name is the field name in Constants.
 	Name string
 	// Unit is the unit of the value.
 	Unit string
-	// Get reads the value.
+	// Get returns the value in Unit.
 	Get func(*Constants) float64
-	// Set writes the value.
+	// Set sets the value in Unit.
 	Set func(*Constants, float64)
 }
 
@@ -47,7 +47,7 @@
 	}
 }
 
-// duration makes a tunable in milliseconds.
+// duration returns a tunable in milliseconds.
 func duration(name string, field func(*Constants) *time.Duration) Tunable {
 	return Tunable{
 		Name: name,
--- a/pkg/balancer/spindle/walk.go
+++ b/pkg/balancer/spindle/walk.go
@@ -2,8 +2,8 @@
 
 import "github.com/dapplespindle/dapplespindle/pkg/balancer"
 
-// walk visits the numbers below n once each, in an order drawn from a random
-// number: a start and a step without a common divisor with n.
+// walk visits each number below n once, in a pseudo-random order: it starts at a random
+// number and advances by a random step that is coprime with n.
 type walk struct {
 	n, at, step uint64
 }
