--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -64,7 +64,7 @@
 }
 
 // Excludes reports whether u must not be chosen: it was already tried, is backing off, or has
-// set a rate limit and this host has no time slot at present. Every policy calls it for each
+// announced a rate limit and this host has no time slot at present. Every policy calls it for each
 // upstream that it would choose or query for its load. A hedge gets no time slot: an upstream
 // that limits its rate is busy enough with first attempts.
 func (i PickInfo) Excludes(u *Upstream) bool {
@@ -149,7 +149,7 @@
 	// Turns is the schedule of the time slots in which this host may send to cold
 	// upstreams; nil means at any time.
 	Turns *turns.Turns
-	// Limits holds the rate limits that upstreams have set; nil means none.
+	// Limits holds the rate limits that upstreams have announced; nil means none.
 	Limits *ratelimit.Book
 	// SlowStart is the time over which a new upstream's share grows to the full share;
 	// 0 turns it off.
--- a/pkg/balancer/probefirst/cold_test.go
+++ b/pkg/balancer/probefirst/cold_test.go
@@ -12,7 +12,7 @@
 )
 
 // These tests cover the restart of a whole failure domain, a quarter of a service, under
-// high load. Each cold upstream accepts 2.5 requests per second from the whole fleet, a
+// high load. Each cold upstream tolerates 2.5 requests per second from the whole fleet, a
 // tenth of its rate when warm. It is idle, so its load reports are the best of all.
 
 // coldMember returns an upstream that stays cold for some seconds.
--- a/pkg/balancer/probefirst/query.go
+++ b/pkg/balancer/probefirst/query.go
@@ -33,7 +33,7 @@
 	return targets
 }
 
-// timeSlotTarget returns an upstream that has set a rate limit, for which this host has a
+// timeSlotTarget returns an upstream that has announced a rate limit, for which this host has a
 // time slot now and no fresh report; nil if there is none. An unused time slot is lost, and
 // only a response can reportLoad that the limit has ended.
 func (p *picker) timeSlotTarget(info balancer.PickInfo) *balancer.Upstream {
--- a/pkg/balancer/probefirst/timeslot_test.go
+++ b/pkg/balancer/probefirst/timeslot_test.go
@@ -12,7 +12,7 @@
 )
 
 // limitingHost returns the picker of the host with index self among hosts, and the first of
-// its members, which has set a rate limit.
+// its members, which has announced a rate limit.
 func limitingHost(self, hosts int, id string, others ...*balancer.Upstream) (*picker, *balancer.Upstream) {
 	heard := start.Add(-time.Minute)
 	mine := turns.New("host")
--- a/pkg/balancer/upstream.go
+++ b/pkg/balancer/upstream.go
@@ -44,11 +44,11 @@
 	Slots int
 	// MaxConnections limits the connections over all entry hosts; 0 means no limit.
 	MaxConnections int
-	// Cold is its warm-up state and the request rate that it accepts until it is warm.
+	// Cold is its warm-up state and the request rate that it tolerates until it is warm.
 	Cold coldstart.Upstream
 	// Rest is the backoff period that it requested from this host.
 	Rest rest.State
-	// Limit is the rate limit that it has set for all hosts together, with this host's
+	// Limit is the rate limit that it has announced for all hosts together, with this host's
 	// time slots; nil means none.
 	Limit *ratelimit.State
 	// Added is the time when it joined the group; zero if it was a member from the start.
@@ -134,7 +134,7 @@
 	return max(u.Rest.Left(now), u.Limit.Delay(now))
 }
 
-// HasTimeSlot reports whether u has set a rate limit and this host may send it a request now.
+// HasTimeSlot reports whether u has announced a rate limit and this host may send it a request now.
 func (u *Upstream) HasTimeSlot(now time.Time) bool { return u.Limit.Limited() && u.Limit.Open(now) }
 
 // Outstanding returns the number of requests that this entry host has in flight to u.
