--- a/internal/upstream/answers_test.go
+++ b/internal/upstream/answers_test.go
@@ -13,7 +13,8 @@
 	"github.com/dapplespindle/dapplespindle/internal/httpwire"
 )
 
-// TestAnswerThatEndsWithItsConnection has neither a length nor chunks.
+// TestAnswerThatEndsWithItsConnection covers a response without a length and without chunks,
+// which is delimited by the end of the connection.
 func TestAnswerThatEndsWithItsConnection(t *testing.T) {
 	is := is.New(t)
 	client := startClient(t, Config{})
@@ -30,7 +31,8 @@
 	}
 }
 
-// TestResetDoesNotEndAnAnswer cuts an answer without a length by a reset.
+// TestResetDoesNotEndAnAnswer checks that a response without a length is not complete if the
+// connection is reset.
 func TestResetDoesNotEndAnAnswer(t *testing.T) {
 	is := is.New(t)
 	client := startClient(t, Config{})
@@ -43,8 +45,8 @@
 	is.True(err != nil)
 }
 
-// TestLateAnswerIsDropped: before the answer comes a second one to the request
-// before; the connection is not used again.
+// TestLateAnswerIsDropped checks that a second response to the previous request, which
+// arrives before the expected one, is dropped, and that the connection is not reused.
 func TestLateAnswerIsDropped(t *testing.T) {
 	is := is.New(t)
 	client := startClient(t, Config{Mine: func(req *httpwire.Request, h http.Header) bool {
@@ -68,9 +70,9 @@
 	is.Equal(connections.Load(), int64(2))
 }
 
-// TestKeepAliveIsHeeded: an idle connection that its upstream is about to close
+// TestKeepAliveTimeout checks that an idle connection which the upstream is about to close
 // is not used for another request.
-func TestKeepAliveIsHeeded(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	is := is.New(t)
 	client := startClient(t, Config{})
 	var connections atomic.Int64
@@ -91,26 +93,27 @@
 	is.Equal(connections.Load(), int64(2))
 }
 
-// TestOnceNeedsALivingConnection: an upstream forgets idle connections and
-// resets what comes on them.
-func TestOnceNeedsALivingConnection(t *testing.T) {
+// TestOnceNeedsARecentConnection checks that a request which must not be sent twice only
+// uses a recently used connection: an upstream may drop idle connections silently and reset
+// them when it gets data.
+func TestOnceNeedsARecentConnection(t *testing.T) {
 	is := is.New(t)
 	client := startClient(t, Config{})
 	var connections atomic.Int64
 	address := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		connections.Add(1)
 		for readRequest(r) {
-			_, _ = c.Write([]byte(okAnswer))
+			_, _ = c.Write([]byte(okResponse))
 		}
 	})
 	once := request("POST", nil)
 	once.Once = true
-	for range 2 { // right after one another
+	for range 2 { // immediately after each other
 		_, err := client.Do(testContext(t), address, once)
 		is.True(err == nil)
 	}
 	is.Equal(connections.Load(), int64(1))
-	time.Sleep(onceIdle + 50*time.Millisecond)
+	time.Sleep(maxOnceIdle + 50*time.Millisecond)
 	_, err := client.Do(testContext(t), address, once)
 	is.True(err == nil)
 	is.Equal(connections.Load(), int64(2))
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// BenchmarkDo is one small request to an upstream on a warm connection; the
-// upstream's side allocates nothing for each request.
+// BenchmarkDo measures one small request to an upstream on a reused connection; the
+// upstream's side makes no allocation per request.
 func BenchmarkDo(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,12 +24,12 @@
 		}
 		r := bufio.NewReader(conn)
 		buf := make([]byte, requestBytes)
-		answer := []byte(okAnswer)
+		response := []byte(okResponse)
 		for {
 			if _, err := io.ReadFull(r, buf); err != nil {
 				return
 			}
-			_, _ = conn.Write(answer)
+			_, _ = conn.Write(response)
 		}
 	}()
 	client := New(Config{MaxResponseBytes: testMaxBody})
--- a/internal/upstream/certs_test.go
+++ b/internal/upstream/certs_test.go
@@ -47,7 +47,7 @@
 	return pool
 }
 
-// issue signs a certificate for the name "entry" and 127.0.0.1 that ends then.
+// issue signs a certificate for the name "entry" and 127.0.0.1 that expires at notAfter.
 func (a *authority) issue(t testing.TB, notAfter time.Time) tls.Certificate {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -67,5 +67,5 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}
 }
 
-// valid is an end of validity that no test reaches.
+// valid returns an expiry time that no test reaches.
 func valid() time.Time { return time.Now().Add(time.Hour) }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,10 +1,10 @@
-// Package upstream sends requests to upstreams over pooled connections with
-// one request in flight on each.
+// Package upstream is the HTTP/1.1 client for upstreams. It uses pooled connections
+// with one request in flight on each.
 //
-// Every failure is classified by what the upstream can have received: a kind
-// whose outcome is "not run" is returned only while the kernel has not taken
-// the whole request head. After that the outcome is unknown unless a whole
-// answer arrives.
+// Every failure is classified by what the upstream may have received: a kind whose
+// outcome is "not run" is returned only if the kernel has not accepted the complete
+// request head. After that the outcome is unknown unless a complete response
+// arrives.
 package upstream
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	DefaultDialTimeout     = time.Second
 	DefaultIdleTimeout     = 30 * time.Second
@@ -35,27 +35,27 @@
 	DefaultIdlePerUpstream = 64
 )
 
-// Config configures a Client. A zero limit or timeout takes its default.
+// Config configures a Client. A limit or timeout of zero is replaced by its default.
 type Config struct {
-	// DialTimeout bounds making a connection.
+	// DialTimeout limits the time for the TCP connect, and for the TLS handshake.
 	DialTimeout time.Duration
-	// IdleTimeout closes a connection that carried no request for that long.
+	// IdleTimeout is the time after which an idle connection is closed.
 	IdleTimeout time.Duration
-	// IdlePerUpstream bounds the idle connections kept to one upstream.
+	// IdlePerUpstream limits the idle connections to one upstream.
 	IdlePerUpstream int
-	// MaxConnections bounds the connections to one upstream, unless SetLimits
-	// gives another bound for it.
+	// MaxConnections limits the connections to one upstream, unless SetLimits
+	// sets another limit for it.
 	MaxConnections int
-	// Mine reports whether an answer belongs to a request; one that does not is
-	// dropped and the next one is awaited. Nil takes every answer.
+	// Mine reports whether a response belongs to a request; one that does not is dropped,
+	// and the client waits for the next one. Nil accepts every response.
 	Mine func(req *httpwire.Request, h http.Header) bool
-	// MaxHeadBytes bounds the head of an answer, in bytes.
+	// MaxHeadBytes limits the size of a response head.
 	MaxHeadBytes int
-	// MaxResponseBytes bounds the body of an answer, in bytes.
+	// MaxResponseBytes limits the size of a response body.
 	MaxResponseBytes int
 	// TLS returns the configuration of one handshake with an upstream whose
-	// certificate must carry a name, or its IP if the name is empty; nil if no
-	// authority is set, and then nothing is sent to upstreams with TLS.
+	// certificate must be valid for the given name, or for its IP if the name is empty.
+	// It is nil if no CA is configured; requests to upstreams with TLS then fail.
 	TLS func(name string) *tls.Config
 }
 
@@ -68,7 +68,7 @@
 	return c
 }
 
-// Client holds the connections of one process to all its upstreams.
+// Client manages the connections of one process to all its upstreams.
 type Client struct {
 	conf   Config
 	engine socket.Engine
@@ -108,10 +108,10 @@
 	c.engine.Stop()
 }
 
-// SetLimits bounds the connections to each address in limits: this entry
-// host's share. An address without an entry has Config.MaxConnections. A lower
-// bound takes effect as connections are given back. The map must not be
-// changed afterwards.
+// SetLimits limits the connections to each address in limits to this entry host's
+// share. Config.MaxConnections applies to an address without an entry. A lower limit
+// takes effect as connections are returned to the pool. The map must not be changed
+// afterwards.
 func (c *Client) SetLimits(limits map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,16 +121,16 @@
 	}
 }
 
-// CloseIdle closes the idle connections to address, for an upstream that
-// leaves.
+// CloseIdle closes the idle connections to address, for an upstream that is
+// leaving.
 func (c *Client) CloseIdle(address string) {
-	if p := c.knownPool(address); p != nil {
+	if p := c.existingPool(address); p != nil {
 		p.closeIdle(clock.Now())
 	}
 }
 
-// Forget closes the idle connections to an address that is not used any more
-// and drops what is known of it. Requests in flight end as usual.
+// Forget closes the idle connections to an address that is no longer used and
+// drops its state. Requests in flight complete normally.
 func (c *Client) Forget(address string) {
 	c.mu.Lock()
 	p := c.pools[address]
@@ -141,9 +141,9 @@
 	}
 }
 
-// Do sends req to address and waits for the whole answer. The error is an
-// *errkind.Error; its kind says whether the request can have run. When ctx
-// ends the connection is closed, so that the upstream can stop its work.
+// Do sends req to address and waits for the complete response. The kind of the error
+// says whether the request may have been executed. When ctx ends, the connection is
+// closed, so that the upstream can stop processing.
 func (c *Client) Do(ctx context.Context, address string, req *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 	p := c.pool(address)
 	if p.target.tls && c.conf.TLS == nil {
@@ -158,8 +158,8 @@
 		if err == nil {
 			return resp, nil
 		}
-		// A pooled connection that ended before it took a byte proves nothing
-		// about the upstream: the next connection is tried.
+		// A reused connection that was closed before any byte was sent says nothing
+		// about the upstream: retry on another connection.
 		if err.Kind == errkind.SendFailed && cn.reused && cn.sent.Load() == 0 {
 			continue
 		}
@@ -167,7 +167,7 @@
 	}
 }
 
-// acquire takes an idle connection or makes one.
+// acquire returns an idle connection or opens a new one.
 func (c *Client) acquire(ctx context.Context, p *pool, once bool) (*conn, *errkind.Error) {
 	if ctx.Err() != nil {
 		return nil, endedBeforeSend(ctx, p.address)
@@ -177,7 +177,7 @@
 		return cn, nil
 	}
 	if !ok {
-		return nil, errkind.New(errkind.Overloaded, "connection bound of "+p.address)
+		return nil, errkind.New(errkind.Overloaded, "connection limit reached for "+p.address)
 	}
 	cn, err := c.dial(ctx, p)
 	if err == nil {
@@ -190,7 +190,7 @@
 	return nil, errkind.Wrap(errkind.ConnectFailed, err, p.address)
 }
 
-// endedBeforeSend is the error for a context that ended with nothing sent.
+// endedBeforeSend returns the error for a context that ended before anything was sent.
 func endedBeforeSend(ctx context.Context, address string) *errkind.Error {
 	kind := errkind.DeadlineBeforeSend
 	if errors.Is(ctx.Err(), context.Canceled) {
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -20,17 +20,17 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-func TestAnswersPassed(t *testing.T) {
+func TestResponsesPassed(t *testing.T) {
 	client := startClient(t, Config{})
 	for name, test := range map[string]struct {
-		method, answer string
-		status         int
-		body           string
-		length         int64
+		method, response string
+		status           int
+		body             string
+		length           int64
 	}{
-		"sized":             {"GET", okAnswer, 200, "ok", 2},
+		"sized":             {"GET", okResponse, 200, "ok", 2},
 		"empty":             {"GET", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", 200, "", 0},
 		"no reason":         {"GET", "HTTP/1.1 200 \r\nContent-Length: 2\r\n\r\nok", 200, "ok", 2},
 		"numeric reason":    {"GET", "HTTP/1.1 200 1\r\nContent-Length: 2\r\n\r\nok", 200, "ok", 2},
@@ -40,7 +40,7 @@
 		"head chunked":      {"HEAD", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", 200, "", -1},
 		"no content":        {"GET", "HTTP/1.1 204 No Content\r\n\r\n", 204, "", -1},
 		"not modified":      {"GET", "HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n", 304, "", 9},
-		"interim":           {"GET", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX: y\r\n\r\n" + okAnswer, 200, "ok", 2},
+		"interim":           {"GET", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX: y\r\n\r\n" + okResponse, 200, "ok", 2},
 		"error with a body": {"GET", "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 2\r\n\r\nno", 500, "no", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 			address := startUpstream(t, func(n int, c net.Conn, r *bufio.Reader) {
 				connections = n + 1
 				for readRequest(r) {
-					for _, b := range []byte(test.answer) {
+					for _, b := range []byte(test.response) {
 						_, _ = c.Write([]byte{b})
 					}
 				}
@@ -66,28 +66,28 @@
 	}
 }
 
-func TestAnswersRefused(t *testing.T) {
+func TestResponsesRejected(t *testing.T) {
 	client := startClient(t, Config{})
-	for name, answer := range map[string]string{
-		"closed without an answer": "",
-		"short head":               "HTTP/1.1 200 OK\r\nContent-Le",
-		"short body":               "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok",
-		"short chunk":              "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nok",
-		"no last chunk":            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
-		"undeclared end, kept":     "HTTP/1.1 200 OK\r\nConnection: keep-alive\r\n\r\nok",
-		"two lengths":              "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
-		"length and encoding":      "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nok",
-		"bare line feeds":          "HTTP/1.1 200 OK\nContent-Length: 2\n\nok",
-		"switching protocols":      "HTTP/1.1 101 Switching Protocols\r\n\r\n",
-		"interim only":             strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxInterim+1),
-		"body over the limit":      "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(testMaxBody+1) + "\r\n\r\n",
-		"not HTTP":                 "SSH-2.0-x\r\n",
+	for name, response := range map[string]string{
+		"closed without a response": "",
+		"short head":                "HTTP/1.1 200 OK\r\nContent-Le",
+		"short body":                "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok",
+		"short chunk":               "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nok",
+		"no last chunk":             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
+		"undeclared end, kept":      "HTTP/1.1 200 OK\r\nConnection: keep-alive\r\n\r\nok",
+		"two lengths":               "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
+		"length and encoding":       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nok",
+		"bare line feeds":           "HTTP/1.1 200 OK\nContent-Length: 2\n\nok",
+		"switching protocols":       "HTTP/1.1 101 Switching Protocols\r\n\r\n",
+		"interim only":              strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxInterim+1),
+		"body over the limit":       "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(testMaxBody+1) + "\r\n\r\n",
+		"not HTTP":                  "SSH-2.0-x\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			address := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				readRequest(r)
-				_, _ = io.WriteString(c, answer)
+				_, _ = io.WriteString(c, response)
 			})
 			_, err := client.Do(testContext(t), address, request("GET", nil))
 			is.True(err != nil)
@@ -96,16 +96,16 @@
 	}
 }
 
-// TestExtraBytesNeverReachTheNextRequest sends bytes behind an answer, with it
-// and late, and an answer that nobody asked for.
+// TestExtraBytesNeverReachTheNextRequest checks that data after a response, sent with it or
+// later, is not taken for the response to the next request.
 func TestExtraBytesNeverReachTheNextRequest(t *testing.T) {
 	client := startClient(t, Config{})
 	const stray = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 	for name, parts := range map[string][]string{
-		"with the answer":     {okAnswer + stray},
-		"part of another":     {okAnswer + "H"},
-		"after the answer":    {okAnswer, stray},
-		"close in the answer": {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok" + stray},
+		"with the response":     {okResponse + stray},
+		"part of another":       {okResponse + "H"},
+		"after the response":    {okResponse, stray},
+		"close in the response": {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok" + stray},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -113,7 +113,7 @@
 			address := startUpstream(t, func(n int, c net.Conn, r *bufio.Reader) {
 				if n > 0 {
 					for readRequest(r) {
-						_, _ = io.WriteString(c, okAnswer)
+						_, _ = io.WriteString(c, okResponse)
 					}
 					return
 				}
@@ -136,10 +136,10 @@
 	}
 }
 
-// waitUnusable waits until no idle connection can be used.
+// waitUnusable waits until no idle connection is usable.
 func waitUnusable(t *testing.T, c *Client, address string) {
 	t.Helper()
-	p := c.knownPool(address)
+	p := c.existingPool(address)
 	for end := time.Now().Add(testWait); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
 		usable := len(p.idle) > 0 && p.idle[0].usable(time.Now())
@@ -151,28 +151,28 @@
 	t.Fatal("connection still usable")
 }
 
-func TestBytesBeforeTheRequestAreNotItsAnswer(t *testing.T) {
+func TestDataBeforeTheRequestIsNotItsResponse(t *testing.T) {
 	is := is.New(t)
 	address := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		readRequest(r)
-		_, _ = io.WriteString(c, okAnswer)
+		_, _ = io.WriteString(c, okResponse)
 		readRequest(r)
 	})
 	client := startClient(t, Config{})
 	_, err := client.Do(testContext(t), address, request("GET", nil))
 	is.True(err == nil)
-	cn := client.knownPool(address).idle[0]
+	cn := client.existingPool(address).idle[0]
 	is.True(cn.begin(&httpwire.Request{Method: "GET"}))
-	is.Equal(cn.Parse([]byte(okAnswer)), errLateBytes)
+	is.Equal(cn.Parse([]byte(okResponse)), errUnexpectedData)
 	r := <-cn.result
-	is.Equal(r.err, errLateBytes)
+	is.Equal(r.err, errUnexpectedData)
 }
 
 func TestStaleConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
 	address := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		readRequest(r)
-		_, _ = io.WriteString(c, okAnswer)
+		_, _ = io.WriteString(c, okResponse)
 	})
 	client := startClient(t, Config{})
 	for range 5 {
@@ -219,7 +219,7 @@
 	is.Equal(failure.Kind, errkind.ConnectFailed)
 }
 
-// TestEndOfContext checks that the kind says what the upstream can have.
+// TestEndOfContext checks that the kind says what the upstream may have received.
 func TestEndOfContext(t *testing.T) {
 	received := make(chan struct{}, 1)
 	closed := make(chan struct{}, 1)
@@ -259,8 +259,8 @@
 	})
 }
 
-// TestFailureKinds checks the classification by the bytes that the kernel
-// took: an upstream that has the head may have acted on it.
+// TestFailureKinds checks the classification by the bytes that the kernel has accepted: an
+// upstream that has received the head may have acted on it.
 func TestFailureKinds(t *testing.T) {
 	const head = 10
 	address := startUpstream(t, func(_ int, _ net.Conn, r *bufio.Reader) { readRequest(r) })
@@ -292,19 +292,19 @@
 	}
 }
 
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+func TestEarlyResponseEndsTheConnection(t *testing.T) {
 	is := is.New(t)
 	hold := make(chan struct{})
 	defer close(hold)
 	address := startUpstream(t, func(n int, c net.Conn, r *bufio.Reader) {
 		_, _ = r.ReadString('\n')
-		_, _ = io.WriteString(c, okAnswer)
+		_, _ = io.WriteString(c, okResponse)
 		<-hold
 	})
 	client := startClient(t, Config{})
 	_, err := client.Do(testContext(t), address, request("POST", make([]byte, 64<<20)))
 	is.True(err == nil)
-	is.Equal(client.knownPool(address).open, 0)
+	is.Equal(client.existingPool(address).open, 0)
 }
 
 func TestConnectionBound(t *testing.T) {
@@ -315,7 +315,7 @@
 		for readRequest(r) {
 			started <- struct{}{}
 			<-release
-			_, _ = io.WriteString(c, okAnswer)
+			_, _ = io.WriteString(c, okResponse)
 		}
 	})
 	client := startClient(t, Config{})
@@ -334,5 +334,5 @@
 	is.True(err == nil)
 	is.True(<-done == nil)
 	client.CloseIdle(address)
-	is.Equal(client.knownPool(address).open, 0)
+	is.Equal(client.existingPool(address).open, 0)
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -20,17 +20,17 @@
 
 type result struct {
 	resp *httpwire.Response
-	// reusable is true when the connection may carry another request.
+	// reusable is true if the connection may be used for another request.
 	reusable bool
 	err      error
 }
 
 // conn is one connection with at most one request in flight. It implements
-// nbhttp.ParserCloser, so that the event loop hands it the bytes, and holds
+// nbhttp.ParserCloser, so that the event loop passes it the received data, and owns
 // the library's parser.
 //
-// The library's functions are excluded from the race detector; all state here
-// is guarded by mu, except what is atomic, set once, or the pool's.
+// The library's functions are excluded from the race detector. All state here is
+// guarded by mu, except for fields that are atomic, set once, or owned by the pool.
 type conn struct {
 	pool   *pool
 	nbc    *nbio.Conn
@@ -39,38 +39,38 @@
 	limits framing.Limits
 	result chan result
 
-	// reused and idleSince belong to the goroutine that holds the connection,
-	// or to the pool while it is idle.
+	// reused and idleSince are owned by the goroutine that holds the connection, or by
+	// the pool while it is idle.
 	reused    bool
 	idleSince time.Time
-	// idleFor is how long the upstream keeps it idle; 0 if it does not say. It is
-	// set before the answer is handed over.
+	// idleFor is the Keep-Alive timeout that the upstream announced; 0 if none. It is set
+	// before the response is delivered.
 	idleFor time.Duration
 
-	// queued counts the bytes that were written for the request.
+	// queued counts the bytes that were written or buffered for the request.
 	queued atomic.Int64
-	// sent counts those that the kernel has taken. With TLS both count encrypted
-	// bytes, which are never fewer than the request's.
+	// sent counts those that the kernel has accepted. With TLS both count encrypted
+	// bytes, which are never fewer than those of the request.
 	sent atomic.Int64
 
 	mu      sync.Mutex
 	busy    bool
 	closed  bool
 	interim int
-	// request is the one in flight, and late whether an answer to an earlier one
-	// came before its own.
+	// request is the one in flight. late is set if a response to an earlier request
+	// arrived before its own.
 	request *httpwire.Request
 	late    bool
 	scanner framing.Scanner
 	buf     []byte
-	// gathering is the answer that the parser is calling back for.
-	gathering gathering
+	// builder collects the response that is being parsed.
+	builder responseBuilder
 }
 
 var (
-	errClosed     = errors.New("connection closed before the answer was whole")
-	errLateBytes  = errors.New("bytes before the request was sent")
-	errTooInterim = errors.New("too many interim answers")
+	errClosed         = errors.New("connection closed before the response was complete")
+	errUnexpectedData = errors.New("received data before the request was sent")
+	errTooManyInterim = errors.New("too many interim responses")
 )
 
 func newConn(c *Client, p *pool, nbc *nbio.Conn) *conn {
@@ -80,12 +80,12 @@
 		result: make(chan result, 1),
 		limits: framing.Limits{HeadBytes: c.conf.MaxHeadBytes, BodyBytes: c.conf.MaxResponseBytes},
 	}
-	cn.parser = nbhttp.NewParser(nbc, c.engine.Engine, &cn.gathering, true, nil)
+	cn.parser = nbhttp.NewParser(nbc, c.engine.Engine, &cn.builder, true, nil)
 	return cn
 }
 
-// roundTrip sends one request and waits for its answer. Afterwards the
-// connection is back in the pool or closed and released.
+// roundTrip sends one request and waits for its response. Afterwards the connection has
+// been returned to the pool, or closed and released.
 func (c *conn) roundTrip(ctx context.Context, req *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 	if !c.begin(req) {
 		return nil, c.fail(ctx, 1, errClosed)
@@ -103,10 +103,10 @@
 	if r.err != nil {
 		return nil, c.fail(ctx, head, r.err)
 	}
-	// An answer that came before the whole request was sent is passed on, but
-	// what is left of the request must not follow on this connection.
-	whole := c.sent.Load() == c.queued.Load()
-	c.giveBack(r.reusable && whole)
+	// A response that arrived before the complete request was sent is passed on, but the
+	// connection is not reused: the rest of the request must not be sent on it.
+	complete := c.sent.Load() == c.queued.Load()
+	c.returnToPool(r.reusable && complete)
 	return r.resp, nil
 }
 
@@ -126,7 +126,7 @@
 	return true
 }
 
-func (c *conn) giveBack(reusable bool) {
+func (c *conn) returnToPool(reusable bool) {
 	if reusable {
 		c.pool.put(c)
 		return
@@ -135,9 +135,9 @@
 	c.pool.release()
 }
 
-// fail closes the connection and then classifies: only after the close is it
-// certain that no queued byte goes out any more. An upstream may act on the
-// head alone, so "not run" needs a head that was not wholly taken.
+// fail closes the connection and then classifies the failure: only after the close is it
+// certain that no buffered byte is sent any more. An upstream may act on the head alone, so
+// the outcome is "not run" only if the kernel did not accept the complete head.
 func (c *conn) fail(ctx context.Context, head int, cause error) *errkind.Error {
 	c.close()
 	c.pool.release()
@@ -164,7 +164,7 @@
 	return len(b), c.writeRaw(b)
 }
 
-// writeRaw sends or queues what goes over the wire.
+// writeRaw sends or buffers b, which is encrypted if TLS is used.
 func (c *conn) writeRaw(b []byte) error {
 	queued := c.sent.Load() != c.queued.Load()
 	c.queued.Add(int64(len(b)))
@@ -174,71 +174,69 @@
 // Taken implements socket.Counter.
 func (c *conn) Taken(n int) { c.sent.Add(int64(n)) }
 
-// close ends the connection; the event loop then calls CloseAndClean.
+// close closes the connection; the event loop then calls CloseAndClean.
 func (c *conn) close() { socket.End(c.nbc) }
 
 // UnderlayerConn implements nbhttp.ParserCloser.
 func (c *conn) UnderlayerConn() net.Conn { return c.nbc }
 
-// Parse implements nbhttp.ParserCloser; the event loop calls it with the bytes
-// that arrived, which are only valid during the call. An error closes the
-// connection.
+// Parse implements nbhttp.ParserCloser; the event loop calls it with the received data,
+// which is only valid during the call. An error closes the connection.
 func (c *conn) Parse(data []byte) error {
 	if c.tls != nil {
 		return c.tls.Feed(data, nil)
 	}
-	return c.plain(data)
+	return c.handlePlaintext(data)
 }
 
-// plain takes the upstream's bytes, decrypted if there is TLS.
-func (c *conn) plain(data []byte) error {
-	answered, err := c.take(data)
-	if answered {
-		// The loop goes into a system call next and would hold the processor on
-		// which the waiting request was queued; let it run first.
+// handlePlaintext handles the received data, after decryption if TLS is used.
+func (c *conn) handlePlaintext(data []byte) error {
+	completed, err := c.handleData(data)
+	if completed {
+		// The event loop makes a system call next and would hold the processor on which the
+		// waiting goroutine was queued; let that goroutine run first.
 		runtime.Gosched()
 	}
 	return err
 }
 
-// take handles the bytes that arrived. It reports whether they completed the
-// answer.
-func (c *conn) take(data []byte) (bool, error) {
+// handleData processes received data and reports whether it completed the response.
+func (c *conn) handleData(data []byte) (bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return false, net.ErrClosed
 	}
 	if !c.busy || c.sent.Load() == 0 {
-		return false, c.end(errLateBytes)
+		return false, c.failRequest(errUnexpectedData)
 	}
 	if err := c.receive(data); err != nil {
-		return false, c.end(err)
+		return false, c.failRequest(err)
 	}
 	return !c.busy, nil
 }
 
-// CloseAndClean implements nbhttp.ParserCloser; it is called once, when the
-// connection has ended.
+// CloseAndClean implements nbhttp.ParserCloser; it is called once, after the connection
+// has been closed.
 func (c *conn) CloseAndClean(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.closed {
-		_ = c.end(errors.CombineErrors(errClosed, err))
+		_ = c.failRequest(errors.CombineErrors(errClosed, err))
 	}
 	c.parser.CloseAndClean(err)
 }
 
-// end fails the request in flight, if any, and returns err.
-func (c *conn) end(err error) error {
+// failRequest fails the request in flight, if any, and returns err.
+func (c *conn) failRequest(err error) error {
 	c.closed = true
 	c.buf = nil
-	c.finish(result{err: err})
+	c.deliver(result{err: err})
 	return err
 }
 
-// finish hands r to the request in flight.
-func (c *conn) finish(r result) {
+// deliver passes r to the request in flight.
+func (c *conn) deliver(r result) {
 	if !c.busy {
 		return
 	}
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -13,11 +13,11 @@
 	"github.com/dapplespindle/dapplespindle/internal/httpwire/framing"
 )
 
-// FuzzAnswer checks that an answer that passes the scanner and the library's
-// parser is the same answer to net/http: status, headers, body.
+// FuzzAnswer checks that a response which the scanner and the library's parser accept has
+// the same status, headers and body when it is parsed by net/http.
 func FuzzAnswer(f *testing.F) {
 	for _, message := range []string{
-		okAnswer,
+		okResponse,
 		"HTTP/1.1 200 \r\nContent-Length: 2\r\nX: \t y \r\n\r\nok",
 		"HTTP/1.0 404 4 0 4\r\nContent-Length: 0\r\nX:\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTrailer: X\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nX: y\r\n\r\nH",
@@ -35,7 +35,7 @@
 			method = http.MethodHead
 		}
 		c := &conn{}
-		c.parser = nbhttp.NewParser(nil, engine, &c.gathering, true, nil)
+		c.parser = nbhttp.NewParser(nil, engine, &c.builder, true, nil)
 		c.scanner.ResetResponse(method, limits)
 		if done, err := c.scanner.Scan(data); !done || err != nil {
 			return
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -17,8 +17,8 @@
 	testWait    = 10 * time.Second
 )
 
-// script is what an upstream does on its n-th connection, from 0. The
-// connection is closed afterwards.
+// script handles the n-th connection of an upstream, counted from 0. The connection is
+// closed afterwards.
 type script func(n int, c net.Conn, r *bufio.Reader)
 
 func startUpstream(t *testing.T, s script) string {
@@ -64,7 +64,7 @@
 	return ctx
 }
 
-// readRequest reads one whole request; it returns false at the end.
+// readRequest reads one complete request; it returns false if there is none.
 func readRequest(r *bufio.Reader) bool {
 	req, err := http.ReadRequest(r)
 	if err != nil {
--- a/internal/upstream/listening.go
+++ b/internal/upstream/listening.go
@@ -8,8 +8,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// RefusesConnections reports whether connections to address are refused: no process listens
-// there. Silence, and any other failure, says nothing.
+// RefusesConnections reports whether connections to address are refused, which means that no
+// process listens there. It returns false for a timeout and any other failure, because these
+// don't show that.
 func (c *Client) RefusesConnections(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: c.conf.DialTimeout}
 	nc, err := dialer.DialContext(ctx, "tcp", parseTarget(address).address)
--- a/internal/upstream/listening_test.go
+++ b/internal/upstream/listening_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// TestRefuses: one that listens, one that has ended, and one that says nothing.
+// TestRefuses covers a listening address, a closed port and an invalid address.
 func TestRefuses(t *testing.T) {
 	is := is.New(t)
 	client := startClient(t, Config{DialTimeout: testWait})
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,32 +13,31 @@
 type pool struct {
 	address string
 	target  target
-	// mine is Config.Mine.
-	mine func(*httpwire.Request, http.Header) bool
+	// matches is Config.Mine.
+	matches func(*httpwire.Request, http.Header) bool
 
 	mu sync.Mutex
-	// idle is a stack: the connection used last is taken first.
+	// idle is a stack: the most recently used connection is reused first.
 	idle    []*conn
 	maxIdle int
-	// open counts the connections, those being made included.
+	// open counts the connections, including those that are being established.
 	open  int
 	limit int
 }
 
-// onceIdle is how long a connection may have been idle for a request that must
-// not be sent twice: upstreams may forget idle connections without a word, and
-// reset what comes on them.
-const onceIdle = time.Second
+// maxOnceIdle is the maximum idle time of a connection for a request that must not be sent
+// twice: an upstream may drop an idle connection silently and reset it when it gets data.
+const maxOnceIdle = time.Second
 
-// take returns an idle connection, or nil and whether a new one may be made;
-// if so it is counted as open and must be released. Once asks for a connection
-// that was used a moment ago.
+// take returns an idle connection, or nil and whether a new one may be opened; if so, it is
+// already counted as open and must be released. With once set, it only returns a connection
+// that was used within maxOnceIdle, unless the limit allows no new one.
 func (p *pool) take(once bool) (*conn, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for n := len(p.idle); n > 0; n = len(p.idle) {
 		cn := p.idle[n-1]
-		if once && p.open < p.limit && clock.Since(cn.idleSince) > onceIdle {
+		if once && p.open < p.limit && clock.Since(cn.idleSince) > maxOnceIdle {
 			break // the others have been idle for longer
 		}
 		p.idle[n-1] = nil
@@ -56,7 +55,7 @@
 	return nil, true
 }
 
-// put gives back a connection that may carry another request.
+// put returns a reusable connection to the pool.
 func (p *pool) put(cn *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,14 +69,14 @@
 	p.idle = append(p.idle, cn)
 }
 
-// release forgets a connection that was closed or could not be made.
+// release uncounts a connection that was closed or could not be opened.
 func (p *pool) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// retire closes the idle connections and keeps none from now on.
+// retire closes the idle connections and stops pooling.
 func (p *pool) retire(now time.Time) {
 	p.mu.Lock()
 	p.maxIdle = 0
@@ -108,9 +107,9 @@
 	p.idle = kept
 }
 
-// pool returns the pool of an address and makes it if it is new.
+// pool returns the pool of an address and creates it if necessary.
 func (c *Client) pool(address string) *pool {
-	if p := c.knownPool(address); p != nil {
+	if p := c.existingPool(address); p != nil {
 		return p
 	}
 	c.mu.Lock()
@@ -118,12 +117,12 @@
 	if p := c.pools[address]; p != nil {
 		return p
 	}
-	p := &pool{address: address, target: parseTarget(address), maxIdle: c.conf.IdlePerUpstream, mine: c.conf.Mine, limit: c.limit(address)}
+	p := &pool{address: address, target: parseTarget(address), maxIdle: c.conf.IdlePerUpstream, matches: c.conf.Mine, limit: c.limit(address)}
 	c.pools[address] = p
 	return p
 }
 
-func (c *Client) knownPool(address string) *pool {
+func (c *Client) existingPool(address string) *pool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.pools[address]
@@ -139,7 +138,7 @@
 	return pools
 }
 
-// limit is called under c.mu.
+// limit returns the connection limit of an address. The caller must hold c.mu.
 func (c *Client) limit(address string) int {
 	if n, ok := c.limits[address]; ok {
 		return n
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -16,13 +16,13 @@
 const (
 	firstFinalStatus = 200
 	maxInterim       = 16
-	// keepAliveMargin is how long before the announced end of an idle connection
-	// it is not used any more: a request may be on its way when it closes.
+	// keepAliveMargin is how long before its announced timeout an idle connection is no
+	// longer used: the upstream could close it while a request is in transit.
 	keepAliveMargin = 700 * time.Millisecond
 )
 
-// receive adds data to the answer being received and hands it over when it is
-// whole. Interim answers are dropped.
+// receive adds data to the current response and delivers it when it is complete. Interim
+// responses are dropped.
 func (c *conn) receive(data []byte) error {
 	owned := len(c.buf) > 0
 	if owned {
@@ -39,14 +39,14 @@
 		}
 		end := c.scanner.End()
 		if c.scanner.Head().Status >= firstFinalStatus {
-			mine, err := c.complete(data[:end:end], owned, len(data) == end)
-			if mine || err != nil {
+			matched, err := c.complete(data[:end:end], owned, len(data) == end)
+			if matched || err != nil {
 				return err
 			}
 		}
 		data = data[end:]
 		if c.interim++; c.interim > maxInterim {
-			return errTooInterim
+			return errTooManyInterim
 		}
 		c.scanner.Restart()
 	}
@@ -57,23 +57,22 @@
 	return nil
 }
 
-// complete hands over the whole answer. It reports false if the answer is a
-// late one to an earlier request, which is dropped. Bytes behind the answer, or
-// a late one before it, mean that the connection cannot be trusted with
-// another request; alone says that there are none behind.
+// complete delivers the complete response. It returns false if the response is a late one
+// to an earlier request, which is dropped. The connection is not reused if data follows the
+// response or if a late response preceded it; alone means that no data follows.
 func (c *conn) complete(message []byte, owned, alone bool) (bool, error) {
 	resp, err := c.parse(message, owned)
 	if err != nil {
 		return false, err
 	}
-	if mine := c.pool.mine; mine != nil && !mine(c.request, resp.Header) {
+	if matches := c.pool.matches; matches != nil && !matches(c.request, resp.Header) {
 		c.late = true
 		return false, nil
 	}
 	c.buf = nil
 	head := c.scanner.Head()
 	c.idleFor = time.Duration(head.KeepAliveFor) * time.Second
-	c.finish(result{resp: resp, reusable: head.Persistent() && alone && !c.late})
+	c.deliver(result{resp: resp, reusable: head.Persistent() && alone && !c.late})
 	return true, nil
 }
 
@@ -84,8 +83,8 @@
 	return c.busy && c.scanner.Head().UntilClose
 }
 
-// EndOfFile implements socket.Ender: it hands over an answer whose end is that
-// of the connection.
+// EndOfFile implements socket.Ender: it delivers a response that is delimited by the end of
+// the connection.
 func (c *conn) EndOfFile() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,44 +92,43 @@
 		return
 	}
 	if _, err := c.complete(c.buf, true, true); err != nil {
-		_ = c.end(err) // given to the request
+		_ = c.failRequest(err) // given to the request
 	}
 }
 
-var errNotOneAnswer = errors.New("not exactly one answer")
+var errNotOneResponse = errors.New("parser did not return exactly one response")
 
-// parse shows the parser one answer. The body shares the answer's memory if
-// that is owned.
+// parse parses one response. The body refers to the memory of message if owned is set.
 func (c *conn) parse(message []byte, owned bool) (*httpwire.Response, error) {
-	g := &c.gathering
+	b := &c.builder
 	head := c.scanner.Head()
-	*g = gathering{resp: &httpwire.Response{
+	*b = responseBuilder{resp: &httpwire.Response{
 		Status:        head.Status,
 		Header:        make(http.Header),
 		ContentLength: head.ContentLength,
 	}, owned: owned}
-	defer func() { *g = gathering{} }()
+	defer func() { *b = responseBuilder{} }()
 	if !owned && c.scanner.BodyBytes() > 0 {
-		g.resp.Body = make([]byte, 0, c.scanner.BodyBytes())
+		b.resp.Body = make([]byte, 0, c.scanner.BodyBytes())
 	}
 	if head.UntilClose {
-		// The parser would wait for a length: it is shown the head alone.
-		g.resp.Body = message[head.Bytes:]
+		// The parser would wait for a length: it only gets the head.
+		b.resp.Body = message[head.Bytes:]
 		message = message[:head.Bytes]
 	}
 	if err := c.scanner.Feed(message, c.parser.Parse); err != nil {
 		return nil, err
 	}
 	if head.UntilClose {
-		return g.resp, nil
+		return b.resp, nil
 	}
-	if g.complete != 1 || len(g.resp.Body) != c.scanner.BodyBytes() {
-		return nil, errNotOneAnswer
+	if b.complete != 1 || len(b.resp.Body) != c.scanner.BodyBytes() {
+		return nil, errNotOneResponse
 	}
-	return g.resp, nil
+	return b.resp, nil
 }
 
-// usable reports whether an idle connection may carry a request.
+// usable reports whether an idle connection may be used for a request.
 func (c *conn) usable(now time.Time) bool {
 	c.mu.Lock()
 	closed := c.closed
@@ -141,55 +139,55 @@
 	return socket.Quiet(c.nbc)
 }
 
-// gathering implements nbhttp.Processor: it collects the answer that the
-// parser calls back for. It is used under the connection's lock.
-type gathering struct {
+// responseBuilder implements nbhttp.Processor: it builds a response from the parser's
+// callbacks. It is used under the connection's lock.
+type responseBuilder struct {
 	resp     *httpwire.Response
 	owned    bool
 	complete int
 }
 
 // OnMethod is not called for responses.
-func (g *gathering) OnMethod(*nbhttp.Parser, string) {}
+func (b *responseBuilder) OnMethod(*nbhttp.Parser, string) {}
 
 // OnURL is not called for responses.
-func (g *gathering) OnURL(*nbhttp.Parser, string) error { return nil }
+func (b *responseBuilder) OnURL(*nbhttp.Parser, string) error { return nil }
 
-// OnProto implements nbhttp.Processor; the scanner has the version.
-func (g *gathering) OnProto(*nbhttp.Parser, string) error { return nil }
+// OnProto implements nbhttp.Processor; the version is taken from the scanner.
+func (b *responseBuilder) OnProto(*nbhttp.Parser, string) error { return nil }
 
-// OnStatus implements nbhttp.Processor; the scanner has the status.
-func (g *gathering) OnStatus(*nbhttp.Parser, int, string) {}
+// OnStatus implements nbhttp.Processor; the status is taken from the scanner.
+func (b *responseBuilder) OnStatus(*nbhttp.Parser, int, string) {}
 
 // OnHeader implements nbhttp.Processor.
-func (g *gathering) OnHeader(_ *nbhttp.Parser, key, value string) {
+func (b *responseBuilder) OnHeader(_ *nbhttp.Parser, key, value string) {
 	if key == "Content-Length" {
 		return
 	}
-	g.resp.Header[key] = append(g.resp.Header[key], strings.Trim(value, " \t"))
+	b.resp.Header[key] = append(b.resp.Header[key], strings.Trim(value, " \t"))
 }
 
-// OnContentLength implements nbhttp.Processor; the scanner has the length.
-func (g *gathering) OnContentLength(*nbhttp.Parser, int) {}
+// OnContentLength implements nbhttp.Processor; the length is taken from the scanner.
+func (b *responseBuilder) OnContentLength(*nbhttp.Parser, int) {}
 
 // OnBody implements nbhttp.Processor.
-func (g *gathering) OnBody(_ *nbhttp.Parser, data []byte) error {
-	if g.owned && g.resp.Body == nil {
-		g.resp.Body = data[:len(data):len(data)]
+func (b *responseBuilder) OnBody(_ *nbhttp.Parser, data []byte) error {
+	if b.owned && b.resp.Body == nil {
+		b.resp.Body = data[:len(data):len(data)]
 		return nil
 	}
-	g.resp.Body = append(g.resp.Body, data...)
+	b.resp.Body = append(b.resp.Body, data...)
 	return nil
 }
 
-// OnTrailerHeader is not called: trailers are dropped before the parser.
-func (g *gathering) OnTrailerHeader(*nbhttp.Parser, string, string) {}
+// OnTrailerHeader is not called: trailers are removed before parsing.
+func (b *responseBuilder) OnTrailerHeader(*nbhttp.Parser, string, string) {}
 
 // OnComplete implements nbhttp.Processor.
-func (g *gathering) OnComplete(*nbhttp.Parser) { g.complete++ }
+func (b *responseBuilder) OnComplete(*nbhttp.Parser) { b.complete++ }
 
-// Close implements nbhttp.Processor; the connection cleans up itself.
-func (g *gathering) Close(*nbhttp.Parser, error) {}
+// Close implements nbhttp.Processor; conn cleans up itself.
+func (b *responseBuilder) Close(*nbhttp.Parser, error) {}
 
 // Clean implements nbhttp.Processor.
-func (g *gathering) Clean(*nbhttp.Parser) {}
+func (b *responseBuilder) Clean(*nbhttp.Parser) {}
--- a/internal/upstream/suspend_test.go
+++ b/internal/upstream/suspend_test.go
@@ -12,16 +12,16 @@
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 )
 
-// TestConnectionsAreIdleWhileSuspended: after a suspension, a request that must not be
-// sent twice gets a new connection. The one that was used a moment before it has been
-// idle for as long as the machine was away, and upstreams forget such ones.
+// TestConnectionsAreIdleWhileSuspended checks that a request which must not be sent twice
+// gets a new connection after a suspension of the machine: connections that were used right
+// before it were idle during the suspension, and the upstream may have dropped them.
 func TestConnectionsAreIdleWhileSuspended(t *testing.T) {
 	is := is.New(t)
 	var connections atomic.Int64
 	address := startUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		connections.Add(1)
 		for readRequest(r) {
-			_, _ = c.Write([]byte(okAnswer))
+			_, _ = c.Write([]byte(okResponse))
 		}
 	})
 	client := startClient(t, Config{})
--- a/internal/upstream/tls.go
+++ b/internal/upstream/tls.go
@@ -9,29 +9,30 @@
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 )
 
-// target is how an upstream is reached.
+// target is a parsed target string.
 type target struct {
 	// address is "IP:port".
 	address string
 	tls     bool
-	// name is what the upstream's certificate must carry; empty is its IP.
+	// name is the name that the upstream's certificate must be valid for; if empty, it is
+	// the IP.
 	name string
 }
 
-// A target with TLS is written "tls:NAME@IP:port", and one with connections of
-// its own "id:UPSTREAM@IP:port".
+// The forms of a target string: "IP:port", "tls:NAME@IP:port" for TLS, and
+// "id:UPSTREAM@IP:port" for an instance with its own connections.
 const (
 	tlsPrefix     = "tls:"
 	idPrefix      = "id:"
 	nameSeparator = "@"
 )
 
-// InstanceTarget returns what Do takes as the address of one instance of an
-// upstream: its connections are never used for another at the same address.
+// InstanceTarget returns the address argument of Do for one instance of an upstream. Its
+// connections are never used for another instance at the same address.
 func InstanceTarget(id, address string) string { return idPrefix + id + nameSeparator + address }
 
-// Target returns what Do takes as the address of an upstream of a group with
-// these TLS settings. Plain and TLS connections to one address never mix.
+// Target returns the address argument of Do for an upstream of a group with these TLS
+// settings. Plaintext and TLS connections to one address are pooled separately.
 func Target(address string, t config.TLS) string {
 	if !t.Enabled {
 		return address
@@ -39,7 +40,7 @@
 	return tlsPrefix + t.ServerName + nameSeparator + address
 }
 
-// HostOf returns the IP:port of a target.
+// HostOf returns the IP:port of a target string.
 func HostOf(s string) string { return parseTarget(s).address }
 
 func parseTarget(s string) target {
@@ -55,8 +56,8 @@
 	return target{address: address, tls: true, name: name}
 }
 
-// handshake makes TLS on a new connection to an upstream that has it. It
-// returns nil for a plain upstream.
+// handshake runs the TLS handshake on a new connection to an upstream with TLS. It
+// returns nil for an upstream without TLS.
 func (c *Client) handshake(ctx context.Context, p *pool, nc net.Conn) (*socket.TLS, error) {
 	if !p.target.tls {
 		return nil, nil
@@ -74,11 +75,11 @@
 	return socket.DialTLS(ctx, nc, conf)
 }
 
-// secure goes on with session over the event loop, if there is one.
+// secure attaches the TLS session, if any, to the event loop.
 func (c *conn) secure(session *socket.TLS) error {
 	if session == nil {
 		return nil
 	}
 	c.tls = session
-	return session.Attach(c.writeRaw, c.plain)
+	return session.Attach(c.writeRaw, c.handlePlaintext)
 }
--- a/internal/upstream/tls_test.go
+++ b/internal/upstream/tls_test.go
@@ -28,14 +28,14 @@
 	}
 }
 
-// trusting returns the client's configuration that trusts a.
+// trusting returns a client configuration that trusts the CA a.
 func trusting(a *authority, certificates ...tls.Certificate) func(string) *tls.Config {
 	return func(name string) *tls.Config {
 		return &tls.Config{RootCAs: a.pool(), ServerName: name, Certificates: certificates, DynamicRecordSizingDisabled: true}
 	}
 }
 
-// echoBody answers each request with its body.
+// echoBody responds to each request with its body.
 func echoBody(requests *atomic.Int64) script {
 	return func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
@@ -138,7 +138,7 @@
 	is.Equal(requests.Load(), int64(1))
 }
 
-func TestSilentUpstreamEndsTheHandshake(t *testing.T) {
+func TestHandshakeTimeout(t *testing.T) {
 	is := is.New(t)
 	address := startUpstream(t, func(_ int, _ net.Conn, r *bufio.Reader) { _, _ = io.Copy(io.Discard, r) })
 	client := startClient(t, Config{DialTimeout: 50 * time.Millisecond, TLS: trusting(newAuthority(t))})
@@ -157,7 +157,7 @@
 	address := startUpstream(t, echoBody(&requests))
 	client := startClient(t, Config{TLS: trusting(newAuthority(t))})
 	_, err := client.Do(testContext(t), address, request("POST", nil))
-	is.True(err == nil) // an idle plain connection is left
+	is.True(err == nil) // an idle plaintext connection is left
 	_, err = client.Do(testContext(t), Target(address, enabled), request("POST", nil))
 	is.Equal(err.Kind, errkind.ConnectFailed)
 	is.Equal(requests.Load(), int64(1))
@@ -187,5 +187,5 @@
 	is.Equal(err.Kind, errkind.CallerGone)
 	<-gone
 	_, err = client.Do(testContext(t), Target(address, enabled), request("POST", nil))
-	is.Equal(err.Kind, errkind.UpstreamBroken) // a cut answer: it may have run
+	is.Equal(err.Kind, errkind.UpstreamBroken) // truncated response: the request may have run
 }
