--- a/internal/prober/bench_test.go
+++ b/internal/prober/bench_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// BenchmarkPoll is one search for an upstream to probe, which Run makes every
-// pollInterval. All are due all the time, which is the dearest case.
+// BenchmarkPoll measures one search for an upstream to probe, which Run makes every
+// pollInterval. All upstreams are always due, which is the most expensive case.
 func BenchmarkPoll(b *testing.B) {
 	eachFleet(b, func(b *testing.B, p *Prober, _ []Target) {
 		now := time.Now().Add(time.Hour)
@@ -46,8 +46,8 @@
 	})
 }
 
-// BenchmarkSetTargets is a change of configuration that leaves the upstreams
-// as they are.
+// BenchmarkSetTargets measures a configuration change that leaves the upstreams
+// unchanged.
 func BenchmarkSetTargets(b *testing.B) {
 	eachFleet(b, func(b *testing.B, p *Prober, targets []Target) {
 		for b.Loop() {
--- a/internal/prober/plans.go
+++ b/internal/prober/plans.go
@@ -8,9 +8,9 @@
 	"github.com/dapplespindle/dapplespindle/pkg/probebudget"
 )
 
-// Targets returns the upstreams that the documents in force give a measuring
-// budget. MaxHosts and linger are settings of the fleet; see docs/MEASURING.md.
-// Draining upstreams are not probed.
+// Targets returns the upstreams of the current documents with their probe budgets,
+// without those that are draining. maxHosts and linger are settings of the fleet; see
+// docs/MEASURING.md.
 func Targets(services []*config.Service, maxHosts int, linger time.Duration) []Target {
 	var out []Target
 	for _, svc := range services {
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -1,8 +1,8 @@
-// Package prober sends probes to upstreams, inside the measuring budget.
+// Package prober sends load probes to upstreams, within the probe budget.
 //
-// It probes the upstream whose report is stalest, and none whose reports ride
-// on answers often enough. Every probe asks pkg/probebudget first, and the
-// send itself is audited.
+// It probes the upstream with the oldest load report first, and none that reports
+// its load in responses often enough. Every probe needs a grant of pkg/probebudget,
+// and an independent audit checks the intervals between probes.
 package prober
 
 import (
@@ -22,7 +22,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/probebudget"
 )
 
-// HeaderLoad is the answer header with the requests active at the upstream.
+// HeaderLoad is the response header with the number of active requests at the upstream.
 const HeaderLoad = "X-Load-Active"
 
 const pollInterval = 20 * time.Millisecond
@@ -32,15 +32,15 @@
 	Do(ctx context.Context, address string, req *httpwire.Request) (*httpwire.Response, *errkind.Error)
 }
 
-// Report is what a probe learned.
+// Report is the result of a probe.
 type Report struct {
 	// Address is the server that was probed.
 	Address string
-	// Upstreams are the ids under which groups list it.
+	// Upstreams are the IDs under which groups list the server.
 	Upstreams []string
-	// Active is the number of requests active there.
+	// Active is the number of active requests there.
 	Active int
-	// Sent and Received are when the probe went out and the answer came.
+	// Sent and Received are the times of the probe and of its response.
 	Sent, Received time.Time
 }
 
@@ -50,25 +50,25 @@
 	EntryHost string
 	// Sender sends the probes.
 	Sender Sender
-	// Events receives what was done.
+	// Events receives the events of the prober.
 	Events event.Sink
 	// Report receives each report. It is called on the probe's goroutine.
 	Report func(Report)
-	// Rest reads from an answer for how long the server wants nothing from this host; 0 if
-	// it does not say. Nil reads nothing.
+	// Rest returns the backoff period that a response requests; 0 if none. If it is nil,
+	// responses are not checked for one.
 	Rest func(status int, h http.Header) (time.Duration, error)
-	// Rested receives until when the server at an address rests. It is called on the
-	// probe's goroutine.
+	// Rested receives the end of the backoff period of the server at an address. It is
+	// called on the probe's goroutine.
 	Rested func(address string, until time.Time)
-	// Limited reports whether the server at an address names how many requests a second it
-	// takes: probes leave them to callers. Nil is never. It is called on the control
-	// goroutine and on Run's.
+	// Limited reports whether the server at an address has announced a rate limit. Such a
+	// server is not probed, so that the limit is left to callers. Nil means that none has. It
+	// is called on the control goroutine and on that of Run.
 	Limited func(address string) bool
 	// Path is the request path of a probe.
 	Path string
-	// Timeout ends a probe; it bounds the slot time that one probe takes.
+	// Timeout limits the duration of a probe, and thereby the slot time that it takes.
 	Timeout time.Duration
-	// FreshFor is how long a report that rode on an answer makes a probe needless.
+	// FreshFor is the age up to which a load report makes a probe unnecessary.
 	FreshFor time.Duration
 }
 
@@ -80,9 +80,9 @@
 	mu      sync.Mutex // guards what follows
 	budget  *probebudget.Budget
 	audit   *probebudget.Audit
-	scanned time.Time   // of the newest scan
-	found   []candidate // by it
-	queue   []candidate // the rest of found
+	scanned time.Time   // time of the last scan
+	found   []candidate // result of the last scan
+	queue   []candidate // remaining part of found
 }
 
 // New returns a prober without targets.
@@ -93,15 +93,15 @@
 }
 
 // SetTargets replaces the upstreams that may be probed. The control goroutine
-// calls it when the configuration changes. Those without a measuring budget
-// are no targets.
+// calls it when the configuration changes. Upstreams without a probe budget are
+// ignored.
 func (p *Prober) SetTargets(targets []Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old := *p.targets.Load()
 	next := make(map[string]*target, len(old))
 	for address, t := range merge(targets) {
-		if known := old[address]; known != nil && known.same(t) {
+		if known := old[address]; known != nil && known.equal(t) {
 			next[address] = known
 		} else if p.configure(t, known) {
 			next[address] = t
@@ -116,8 +116,8 @@
 	p.scanned, p.queue = time.Time{}, nil
 }
 
-// configure takes in a target that is new or has changed. It reports false if
-// the target is not to be probed.
+// configure sets up a target that is new or has changed. It returns false if the target
+// must not be probed.
 func (p *Prober) configure(t, known *target) bool {
 	if err := t.Plan.Validate(); err != nil {
 		p.emit(event.Event{Code: event.BudgetRejected, Upstream: t.Upstream, Detail: err.Error()})
@@ -126,7 +126,7 @@
 	if !t.Plan.Enabled() {
 		return false
 	}
-	// The plan was checked; Configure reports nothing else.
+	// Configure only returns an error for an invalid plan, and this one was validated.
 	_ = p.budget.Configure(clock.Now(), t.Address, t.Plan)
 	if known == nil {
 		p.budget.Stagger(t.Address, rand.N(t.Plan.Window()))
@@ -137,7 +137,7 @@
 	return true
 }
 
-// Heard records that a report of the server at an address rode on an answer.
+// Heard records that a response of the server at an address included a load report.
 // Traffic goroutines call it; it takes no lock.
 func (p *Prober) Heard(address string, now time.Time) {
 	if t := (*p.targets.Load())[address]; t != nil {
@@ -145,7 +145,7 @@
 	}
 }
 
-// Rests takes in that the server at an address wants nothing from this host until a time.
+// Rests records that the server at an address has requested a backoff until the given time.
 // Traffic goroutines call it; it takes no lock.
 func (p *Prober) Rests(address string, until time.Time) {
 	if t := (*p.targets.Load())[address]; t != nil {
@@ -153,7 +153,7 @@
 	}
 }
 
-// Counters returns the probes of the server at an address, for metrics.
+// Counters returns the probe counts of the server at an address, for metrics.
 func (p *Prober) Counters(address string) probebudget.Counters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,7 +176,7 @@
 	}
 }
 
-// probe sends one probe and ends its grant.
+// probe sends one probe and settles its grant.
 func (p *Prober) probe(ctx context.Context, t *target, g probebudget.Grant) {
 	ctx, cancel := context.WithTimeout(ctx, p.conf.Timeout)
 	defer cancel()
@@ -200,15 +200,16 @@
 	p.report(t, resp, sent, received)
 }
 
-// allowed checks the send itself. A refusal is a broken invariant.
+// allowed audits the interval since the last probe. If it returns false, an invariant is
+// violated.
 func (p *Prober) allowed(now time.Time, t *target) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	breach := p.audit.Send(now, t.Address, t.Plan)
-	if breach == nil {
+	violation := p.audit.Send(now, t.Address, t.Plan)
+	if violation == nil {
 		return true
 	}
-	p.emit(event.Event{Code: event.ProbeOverBudget, Upstream: t.Upstream, Value: int64(breach.Early)})
+	p.emit(event.Event{Code: event.ProbeOverBudget, Upstream: t.Upstream, Value: int64(violation.Early)})
 	return false
 }
 
@@ -220,7 +221,7 @@
 	}
 }
 
-// outcome states what is known about a probe that ended with err.
+// outcome returns the outcome of a probe that ended with err.
 func outcome(err *errkind.Error) probebudget.Outcome {
 	switch {
 	case err == nil:
@@ -243,7 +244,7 @@
 }
 
 func (p *Prober) report(t *target, resp *httpwire.Response, sent, received time.Time) {
-	if p.rested(t, resp, received) {
+	if p.applyBackoff(t, resp, received) {
 		return
 	}
 	active, err := strconv.Atoi(resp.Header.Get(HeaderLoad))
@@ -256,8 +257,9 @@
 	p.conf.Report(Report{Address: t.Address, Upstreams: t.ids, Active: active, Sent: sent, Received: received})
 }
 
-// rested takes in an answer that asks for rest, and reports whether it does.
-func (p *Prober) rested(t *target, resp *httpwire.Response, received time.Time) bool {
+// applyBackoff records the backoff period that a response requests, and reports whether it
+// requests one.
+func (p *Prober) applyBackoff(t *target, resp *httpwire.Response, received time.Time) bool {
 	if p.conf.Rest == nil {
 		return false
 	}
--- a/internal/prober/prober_test.go
+++ b/internal/prober/prober_test.go
@@ -20,7 +20,7 @@
 
 var plan = probebudget.Plan{MaxHosts: 4, Slots: 3, SlotTimePercent: 10, Cost: 6 * time.Millisecond, Linger: 100 * time.Millisecond}
 
-// fakeUpstreams answers after a delay and records when probes came.
+// fakeUpstreams responds after a delay and records when probes arrive.
 type fakeUpstreams struct {
 	mu    sync.Mutex
 	delay time.Duration
@@ -78,14 +78,14 @@
 	synctest.Wait()
 }
 
-func TestProbesStayInTheShare(t *testing.T) {
+func TestProbesStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(2*time.Millisecond, "2")
 		r.SetTargets([]Target{{"a", "a:1", "a:1", plan}, {"b", "b:1", "b:1", plan}, {"a", "a:1", "a:1", plan}})
 		r.runFor(t, 10*time.Second)
 		for _, at := range r.upstreams.sent {
-			is.True(len(at) > 50) // of 125 that the share allows
+			is.True(len(at) > 50) // the share allows 125
 			for i := 1; i < len(at); i++ {
 				is.True(at[i].Sub(at[i-1]) >= plan.Window())
 			}
@@ -96,7 +96,7 @@
 	})
 }
 
-func TestNoProbeWhileReportsRideOnAnswers(t *testing.T) {
+func TestNoProbeWhileResponsesReportLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(0, "0")
@@ -114,7 +114,7 @@
 	})
 }
 
-func TestSlowProbeIsGivenUpAndPaidBack(t *testing.T) {
+func TestSlowProbeIsAbandonedAndCharged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(time.Hour, "0")
@@ -128,7 +128,7 @@
 	})
 }
 
-func TestAnswerWithoutLoadIsNoReport(t *testing.T) {
+func TestResponseWithoutLoadIsNoReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(0, "many")
@@ -158,17 +158,17 @@
 	}}
 	targets := merge(Targets([]*config.Service{ledger}, 24, time.Second))
 	is.Equal(len(targets), 1)
-	is.Equal(targets["a:1"].Plan.SlotTimePercent, 1.0) // the strictest of both groups
+	is.Equal(targets["a:1"].Plan.SlotTimePercent, 1.0) // the stricter budget of both groups
 
 	targets = merge(Targets([]*config.Service{ledger, catalogue}, 24, time.Second))
-	is.Equal(len(targets), 2) // a server with two names is one, two with one name are two
+	is.Equal(len(targets), 2) // one target per address, whatever the IDs
 	is.Equal(targets["a:1"].Plan.SlotTimePercent, 0.5)
 	is.Equal(targets["a:1"].ids, []string{"a", "x"})
 	is.Equal(targets["c:1"].ids, []string{"a"})
 }
 
-// TestLargeFleetIsProbedInTurn has more upstreams than one scan may look at in
-// each poll, and probes due all the time.
+// TestLargeFleetIsProbedInTurn checks that no upstream is starved if there are too many to
+// scan in each poll and probes are always due.
 func TestLargeFleetIsProbedInTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -179,7 +179,7 @@
 		for _, sent := range r.upstreams.sent {
 			least, most = min(least, len(sent)), max(most, len(sent))
 		}
-		is.Equal(len(r.upstreams.sent), 1000) // none starves
+		is.Equal(len(r.upstreams.sent), 1000) // none is starved
 		is.True(most-least <= 2)
 		is.Equal(r.events.codes[event.ProbeOverBudget], 0)
 	})
@@ -192,7 +192,7 @@
 	is.Equal(len(*r.targets.Load()), 10)
 	kept := (*r.targets.Load())["1"]
 	r.SetTargets(manyTargets(5, 1))
-	is.Equal((*r.targets.Load())["1"], kept) // its report and plan stay
+	is.Equal((*r.targets.Load())["1"], kept) // its state is kept
 	r.SetTargets(manyTargets(10, 0))
 	is.Equal(len(*r.targets.Load()), 0)
 	_, due := r.budget.Due("1")
--- a/internal/prober/scan.go
+++ b/internal/prober/scan.go
@@ -7,19 +7,19 @@
 	"github.com/dapplespindle/dapplespindle/pkg/probebudget"
 )
 
-// scanPerTarget times the number of targets is the shortest time between two
-// looks at all of them, so that the cost of looking does not grow with the
-// fleet. Up to 400 targets that is less than pollInterval.
+// scanPerTarget multiplied by the number of targets is the minimum time between two
+// scans of all targets, so that the cost of scanning does not grow with the fleet.
+// Up to 400 targets it is at most pollInterval.
 const scanPerTarget = 50 * time.Microsecond
 
-// candidate is a target that a scan found due, with the time of its report.
+// candidate is a target that was due in a scan, with the time of its report.
 type candidate struct {
 	target   *target
-	reported int64 // ns since the Unix epoch; 0: never
+	reported int64 // ns since the Unix epoch; 0 if never
 }
 
-// next takes a grant for the upstream with the stalest report, as the newest
-// scan ordered them.
+// next takes a grant for the upstream with the oldest report, in the order of the last
+// scan.
 func (p *Prober) next(now time.Time) (*target, probebudget.Grant, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,7 +30,7 @@
 	for len(p.queue) > 0 {
 		t := p.queue[0].target
 		p.queue = p.queue[1:]
-		if !p.wants(now, t) {
+		if !p.needsProbe(now, t) {
 			continue
 		}
 		if g, ok := p.budget.Take(now, t.Address); ok {
@@ -40,12 +40,13 @@
 	return nil, probebudget.Grant{}, false
 }
 
-// scan orders the targets that want a probe, the stalest first.
+// scan collects the targets that need a probe, ordered by the age of their report, the
+// oldest first.
 func (p *Prober) scan(now time.Time, targets map[string]*target) {
 	p.scanned = now
 	p.found = p.found[:0]
 	for _, t := range targets {
-		if p.wants(now, t) {
+		if p.needsProbe(now, t) {
 			p.found = append(p.found, candidate{t, t.reported.Load()})
 		}
 	}
@@ -53,9 +54,9 @@
 	p.queue = p.found
 }
 
-// wants reports whether a probe of t is earned, its report is stale, it does not rest and
-// names no limit.
-func (p *Prober) wants(now time.Time, t *target) bool {
+// needsProbe reports whether the budget allows a probe of t, its report is stale, it is not in
+// backoff and it has announced no rate limit.
+func (p *Prober) needsProbe(now time.Time, t *target) bool {
 	due, ok := p.budget.Due(t.Address)
 	if !ok || now.Before(due) || t.age(now) <= p.conf.FreshFor || t.rest.Left(now) > 0 {
 		return false
--- a/internal/prober/target.go
+++ b/internal/prober/target.go
@@ -11,14 +11,14 @@
 
 // Target is an upstream that may be probed, as one group lists it.
 type Target struct {
-	// Upstream is its id in that group.
+	// Upstream is its ID in that group.
 	Upstream string
-	// Address is "IP:port". The budget is that of the server behind it.
+	// Address is "IP:port". The budget applies to the server at this address.
 	Address string
-	// Via is what the sender takes: Address, with the group's TLS settings if it
-	// has any.
+	// Via is the address argument for the sender: Address with the group's TLS
+	// settings, if any.
 	Via string
-	// Plan is its measuring budget.
+	// Plan is its probe budget.
 	Plan probebudget.Plan
 }
 
@@ -26,13 +26,13 @@
 // goroutines set.
 type target struct {
 	Target
-	ids      []string     // under which groups list it
-	reported atomic.Int64 // ns since the Unix epoch; 0: never
+	ids      []string     // IDs under which groups list it
+	reported atomic.Int64 // ns since the Unix epoch; 0 if never
 	rest     rest.State
 }
 
-// same reports whether o says the same of the server as t.
-func (t *target) same(o *target) bool {
+// equal reports whether t and o have the same configuration.
+func (t *target) equal(o *target) bool {
 	return t.Target == o.Target && slices.Equal(t.ids, o.ids)
 }
 
@@ -44,11 +44,11 @@
 	return now.Sub(time.Unix(0, at))
 }
 
-// never is the age of a report that never came.
+// never is the age if there has been no report.
 const never = time.Duration(1<<63 - 1)
 
-// merge returns one target per address. A server that several groups list, also
-// under different ids, is measured once, by the strictest of their budgets.
+// merge returns one target per address. A server that several groups list, even under
+// different IDs, is probed within the strictest of their budgets.
 func merge(targets []Target) map[string]*target {
 	out := make(map[string]*target, len(targets))
 	for _, t := range targets {
