--- a/pkg/probebudget/audit.go
+++ b/pkg/probebudget/audit.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Violation is a broken invariant: a probe was about to be sent sooner after the
-// last one than this host's share allows.
+// Violation is a violated invariant: a probe was about to be sent earlier after the last
+// one than this host's share allows.
 type Violation struct {
-	// Upstream is the id of the upstream.
+	// Upstream is the ID of the upstream.
 	Upstream string
-	// Early is how much too soon the probe was.
+	// Early is the time by which the probe was too early.
 	Early time.Duration
 }
 
-// Audit checks the sends themselves, apart from Budget: it shares no state
-// with it, so that a fault there is seen here. It belongs to one goroutine.
+// Audit checks the probes independently of Budget: it shares no state with it, so that
+// it detects faults there. It must be used by one goroutine at a time.
 type Audit struct {
 	last map[string]time.Time
 }
 
-// NewAudit returns an audit without sends.
+// NewAudit returns an Audit without recorded probes.
 func NewAudit() *Audit { return &Audit{last: make(map[string]time.Time)} }
 
-// Send must be called right before a probe is sent. A probe that it reports
-// as a breach must not be sent.
+// Send must be called right before a probe is sent. If it returns a violation, the probe
+// must not be sent.
 func (a *Audit) Send(now time.Time, upstream string, p Plan) *Violation {
 	last, sent := a.last[upstream]
 	if sent && now.Sub(last) < p.Window() {
@@ -31,6 +31,6 @@
 	return nil
 }
 
-// Forget drops an upstream that is no longer configured and has no probe
-// outstanding.
+// Forget removes an upstream that is no longer configured and has no outstanding
+// probe.
 func (a *Audit) Forget(upstream string) { delete(a.last, upstream) }
--- a/pkg/probebudget/bench_test.go
+++ b/pkg/probebudget/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BenchmarkTakeSettle measures one probe's accounting.
+// BenchmarkTakeSettle measures the accounting of one probe.
 func BenchmarkTakeSettle(b *testing.B) {
 	now := time.Unix(1000, 0)
 	budget := New()
--- a/pkg/probebudget/budget.go
+++ b/pkg/probebudget/budget.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// MaxProbeTime is the longest slot time charged for one probe. Senders give a
-// probe up sooner.
+// MaxProbeTime is the maximum slot time charged for one probe. Senders abandon a probe
+// earlier.
 const MaxProbeTime = 10 * time.Second
 
-// Grant is the right to send one probe, now.
+// Grant is the permission to send one probe now.
 type Grant struct {
-	// Upstream is the id of the upstream to probe.
+	// Upstream is the ID of the upstream to probe.
 	Upstream string
 	// Cost is the slot time that was charged.
 	Cost time.Duration
@@ -20,45 +20,45 @@
 type Counters struct {
 	// Granted, Answered, Abandoned and NotSent count probes.
 	Granted, Answered, Abandoned, NotSent uint64
-	// Spent is the slot time charged, with overruns.
+	// Spent is the slot time charged, including overruns.
 	Spent time.Duration
-	// Overrun is the part of Spent that came from probes that took longer than Plan.Cost.
+	// Overrun is the part of Spent for the time by which probes exceeded Plan.Cost.
 	Overrun time.Duration
 }
 
-// share is this process's part of one upstream's budget.
+// share is the share of one upstream's budget that this process has.
 type share struct {
-	plan        Plan
-	earnedFrom  time.Time     // the next probe is earned from here on
-	wait        time.Duration // added to the plan's spacing, once
-	number      uint64        // of the last grant
-	outstanding bool
-	removed     bool
-	counters    Counters
+	plan         Plan
+	accrualStart time.Time     // when accrual for the next probe started
+	extraWait    time.Duration // extra wait before the next probe
+	number       uint64        // of the last grant
+	outstanding  bool
+	removed      bool
+	counters     Counters
 }
 
 func (s *share) due() time.Time {
-	return s.earnedFrom.Add(s.plan.spacing()).Add(s.wait)
+	return s.accrualStart.Add(s.plan.spacing()).Add(s.extraWait)
 }
 
-// Budget is the measuring budget of one entry host process.
+// Budget is the probe budget of one entry host process.
 type Budget struct {
 	shares map[string]*share
 }
 
-// New returns a budget without upstreams.
+// New returns a Budget without upstreams.
 func New() *Budget { return &Budget{shares: make(map[string]*share)} }
 
-// Configure sets the plan of an upstream. The share of an upstream that is new
-// to this process starts empty. An upstream that stands in several groups must
-// be configured once, with Strictest of their plans.
+// Configure sets the plan of an upstream. For an upstream that is new to this process, the
+// share starts empty. An upstream that is in several groups must be configured once, with
+// Strictest of their plans.
 func (b *Budget) Configure(now time.Time, upstream string, plan Plan) error {
 	if err := plan.Validate(); err != nil {
 		return err
 	}
 	s := b.shares[upstream]
 	if s == nil {
-		s = &share{earnedFrom: now, wait: plan.Linger}
+		s = &share{accrualStart: now, extraWait: plan.Linger}
 		b.shares[upstream] = s
 	}
 	s.removed = false
@@ -66,9 +66,9 @@
 	return nil
 }
 
-// Remove forgets an upstream. While a probe is outstanding the share stays, so
-// that an upstream which is configured again does not earn twice; Remove then
-// reports false.
+// Remove removes an upstream. While a probe is outstanding, the share is kept and Remove
+// returns false, so that an upstream which is configured again does not accrue budget
+// twice.
 func (b *Budget) Remove(upstream string) bool {
 	s := b.shares[upstream]
 	if s != nil && s.outstanding {
@@ -79,15 +79,15 @@
 	return true
 }
 
-// Stagger makes the next probe of an upstream later by d, so that hosts which
-// started together do not probe together. A negative d changes nothing.
+// Stagger delays the next probe of an upstream by d, so that hosts which started at the
+// same time do not probe at the same time. A negative d has no effect.
 func (b *Budget) Stagger(upstream string, d time.Duration) {
 	if s := b.shares[upstream]; s != nil {
-		s.wait += max(d, 0)
+		s.extraWait += max(d, 0)
 	}
 }
 
-// Due returns when the next probe of an upstream will be earned. It reports
+// Due returns the time from which the next probe of an upstream is allowed. It returns
 // false while a probe is outstanding and for an upstream without a budget.
 func (b *Budget) Due(upstream string) (time.Time, bool) {
 	s := b.shares[upstream]
@@ -97,9 +97,9 @@
 	return s.due(), true
 }
 
-// Take grants a probe if one is earned. The caller must have read now before
-// it sends, must send at most once, and must end the grant with Settle. A grant that
-// is never settled stops this process's probes of that upstream.
+// Take grants a probe if one is due. The caller must read now before it sends the probe,
+// must send at most one, and must end the grant with Settle. A grant that is never settled
+// blocks further probes of that upstream by this process.
 func (b *Budget) Take(now time.Time, upstream string) (Grant, bool) {
 	due, ok := b.Due(upstream)
 	if !ok || now.Before(due) {
@@ -112,19 +112,19 @@
 	return Grant{Upstream: upstream, Cost: s.plan.Cost, number: s.number}, true
 }
 
-// Settle ends a grant. The caller must have read now after the answer came or
-// the probe was given up; a process that slept between Take and sending
-// thereby earns from when it woke. Took is the time from sending to the end; what
-// exceeds the cost is paid back before the next probe. Settle reports false for a grant that
-// is not outstanding.
+// Settle ends a grant. The caller must read now after the response arrived or the probe was
+// abandoned, so that accrual for the next probe starts after the end of this one, even if the
+// process was paused between Take and sending. took is the time from sending to the end; the
+// time in excess of the cost delays the next probe accordingly. Settle returns false for a
+// grant that is not outstanding.
 func (b *Budget) Settle(now time.Time, g Grant, took time.Duration, o Outcome) bool {
 	s := b.shares[g.Upstream]
 	if s == nil || !s.outstanding || s.number != g.number {
 		return false
 	}
 	s.outstanding = false
-	s.earnedFrom = now
-	s.wait = 0
+	s.accrualStart = now
+	s.extraWait = 0
 	s.account(g, took, o)
 	if s.removed {
 		delete(b.shares, g.Upstream)
@@ -132,7 +132,7 @@
 	return true
 }
 
-// account counts an ended probe and sets what it adds to the next wait.
+// account counts a finished probe and sets the extra wait before the next one.
 func (s *share) account(g Grant, took time.Duration, o Outcome) {
 	switch o {
 	case NotSent:
@@ -142,7 +142,7 @@
 		s.counters.Answered++
 	default:
 		s.counters.Abandoned++
-		s.wait = s.plan.Linger
+		s.extraWait = s.plan.Linger
 	}
 	s.counters.Spent += g.Cost
 	over := min(took, MaxProbeTime) - g.Cost
@@ -151,10 +151,10 @@
 	}
 	s.counters.Spent += over
 	s.counters.Overrun += over
-	s.wait += time.Duration(float64(s.plan.spacing()) * float64(over) / float64(g.Cost))
+	s.extraWait += time.Duration(float64(s.plan.spacing()) * float64(over) / float64(g.Cost))
 }
 
-// Counters returns the counts of one upstream since it was configured.
+// Counters returns the counters of one upstream since it was configured.
 func (b *Budget) Counters(upstream string) Counters {
 	s := b.shares[upstream]
 	if s == nil {
@@ -163,8 +163,8 @@
 	return s.counters
 }
 
-// Strictest returns the plan of the two that allows less probing, with the
-// larger cost and linger time of both.
+// Strictest returns the plan with the lower rate, with the larger cost and linger time of
+// both.
 func Strictest(a, b Plan) Plan {
 	strict := a
 	if b.Rate() < a.Rate() {
--- a/pkg/probebudget/budget_test.go
+++ b/pkg/probebudget/budget_test.go
@@ -31,13 +31,13 @@
 
 const scheduleTicks = 1200
 
-// TestSpendInAnyWindow drives the product and the naive variants through the
-// same drawn schedules. The product must keep the guarantee in every window;
-// each variant must be caught.
+// TestSpendInAnyWindow runs Budget and naive variants of it on the same random schedules of
+// faults. Budget must keep the guarantee in every window, and the test must find a schedule
+// in which each naive variant violates it.
 func TestSpendInAnyWindow(t *testing.T) {
 	is := is.New(t)
 	window := int(testPlan.Window() / tick)
-	breached := make([]int, len(variants))
+	violations := make([]int, len(variants))
 	most := make([]int, len(variants))
 	probes := make([]int, len(variants))
 	var faultCount [numFaults]int
@@ -55,7 +55,7 @@
 			most[v] = max(most[v], one)
 			length := overBudget(arrivals, window)
 			if length > 0 {
-				breached[v]++
+				violations[v]++
 			}
 			if length > 0 && v == 0 {
 				rt.Fatalf("over budget in a window of %d ticks", length)
@@ -69,15 +69,15 @@
 	for v := range variants {
 		full := float64(runs) * scheduleTicks / float64(window) * float64(testPlan.MaxHosts)
 		t.Logf("%-52s over budget in %4d of %d schedules, worst window %3d%% of budget, used %3.0f%%",
-			variants[v].name, breached[v], runs, 100*most[v]/testPlan.MaxHosts, 100*float64(probes[v])/full)
+			variants[v].name, violations[v], runs, 100*most[v]/testPlan.MaxHosts, 100*float64(probes[v])/full)
 	}
-	is.Equal(breached[0], 0)
+	is.Equal(violations[0], 0)
 	for v := 1; v < len(variants); v++ {
-		is.True(breached[v] > 0) // the naive variant must be caught
+		is.True(violations[v] > 0) // a violation by the naive variant must be found
 	}
 }
 
-// overBudget returns the length of a window that breaks the guarantee, or 0.
+// overBudget returns the length of a window that violates the guarantee, or 0.
 // Between whole multiples of the window the excess stays below one PerWindow.
 func overBudget(arrivals []int, window int) int {
 	for length := window / 2; length <= 10*window; length += window / 2 {
@@ -89,7 +89,7 @@
 	return 0
 }
 
-// TestUseOfWindowsByLiveHosts measures what absent hosts leave unused.
+// TestUseOfWindowsByLiveHosts logs which part of the budget is used if hosts are absent.
 func TestUseOfWindowsByLiveHosts(t *testing.T) {
 	window := int(testPlan.Window() / tick)
 	full := float64(scheduleTicks) / float64(window) * float64(testPlan.MaxHosts)
@@ -103,7 +103,8 @@
 	}
 }
 
-// TestRestartsEarnNothing restarts one process a hundred times.
+// TestRestartsEarnNothing checks that a process which restarts a hundred times gets no extra
+// budget.
 func TestRestartsEarnNothing(t *testing.T) {
 	is := is.New(t)
 	var faults []fault
--- a/pkg/probebudget/fixed_test.go
+++ b/pkg/probebudget/fixed_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// fixedShare drives the product's budget.
+// fixedShare adapts Budget to spender.
 type fixedShare struct {
 	budget *Budget
 	grant  Grant
--- a/pkg/probebudget/naive_test.go
+++ b/pkg/probebudget/naive_test.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// spender is what the schedule test drives: the product's budget, or a
-// variant that looks reasonable and overspends.
+// spender is the implementation under test: Budget, or a variant that looks reasonable but
+// exceeds the budget.
 type spender interface {
 	take(now time.Time, live int) bool
 	settle(now time.Time, o Outcome)
 }
 
-// bucket is a token bucket for probes, filled by the wall time between calls.
+// bucket is a token bucket for probes, refilled by the time between calls.
 type bucket struct {
 	plan      Plan
 	level     float64
 	depth     float64
 	last      time.Time
-	shareLive bool // the share is the budget over the live hosts
+	shareLive bool // the share is the budget divided by the number of live hosts
 }
 
 func (b *bucket) take(now time.Time, live int) bool {
@@ -35,12 +35,12 @@
 
 func (b *bucket) settle(time.Time, Outcome) {}
 
-// variants are the ways measured in one run; the first is the product's.
+// variants are the implementations compared in one run; the first is Budget.
 var variants = []struct {
 	name string
 	make func(time.Time, Plan) spender
 }{
-	{"fixed share, earned from the end of the last probe", newFixedShare},
+	{"fixed share, accrues from the end of the last probe", newFixedShare},
 	{"the same without linger time", func(now time.Time, p Plan) spender {
 		p.Linger = 0
 		return newFixedShare(now, p)
@@ -54,7 +54,7 @@
 	{"fixed share, deep bucket fills during a pause", func(now time.Time, p Plan) spender {
 		return &bucket{plan: p, depth: 4, last: now}
 	}},
-	{"fixed share, earned from the grant", func(now time.Time, p Plan) spender {
+	{"fixed share, accrues from the grant", func(now time.Time, p Plan) spender {
 		return &bucket{plan: p, depth: 1, last: now}
 	}},
 }
--- a/pkg/probebudget/outcome.go
+++ b/pkg/probebudget/outcome.go
@@ -1,14 +1,15 @@
 package probebudget
 
-// Outcome states how a probe ended.
+// Outcome is the outcome of a probe.
 type Outcome uint8
 
 // The outcomes of a probe.
 const (
-	// Answered means the upstream's whole answer arrived: its work is over.
+	// Answered means that the complete response arrived, so the upstream has finished.
 	Answered Outcome = iota
-	// Abandoned means that the upstream may still receive the probe, within Plan.Linger.
+	// Abandoned means that the sender gave up, and the upstream may still receive the probe
+	// within Plan.Linger.
 	Abandoned
-	// NotSent means that no byte can have left this host.
+	// NotSent means that no byte was sent.
 	NotSent
 )
--- a/pkg/probebudget/schedule_test.go
+++ b/pkg/probebudget/schedule_test.go
@@ -13,24 +13,24 @@
 type faultKind int
 
 const (
-	restart        faultKind = iota // killed and replaced at once
+	restart        faultKind = iota // killed and replaced immediately
 	down                            // killed, replaced later
-	pause                           // stops, then wakes
-	pauseAfterTake                  // stops between the grant and sending
-	split                           // hosts up to this one see only themselves
-	lag                             // the list of live hosts stands still
-	loss                            // probes are given up and arrive late
+	pause                           // paused, then resumed
+	pauseAfterTake                  // paused between the grant and sending
+	split                           // network partition after this host
+	lag                             // the list of live hosts is not updated
+	loss                            // probes are abandoned and arrive late
 	numFaults
 )
 
 var faultNames = [numFaults]string{"restart", "down", "pause", "pause before send", "split", "list lag", "loss"}
 
-// fault is one step of a drawn schedule.
+// fault is one step of a random schedule.
 type fault struct {
 	kind  faultKind
-	after int // ticks since the fault before
+	after int // ticks since the previous fault
 	host  int
-	ticks int // how long it lasts
+	ticks int // duration
 }
 
 type process struct {
@@ -38,14 +38,14 @@
 	started  int // tick
 	downTo   int
 	pauseTo  int
-	pauseArm int // ticks to stop for after the next grant
+	pauseArm int // duration of the pause after the next grant, in ticks
 	rate     float64
 	taken    bool
-	endsAt   int // tick at which the probe in flight ends; 0: none
+	endsAt   int // tick at which the probe in flight ends; 0 if there is none
 	outcome  Outcome
 }
 
-// fleet runs MaxHosts processes under a schedule and records when probes reach
+// fleet simulates MaxHosts processes under a schedule and records when probes arrive at
 // the upstream.
 type fleet struct {
 	newSpender func(time.Time, Plan) spender
@@ -70,8 +70,8 @@
 	p.spender = f.newSpender(f.local(p, now), testPlan)
 }
 
-// draw is a small deterministic generator, so that all variants of one
-// schedule see the same delays.
+// draw returns a number below n from a deterministic generator, so that all variants get
+// the same delays for one schedule.
 func (f *fleet) draw(n int) int {
 	f.noise = f.noise*6364136223846793005 + 1442695040888963407
 	return int(f.noise>>33) % n
@@ -141,7 +141,7 @@
 	return max(n, 1)
 }
 
-// view is the number of live hosts that host i believes in.
+// view returns the number of live hosts as seen by host i.
 func (f *fleet) view(i, now int) int {
 	if now >= f.splitTo {
 		return f.seenLive
@@ -152,7 +152,7 @@
 	return f.live(f.splitAt+1, len(f.procs), now)
 }
 
-// act is one step of a process: end a probe, send one, or ask for one.
+// act runs one step of a process: end a probe, send one, or request one.
 func (f *fleet) act(p *process, i, now int) {
 	switch {
 	case p.taken:
@@ -183,7 +183,8 @@
 	f.arrivals = append(f.arrivals, arrive)
 }
 
-// worst returns the most arrivals in any half-open window of the given ticks.
+// worst returns the maximum number of arrivals in any half-open window of the given length
+// in ticks.
 func worst(arrivals []int, window int) int {
 	most, from := 0, 0
 	for i, at := range arrivals {
