--- a/internal/prober/bench_test.go
+++ b/internal/prober/bench_test.go
@@ -13,7 +13,7 @@
 	out := make([]Target, n)
 	for i := range out {
 		out[i] = Target{Upstream: fmt.Sprint(i), Address: fmt.Sprint("upstream-", i), Via: fmt.Sprint("upstream-", i), Plan: probebudget.Plan{
-			MaxHosts: 32, Slots: 3, SlotTimePercent: percent, Cost: 6 * time.Millisecond, Linger: time.Second,
+			MaxHosts: 32, Slots: 3, SlotTimePercent: percent, Cost: 6 * time.Millisecond, MaxLateness: time.Second,
 		}}
 	}
 	return out
--- a/internal/prober/plans.go
+++ b/internal/prober/plans.go
@@ -9,19 +9,19 @@
 )
 
 // Targets returns the upstreams of the current documents with their probe budgets,
-// without those that are draining. maxHosts and linger are settings of the fleet; see
+// without those that are draining. maxHosts and maxLateness are settings of the fleet; see
 // docs/MEASURING.md.
-func Targets(services []*config.Service, maxHosts int, linger time.Duration) []Target {
+func Targets(services []*config.Service, maxHosts int, maxLateness time.Duration) []Target {
 	var out []Target
 	for _, svc := range services {
 		for g := range svc.Groups {
-			out = append(out, groupTargets(&svc.Groups[g], maxHosts, linger)...)
+			out = append(out, groupTargets(&svc.Groups[g], maxHosts, maxLateness)...)
 		}
 	}
 	return out
 }
 
-func groupTargets(g *config.Group, maxHosts int, linger time.Duration) []Target {
+func groupTargets(g *config.Group, maxHosts int, maxLateness time.Duration) []Target {
 	var out []Target
 	for i := range g.Upstreams {
 		u := &g.Upstreams[i]
@@ -37,7 +37,7 @@
 				Slots:           u.Slots,
 				SlotTimePercent: g.Probe.SlotTimePercent,
 				Cost:            g.Probe.Cost.Std(),
-				Linger:          linger,
+				MaxLateness:     maxLateness,
 			},
 		})
 	}
--- a/internal/prober/prober_test.go
+++ b/internal/prober/prober_test.go
@@ -18,7 +18,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/probebudget"
 )
 
-var plan = probebudget.Plan{MaxHosts: 4, Slots: 3, SlotTimePercent: 10, Cost: 6 * time.Millisecond, Linger: 100 * time.Millisecond}
+var plan = probebudget.Plan{MaxHosts: 4, Slots: 3, SlotTimePercent: 10, Cost: 6 * time.Millisecond, MaxLateness: 100 * time.Millisecond}
 
 // fakeUpstreams responds after a delay and records when probes arrive.
 type fakeUpstreams struct {
--- a/pkg/balancer/peakewma/peakewma.go
+++ b/pkg/balancer/peakewma/peakewma.go
@@ -34,7 +34,7 @@
 
 // Pick compares the cost of two random eligible members.
 func (p *picker) Pick(info balancer.PickInfo) (balancer.Result, error) {
-	a, b := balancer.TwoFrom(p.members, info)
+	a, b := balancer.TwoEligible(p.members, info)
 	switch {
 	case a == nil:
 		return balancer.Result{}, balancer.ErrNoUpstream
--- a/pkg/balancer/probefirst/probefirst.go
+++ b/pkg/balancer/probefirst/probefirst.go
@@ -139,7 +139,7 @@
 // anyLeft reports whether a member is not excluded: it is cold, and this host waits for its
 // time slot there.
 func (p *picker) anyLeft(info balancer.PickInfo) bool {
-	return balancer.FirstFrom(p.local, 0, info) != nil || balancer.FirstFrom(p.remote, 0, info) != nil
+	return balancer.FirstEligible(p.local, 0, info) != nil || balancer.FirstEligible(p.remote, 0, info) != nil
 }
 
 // worthWaiting reports whether a request should wait for a faster upstream instead of going
--- a/pkg/balancer/probepool/probepool.go
+++ b/pkg/balancer/probepool/probepool.go
@@ -82,7 +82,7 @@
 
 // Probe implements balancer.Prober by returning a random member.
 func (p *picker) Probe(now time.Time, random uint64) *balancer.Upstream {
-	return balancer.FirstFrom(p.members, random, balancer.PickInfo{Now: now})
+	return balancer.FirstEligible(p.members, random, balancer.PickInfo{Now: now})
 }
 
 // Pick applies the hot-cold rule, or chooses a random member if the pool has fewer
@@ -100,7 +100,7 @@
 }
 
 func (p *picker) fallback(info balancer.PickInfo) (balancer.Result, error) {
-	u := balancer.FirstFrom(p.members, info.Random, info)
+	u := balancer.FirstEligible(p.members, info.Random, info)
 	if u == nil {
 		return balancer.Result{}, balancer.ErrNoUpstream
 	}
--- a/pkg/balancer/random/random.go
+++ b/pkg/balancer/random/random.go
@@ -29,7 +29,7 @@
 
 // Pick returns the first eligible member after a random index.
 func (p *picker) Pick(info balancer.PickInfo) (balancer.Result, error) {
-	u := balancer.FirstFrom(p.members, info.Random, info)
+	u := balancer.FirstEligible(p.members, info.Random, info)
 	if u == nil {
 		return balancer.Result{}, balancer.ErrNoUpstream
 	}
--- a/pkg/balancer/roundrobin/roundrobin.go
+++ b/pkg/balancer/roundrobin/roundrobin.go
@@ -41,7 +41,7 @@
 
 // Pick returns the next eligible member.
 func (p *picker) Pick(info balancer.PickInfo) (balancer.Result, error) {
-	u := balancer.FirstFrom(p.members, p.policy.next.Add(1), info)
+	u := balancer.FirstEligible(p.members, p.policy.next.Add(1), info)
 	if u == nil {
 		return balancer.Result{}, balancer.ErrNoUpstream
 	}
--- a/pkg/balancer/sample.go
+++ b/pkg/balancer/sample.go
@@ -1,8 +1,8 @@
 package balancer
 
-// FirstFrom returns the first member that info does not exclude, searching from
+// FirstEligible returns the first member that info does not exclude, searching from
 // index start modulo the number of members; nil if there is none.
-func FirstFrom(members []*Upstream, start uint64, info PickInfo) *Upstream {
+func FirstEligible(members []*Upstream, start uint64, info PickInfo) *Upstream {
 	n := uint64(len(members))
 	for i := range n {
 		if u := members[(start+i)%n]; !info.Excludes(u) {
@@ -12,14 +12,14 @@
 	return nil
 }
 
-// TwoFrom returns two different members that info does not exclude, selected by
+// TwoEligible returns two different members that info does not exclude, selected by
 // info.Random. The second is nil if only one is available, both if none is.
-func TwoFrom(members []*Upstream, info PickInfo) (first, second *Upstream) {
+func TwoEligible(members []*Upstream, info PickInfo) (first, second *Upstream) {
 	n := uint64(len(members))
 	if n == 0 {
 		return nil, nil
 	}
-	first = FirstFrom(members, info.Random%n, info)
+	first = FirstEligible(members, info.Random%n, info)
 	if n == 1 || first == nil {
 		return first, nil
 	}
--- a/pkg/balancer/upstream_test.go
+++ b/pkg/balancer/upstream_test.go
@@ -113,7 +113,7 @@
 	is.Equal(u.OldestAge(at(time.Hour)), time.Duration(0))
 }
 
-func TestTwoFromDrawsDifferentUntriedMembers(t *testing.T) {
+func TestTwoEligibleReturnsDifferentMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 9).Draw(t, "members")
 		var members []*balancer.Upstream
@@ -122,7 +122,7 @@
 		}
 		tried := rapid.IntRange(0, n).Draw(t, "tried")
 		info := balancer.PickInfo{Random: rapid.Uint64().Draw(t, "random"), Exclude: members[:tried]}
-		a, b := balancer.TwoFrom(members, info)
+		a, b := balancer.TwoEligible(members, info)
 		if (a != nil) != (n-tried > 0) || (b != nil) != (n-tried > 1) {
 			t.Fatalf("%d untried members gave %v, %v", n-tried, a != nil, b != nil)
 		}
--- a/pkg/probebudget/budget.go
+++ b/pkg/probebudget/budget.go
@@ -58,7 +58,7 @@
 	}
 	s := b.shares[upstream]
 	if s == nil {
-		s = &share{accrualStart: now, extraWait: plan.Linger}
+		s = &share{accrualStart: now, extraWait: plan.MaxLateness}
 		b.shares[upstream] = s
 	}
 	s.removed = false
@@ -142,7 +142,7 @@
 		s.counters.Answered++
 	default:
 		s.counters.Abandoned++
-		s.extraWait = s.plan.Linger
+		s.extraWait = s.plan.MaxLateness
 	}
 	s.counters.Spent += g.Cost
 	over := min(took, MaxProbeTime) - g.Cost
@@ -163,7 +163,7 @@
 	return s.counters
 }
 
-// Strictest returns the plan with the lower rate, with the larger cost and linger time of
+// Strictest returns the plan with the lower rate, with the larger cost and lateness of
 // both.
 func Strictest(a, b Plan) Plan {
 	strict := a
@@ -171,6 +171,6 @@
 		strict = b
 	}
 	strict.Cost = max(a.Cost, b.Cost)
-	strict.Linger = max(a.Linger, b.Linger)
+	strict.MaxLateness = max(a.MaxLateness, b.MaxLateness)
 	return strict
 }
--- a/pkg/probebudget/naive_test.go
+++ b/pkg/probebudget/naive_test.go
@@ -41,8 +41,8 @@
 	make func(time.Time, Plan) spender
 }{
 	{"fixed share, accrues from the end of the last probe", newFixedShare},
-	{"the same without linger time", func(now time.Time, p Plan) spender {
-		p.Linger = 0
+	{"the same without maximum lateness", func(now time.Time, p Plan) spender {
+		p.MaxLateness = 0
 		return newFixedShare(now, p)
 	}},
 	{"share by live count", func(now time.Time, p Plan) spender {
--- a/pkg/probebudget/outcome.go
+++ b/pkg/probebudget/outcome.go
@@ -8,7 +8,7 @@
 	// Answered means that the complete response arrived, so the upstream has finished.
 	Answered Outcome = iota
 	// Abandoned means that the sender gave up, and the upstream may still receive the probe
-	// within Plan.Linger.
+	// within Plan.MaxLateness.
 	Abandoned
 	// NotSent means that no byte was sent.
 	NotSent
--- a/pkg/probebudget/plan.go
+++ b/pkg/probebudget/plan.go
@@ -13,7 +13,7 @@
 // exactly the budget for that time. In a window of any length the excess is below
 // one Plan.PerWindow. The guarantee assumes that no more than MaxHosts processes
 // exist at the same time, that the rate of clocks is within ClockDrift of true
-// time, and that an abandoned probe reaches its upstream within Plan.Linger or
+// time, and that an abandoned probe reaches its upstream within Plan.MaxLateness or
 // never.
 //
 // The package does no I/O and reads no clock. A Budget must be used by one
@@ -44,9 +44,9 @@
 	SlotTimePercent float64
 	// Cost is the slot time that one probe uses.
 	Cost time.Duration
-	// Linger is the maximum time between the moment at which the sender abandons a probe or
+	// MaxLateness is the maximum time between the moment at which the sender abandons a probe or
 	// is killed and the start of that probe at the upstream.
-	Linger time.Duration
+	MaxLateness time.Duration
 }
 
 // Validate returns an error for the first field that is out of range.
@@ -60,8 +60,8 @@
 		return errors.Newf("slot time percent: %v is not in 0..100", p.SlotTimePercent)
 	case p.Cost <= 0:
 		return errors.Newf("cost: %s is not positive", p.Cost)
-	case p.Linger < 0:
-		return errors.Newf("linger: %s is negative", p.Linger)
+	case p.MaxLateness < 0:
+		return errors.Newf("linger: %s is negative", p.MaxLateness)
 	}
 	return nil
 }
--- a/pkg/probebudget/schedule_test.go
+++ b/pkg/probebudget/schedule_test.go
@@ -8,7 +8,7 @@
 // tick is the step of virtual time.
 const tick = 5 * time.Millisecond
 
-var testPlan = Plan{MaxHosts: 6, Slots: 3, SlotTimePercent: 10, Cost: 6 * time.Millisecond, Linger: 4 * tick}
+var testPlan = Plan{MaxHosts: 6, Slots: 3, SlotTimePercent: 10, Cost: 6 * time.Millisecond, MaxLateness: 4 * tick}
 
 type faultKind int
 
@@ -178,7 +178,7 @@
 	arrive := now
 	if now < f.lossTo {
 		p.outcome = Abandoned
-		arrive = now + f.draw(int(testPlan.Linger/tick))
+		arrive = now + f.draw(int(testPlan.MaxLateness/tick))
 	}
 	f.arrivals = append(f.arrivals, arrive)
 }
