--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -177,7 +177,7 @@
 		return cn, nil
 	}
 	if !ok {
-		return nil, errkind.New(errkind.Overloaded, "connection limit reached for "+p.address)
+		return nil, errkind.New(errkind.Overloaded, "connection bound of "+p.address)
 	}
 	cn, err := c.dial(ctx, p)
 	if err == nil {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -68,9 +68,9 @@
 }
 
 var (
-	errClosed         = errors.New("connection closed before the response was complete")
-	errUnexpectedData = errors.New("received data before the request was sent")
-	errTooManyInterim = errors.New("too many interim responses")
+	errClosed         = errors.New("connection closed before the answer was whole")
+	errUnexpectedData = errors.New("bytes before the request was sent")
+	errTooManyInterim = errors.New("too many interim answers")
 )
 
 func newConn(c *Client, p *pool, nbc *nbio.Conn) *conn {
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -96,7 +96,7 @@
 	}
 }
 
-var errNotOneResponse = errors.New("parser did not return exactly one response")
+var errNotOneResponse = errors.New("not exactly one answer")
 
 // parse parses one response. The body refers to the memory of message if owned is set.
 func (c *conn) parse(message []byte, owned bool) (*httpwire.Response, error) {
--- a/pkg/balancer/registry/registry.go
+++ b/pkg/balancer/registry/registry.go
@@ -26,7 +26,7 @@
 
 // Error implements error and lists the known names.
 func (e *UnknownPolicyError) Error() string {
-	return "unknown policy " + e.Policy + "; expected one of " + strings.Join(Names(), ", ")
+	return "unknown policy " + e.Policy + "; write one of " + strings.Join(Names(), ", ")
 }
 
 var builders = index(
