--- a/internal/storewatch/mirror.go
+++ b/internal/storewatch/mirror.go
@@ -9,31 +9,31 @@
 	"github.com/dapplespindle/dapplespindle/pkg/evacuation"
 )
 
-// historyEvents is how many changes of upstreams are kept for peers at the least,
-// and half of what is kept at the most. Most come when all upstreams start, within
-// seconds; a peer that lacks more is handed everything, which costs far more.
+// historyEvents is the minimum number of changes of upstreams kept for peers, and half of the
+// maximum. Most changes come within seconds, when all upstreams start. A peer that lacks more
+// changes receives the full state, which is far more expensive.
 const historyEvents = 8192
 
-// mirror is what is published, as of one revision, for handing it to peers. It
-// belongs to the follower's goroutine.
+// mirror holds the published state as of one revision, for handing it to peers. It is used only
+// on the goroutine of Watcher.Run.
 type mirror struct {
-	revision  uint64
-	config    *config.Configuration
-	configAt  uint64 // a revision at or after the configuration's
-	upstreams map[string]discovery.Upstream
-	evacuated evacuation.Set
-	history   []Event // oldest first
-	since     uint64  // history holds what came after
+	revision       uint64
+	config         *config.Configuration
+	configRevision uint64 // a revision at or after that of the configuration
+	upstreams      map[string]discovery.Upstream
+	evacuated      evacuation.Set
+	history        []Event // oldest first
+	historyStart   uint64  // history holds the changes after this revision
 }
 
 func newMirror() *mirror { return &mirror{upstreams: make(map[string]discovery.Upstream)} }
 
-// replace takes in everything, unless something newer is known.
+// replace sets the full state, unless a newer one is known.
 func (m *mirror) replace(s *State) {
 	if s.Revision < m.revision {
 		return
 	}
-	m.revision, m.since = s.Revision, s.Revision
+	m.revision, m.historyStart = s.Revision, s.Revision
 	m.history = nil
 	m.setConfig(s.Configuration, s.Revision)
 	m.evacuated.Replace(s.Evacuated, s.Revision)
@@ -43,7 +43,7 @@
 	}
 }
 
-// apply takes in the changes up to a revision.
+// apply applies the changes up to a revision.
 func (m *mirror) apply(c *Changes) {
 	for _, e := range c.Events {
 		if e.Revision > m.revision {
@@ -58,7 +58,7 @@
 
 func (m *mirror) setConfig(c *config.Configuration, revision uint64) {
 	if c != nil && (m.config == nil || c.Version > m.config.Version) {
-		m.config, m.configAt = c, revision
+		m.config, m.configRevision = c, revision
 	}
 }
 
@@ -73,28 +73,28 @@
 	}
 	m.history = append(m.history, e)
 	if len(m.history) > 2*historyEvents {
-		m.since = m.history[historyEvents-1].Revision
+		m.historyStart = m.history[historyEvents-1].Revision
 		m.history = slices.Clone(m.history[historyEvents:])
 	}
 }
 
-// changes returns what came after a revision, and false if not all of that is
-// kept.
+// changes returns the changes after a revision, and false if the history does not go back that
+// far.
 func (m *mirror) changes(after uint64) (*Changes, bool) {
-	if after < m.since {
+	if after < m.historyStart {
 		return nil, false
 	}
 	first, _ := slices.BinarySearchFunc(m.history, after+1, func(e Event, revision uint64) int {
 		return cmp.Compare(e.Revision, revision)
 	})
 	out := &Changes{Revision: m.revision, Events: slices.Clone(m.history[first:])}
-	if m.config != nil && m.configAt > after {
+	if m.config != nil && m.configRevision > after {
 		out.Configurations = []*config.Configuration{m.config}
 	}
 	return out, true
 }
 
-// state returns everything.
+// state returns the full state.
 func (m *mirror) state() *State {
 	out := &State{Revision: m.revision, Configuration: m.config, Evacuated: m.evacuated.List()}
 	for _, u := range m.upstreams {
--- a/internal/storewatch/mirror_test.go
+++ b/internal/storewatch/mirror_test.go
@@ -21,10 +21,10 @@
 	m.replace(&State{Revision: 10, Upstreams: []discovery.Upstream{{ID: "a", Revision: 4}},
 		Configuration: &config.Configuration{Version: 1}})
 	_, whole := m.changes(9)
-	is.True(!whole) // what came between 9 and 10 is not known
+	is.True(!whole) // the changes between 9 and 10 are not known
 	m.apply(&Changes{Revision: 12, Events: []Event{entry("b", 11), {Removed: "a", Revision: 12}}})
 	m.apply(&Changes{Revision: 15, Configurations: []*config.Configuration{{Version: 3}, {Version: 2}}})
-	m.apply(&Changes{Revision: 12, Events: []Event{entry("b", 11)}}) // comes twice
+	m.apply(&Changes{Revision: 12, Events: []Event{entry("b", 11)}}) // received twice
 	c, whole := m.changes(11)
 	is.True(whole)
 	is.Equal(c.Revision, uint64(15))
@@ -50,13 +50,13 @@
 	}
 	_, whole := m.changes(historyEvents)
 	is.True(!whole)
-	c, whole := m.changes(m.since)
+	c, whole := m.changes(m.historyStart)
 	is.True(whole)
 	is.Equal(len(c.Events), historyEvents+1)
-	is.Equal(c.Events[0].Revision, m.since+1)
+	is.Equal(c.Events[0].Revision, m.historyStart+1)
 }
 
-// TestMirrorHandsOutEvacuations, as changes and with everything.
+// TestMirrorHandsOutEvacuations checks evacuations in both changes and the full state.
 func TestMirrorHandsOutEvacuations(t *testing.T) {
 	is := is.New(t)
 	m := newMirror()
@@ -68,7 +68,7 @@
 	is.True(whole)
 	is.Equal(c.Events, []Event{ended})
 	is.Equal(m.state().Evacuated, []evacuation.Domain{{FailureDomain: "b", Revision: 12}})
-	m.apply(&Changes{Revision: 12, Events: []Event{begun}}) // comes twice
+	m.apply(&Changes{Revision: 12, Events: []Event{begun}}) // received twice
 	m.replace(&State{Revision: 11})                         // an older read
 	is.Equal(m.state().Evacuated, []evacuation.Domain{{FailureDomain: "b", Revision: 12}})
 	m.replace(&State{Revision: 14})
--- a/internal/storewatch/peers_test.go
+++ b/internal/storewatch/peers_test.go
@@ -15,43 +15,43 @@
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
-// exchange is the network among the followers of one test.
-type exchange struct {
-	mu        sync.Mutex
-	followers map[netip.AddrPort]*Watcher
-	bare      bool // messages leave the changes out
-	asked     int
+// fakeNetwork is the network between the watchers of one test.
+type fakeNetwork struct {
+	mu          sync.Mutex
+	watchers    map[netip.AddrPort]*Watcher
+	omitChanges bool // messages omit the changes
+	fetches     int
 }
 
-func (x *exchange) questions() int {
+func (x *fakeNetwork) fetchCount() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.asked
+	return x.fetches
 }
 
-// port is the exchange as one follower sees it.
+// port is the network as seen by one watcher.
 type port struct {
-	*exchange
+	*fakeNetwork
 }
 
 func (p port) Send(to []netip.AddrPort, t *PeerMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	own := *t
-	if p.bare {
-		own.After, own.Changes = 0, nil
+	message := *t
+	if p.omitChanges {
+		message.After, message.Changes = 0, nil
 	}
 	for _, a := range to {
-		if f := p.followers[a]; f != nil { // else it has not started
-			f.ApplyPeerMessage(&own)
+		if f := p.watchers[a]; f != nil { // nil if it has not started
+			f.ApplyPeerMessage(&message)
 		}
 	}
 }
 
 func (p port) Fetch(ctx context.Context, peer netip.AddrPort, after uint64) (*PeerMessage, error) {
 	p.mu.Lock()
-	f := p.followers[peer]
-	p.asked++
+	f := p.watchers[peer]
+	p.fetches++
 	p.mu.Unlock()
 	if f == nil {
 		return nil, errors.New("nobody there")
@@ -64,79 +64,80 @@
 	return storesync.Host{Address: a, FailureDomain: "a"}
 }
 
-// group starts followers that each have a store of their own, all alike.
-func group(t *testing.T, x *exchange, stores ...*fakeStore) []*following {
-	x.followers = make(map[netip.AddrPort]*Watcher)
+// startWatchers starts watchers, each with its own store.
+func startWatchers(t *testing.T, x *fakeNetwork, stores ...*fakeStore) []*testWatcher {
+	x.watchers = make(map[netip.AddrPort]*Watcher)
 	var hosts []storesync.Host
 	for i := range stores {
 		hosts = append(hosts, hostAt(byte(i+1)))
 	}
-	var out []*following
+	var out []*testWatcher
 	for i, s := range stores {
-		f := beginAs(t, s, func(c *Config) {
+		f := startWatcherWith(t, s, func(c *Config) {
 			c.Self = hosts[i]
 			c.Peers = port{x}
 			c.FetchTimeout = 300 * time.Millisecond
 		})
-		f.follower.SetHosts(hosts, true)
+		f.watcher.SetHosts(hosts, true)
 		x.mu.Lock()
-		x.followers[hosts[i].Address] = f.follower
+		x.watchers[hosts[i].Address] = f.watcher
 		x.mu.Unlock()
 		out = append(out, f)
 	}
 	return out
 }
 
-// TestPeersTellOfChanges: only the first host watches its store; the others have
-// the change with the message, or ask for it.
+// TestPeersTellOfChanges checks that only the first host watches its store, and that the others
+// receive a change with the message or fetch it.
 func TestPeersTellOfChanges(t *testing.T) {
-	for name, bare := range map[string]bool{"with the message": false, "asked for": true} {
+	for name, omitChanges := range map[string]bool{"with the message": false, "asked for": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				first, second := newFakeStore(), newFakeStore()
-				put := func(id string) { // the same store, seen from two hosts
+				put := func(id string) { // the same store, as seen from two hosts
 					first.put(id)
 					second.put(id)
 				}
 				put("early")
-				x := &exchange{bare: bare}
-				all := group(t, x, first, second)
+				x := &fakeNetwork{omitChanges: omitChanges}
+				all := startWatchers(t, x, first, second)
 				time.Sleep(2 * time.Second)
-				before := x.questions()
+				before := x.fetchCount()
 				put("a")
 				time.Sleep(100 * time.Millisecond)
 				for _, f := range all {
-					_, ok := f.after("a", time.Now())
+					_, ok := f.learnedAfter("a", time.Now())
 					is.True(ok)
 				}
-				is.Equal(x.questions() > before, bare)
+				is.Equal(x.fetchCount() > before, omitChanges)
 				is.Equal(second.watchCalls(), 0)
 			})
 		})
 	}
 }
 
-// TestHostThatTheStoreTurnsAwayLearnsFromItsPeer starts it after the others.
+// TestHostThatTheStoreTurnsAwayLearnsFromItsPeer covers a host that the store refuses from its
+// start.
 func TestHostThatTheStoreTurnsAwayLearnsFromItsPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		open, shut := newFakeStore(), newFakeStore()
-		shut.down = true
-		open.put("a")
-		all := group(t, new(exchange), open, shut)
+		healthy, refusing := newFakeStore(), newFakeStore()
+		refusing.down = true
+		healthy.put("a")
+		all := startWatchers(t, new(fakeNetwork), healthy, refusing)
 		time.Sleep(time.Second)
-		_, ok := all[1].after("a", time.Now())
+		_, ok := all[1].learnedAfter("a", time.Now())
 		is.True(ok)
-		open.put("b")
+		healthy.put("b")
 		time.Sleep(time.Second)
-		_, ok = all[1].after("b", time.Now())
+		_, ok = all[1].learnedAfter("b", time.Now())
 		is.True(ok)
 	})
 }
 
-// TestHostsAreWarnedOfAnOutage: most of them make no call while the store is away,
-// say that it is, and know in time what has changed when it returns.
+// TestHostsAreWarnedOfAnOutage checks that most hosts make no call during an outage, report it,
+// and know in time what has changed when the store recovers.
 func TestHostsAreWarnedOfAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -147,7 +148,7 @@
 		for range hosts {
 			stores = append(stores, store)
 		}
-		all := group(t, new(exchange), stores...)
+		all := startWatchers(t, new(fakeNetwork), stores...)
 		time.Sleep(3 * time.Second)
 		before := store.allCalls()
 		store.change(func() { store.down = true })
@@ -159,9 +160,9 @@
 			is.Equal(f.count(event.StoreLost), 1)
 		}
 		store.change(func() { store.down = false })
-		all[0].inTime(t, "b")
+		all[0].expectInTime(t, "b")
 		for _, f := range all {
-			_, ok := f.after("b", time.Now())
+			_, ok := f.learnedAfter("b", time.Now())
 			is.True(ok)
 			is.Equal(f.count(event.StoreRegained), 1)
 			is.Equal(f.outages(), 1)
@@ -169,24 +170,24 @@
 	})
 }
 
-// TestPeerThatKnowsNothing does not hold up a host that starts.
+// TestPeerThatKnowsNothing checks that a peer without state does not delay a starting host.
 func TestPeerThatKnowsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		open, shut := newFakeStore(), newFakeStore()
-		shut.down = true
-		open.put("a")
-		all := group(t, new(exchange), shut, open)
+		healthy, refusing := newFakeStore(), newFakeStore()
+		refusing.down = true
+		healthy.put("a")
+		all := startWatchers(t, new(fakeNetwork), refusing, healthy)
 		time.Sleep(time.Second)
-		_, ok := all[1].after("a", time.Now())
+		_, ok := all[1].learnedAfter("a", time.Now())
 		is.True(ok)
-		_, err := NewWatcher(Config{}).AnswerNow()
+		_, err := NewWatcher(Config{}).serveFetchNow()
 		is.True(errors.Is(err, ErrNoState))
 	})
 }
 
-// AnswerNow is Answer of a follower that does not run.
-func (f *Watcher) AnswerNow() (*PeerMessage, error) {
-	go func() { (<-f.inputs)() }()
-	return f.ServeFetch(context.Background(), 0)
+// serveFetchNow is ServeFetch for a watcher that is not running.
+func (w *Watcher) serveFetchNow() (*PeerMessage, error) {
+	go func() { (<-w.inputs)() }()
+	return w.ServeFetch(context.Background(), 0)
 }
--- a/internal/storewatch/start_test.go
+++ b/internal/storewatch/start_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestHostServesWithAPart: what it can begin with is in force at once, and the rest
-// within a second; one that can't reads on at once.
+// TestHostServesWithAPart checks that the initial part of the state is applied at once and the
+// rest within a second, and that a host that can't serve with the initial part reads on at once.
 func TestHostServesWithAPart(t *testing.T) {
 	for name, serves := range map[string]bool{"serves": true, "needs more": false} {
 		t.Run(name, func(t *testing.T) {
@@ -19,7 +19,7 @@
 				store.put("a")
 				store.put("b")
 				start := time.Now()
-				f := beginAs(t, store, func(c *Config) {
+				f := startWatcherWith(t, store, func(c *Config) {
 					learn := c.OnInitialRead
 					c.OnInitialRead = func(s *State) bool {
 						learn(s)
@@ -27,14 +27,14 @@
 					}
 				})
 				time.Sleep(2 * time.Second)
-				first, ok := f.after("a", start)
+				first, ok := f.learnedAfter("a", start)
 				is.True(ok)
 				is.Equal(first, time.Duration(0))
-				rest, ok := f.after("b", start)
+				rest, ok := f.learnedAfter("b", start)
 				is.True(ok)
 				is.Equal(rest > 0, serves)
 				is.True(rest <= time.Second)
-				f.inTime(t, "c")
+				f.expectInTime(t, "c")
 			})
 		})
 	}
--- a/internal/storewatch/storewatch.go
+++ b/internal/storewatch/storewatch.go
@@ -1,9 +1,8 @@
-// Package storewatch follows what a store publishes: the operators' configuration
-// and the upstreams that register themselves.
+// Package storewatch watches what a store publishes: the operators' configuration and the
+// upstreams that register themselves.
 //
-// Store is the seam to a deployment's own store; its implementations know
-// names and formats and decide nothing. Watcher decides when to read, what
-// to believe and when to try again.
+// Store is the interface to a deployment's own store; its implementations deal with names and
+// formats only. Watcher decides when to read, which state to trust and when to retry.
 package storewatch
 
 import (
@@ -16,65 +15,65 @@
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
-// Store reads what is published. Calls end with their context.
+// Store reads the published state. Calls end with their context.
 type Store interface {
 	// ReadInitial returns the configuration, the evacuations, some of the upstreams, and the
-	// revision of the first two. It takes far less than everything where there are many
-	// upstreams.
+	// revision of the first two. Where there are many upstreams it is far cheaper than a read
+	// of the full state.
 	ReadInitial(ctx context.Context) (*State, error)
-	// ReadAll returns everything. Begun is what Begin returned; the revision stays, and a
-	// watch from there misses nothing.
-	ReadAll(ctx context.Context, begun *State) (*State, error)
-	// Watch returns the changes after a revision, waiting up to wait for one. The
-	// error is ErrHistoryLost when the store no longer has all of them.
+	// ReadAll returns the full state. The argument initial is the result of ReadInitial; its
+	// revision stays, and a watch from there misses nothing.
+	ReadAll(ctx context.Context, initial *State) (*State, error)
+	// Watch returns the changes after a revision, and waits up to wait for one. The error is
+	// ErrHistoryLost when the store no longer has all of them.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (*Changes, error)
 	// Revision returns the store's revision.
 	Revision(ctx context.Context) (uint64, error)
-	// Ping makes the cheapest call that shows that the store answers.
+	// Ping makes the cheapest call that shows whether the store answers.
 	Ping(ctx context.Context) error
 }
 
-// ErrHistoryLost says that changes were missed; everything must be read anew.
+// ErrHistoryLost is returned when changes were missed and everything must be read again.
 var ErrHistoryLost = storesync.ErrHistoryLost
 
-// State is everything that is published.
+// State is the full published state.
 type State struct {
-	// Revision is the store's at or before the first read.
+	// Revision is a revision of the store from before or at the first read.
 	Revision uint64
-	// Configuration is the newest one, nil if there is none.
+	// Configuration is the newest configuration, nil if there is none.
 	Configuration *config.Configuration
-	// Evacuated are the failure domains that are to get nothing new.
+	// Evacuated are the failure domains that get no new requests.
 	Evacuated []evacuation.Domain `json:",omitempty"`
 	// Upstreams are the registered upstreams.
 	Upstreams []discovery.Upstream
-	// Rejected are the items that could not be decoded. Peers are not told of them.
+	// Rejected are the items that could not be decoded. They are not sent to peers.
 	Rejected []Rejected `json:"-"`
-	// Large states of a first part that the rest takes many calls.
+	// Large is set on the result of ReadInitial when reading the rest takes many calls.
 	Large bool `json:"-"`
 }
 
 // Changes are what happened after a revision, oldest first.
 type Changes struct {
-	// Revision is where the next watch goes on.
+	// Revision is the revision from which the next watch continues.
 	Revision uint64
-	// Configurations are those that were published.
+	// Configurations are the published configurations.
 	Configurations []*config.Configuration
 	// Events are the changes of upstreams and of evacuations.
 	Events []Event
-	// Items counts what the store told of, also of what is of no interest here. A
-	// watch that ends without any says nothing of Revision.
+	// Items counts all changed items that the store returned, including those that are not
+	// relevant here. If a watch ends without any, Revision is meaningless.
 	Items int `json:"-"`
-	// Rejected are the items that could not be decoded. Peers are not told of them.
+	// Rejected are the items that could not be decoded. They are not sent to peers.
 	Rejected []Rejected `json:"-"`
 }
 
-// Event is one change: an upstream's entry, the end of one, or an evacuation.
+// Event is one change: a new or removed entry of an upstream, or an evacuation.
 type Event struct {
-	// Evacuation is the beginning or end of one; nil for a change of an upstream.
+	// Evacuation is the beginning or end of an evacuation; nil for a change of an upstream.
 	Evacuation *evacuation.Change `json:",omitempty"`
 	// Upstream is the new entry; nil when it was removed.
 	Upstream *discovery.Upstream
-	// Removed is the id of an upstream whose entry is gone.
+	// Removed is the ID of an upstream whose entry was removed.
 	Removed string
 	// Revision is the store's revision of the change.
 	Revision uint64
@@ -82,9 +81,9 @@
 
 // Rejected is a published item that could not be decoded.
 type Rejected struct {
-	// Item names it.
+	// Item is the name of the item.
 	Item string
-	// Revision is its revision.
+	// Revision is the revision of the item.
 	Revision uint64
 	// Reason names the field and the problem.
 	Reason string
--- a/internal/storewatch/suspend_test.go
+++ b/internal/storewatch/suspend_test.go
@@ -10,31 +10,31 @@
 	"github.com/dapplespindle/dapplespindle/internal/clock"
 )
 
-// TestSuspendedHost: a machine is suspended for ten seconds, in which its timers stand
-// still. What the host then tells its peers is as old as it is, and it asks the store at
-// once though no timer of its own is due. Before, it passed what it knew ten seconds ago
-// off as what it had just learned, and peers relied on it for as long as they do.
+// TestSuspendedHost suspends a machine for ten seconds, during which its timers stop. The age that
+// the host then sends to its peers must include the suspension, and the host must call the store
+// at once although none of its timers is due. A clock that does not count suspensions made the
+// host present ten-second-old state as current, and its peers relied on it.
 func TestSuspendedHost(t *testing.T) {
 	const suspended = 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
 		store.put("i-1")
-		f := begin(t, store)
+		f := startWatcher(t, store)
 		synctest.Wait()
-		told, err := f.follower.ServeFetch(t.Context(), 0)
+		message, err := f.watcher.ServeFetch(t.Context(), 0)
 		is.NoErr(err)
-		is.True(told.Age < time.Second)
-		sent := told.Sent
+		is.True(message.Age < time.Second)
+		sent := message.Sent
 
-		store.change(func() { store.silent = true }) // what it asks is on its way when it looks
+		store.change(func() { store.unresponsive = true }) // keep the host's call pending
 		defer clock.Skip(suspended)()
-		told, err = f.follower.ServeFetch(t.Context(), 0)
+		message, err = f.watcher.ServeFetch(t.Context(), 0)
 		is.NoErr(err)
-		is.True(told.Age >= suspended)
-		is.True(told.Sent-sent >= suspended) // delays of messages are told from it
+		is.True(message.Age >= suspended)
+		is.True(message.Sent-sent >= suspended) // message delays are derived from Sent
 		calls := store.allCalls()
-		f.follower.Resumed()
+		f.watcher.Resumed()
 		synctest.Wait()
 		is.True(store.allCalls() > calls)
 	})
--- a/internal/storewatch/watcher.go
+++ b/internal/storewatch/watcher.go
@@ -11,102 +11,100 @@
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
-// Config holds what a Watcher needs.
+// Config configures a Watcher.
 type Config struct {
-	// Store is what is followed.
+	// Store is the store to watch.
 	Store Store
-	// Follow bounds the decisions.
+	// Follow configures the synchronization.
 	Follow storesync.Config
-	// Self is this host, as the others reach it.
+	// Self is this host, with the address at which its peers reach it.
 	Self storesync.Host
-	// Peers reaches the other hosts; nil for a host that has none.
+	// Peers reaches the other hosts; nil for a host without peers.
 	Peers Peers
-	// OnRead takes in everything that is published. Like Changed and Returned it is
-	// called on the follower's goroutine.
+	// OnRead receives the full state. Like OnChanges and OnRecovery it is called on the
+	// goroutine of Run.
 	OnRead func(*State)
-	// OnInitialRead takes in a part of everything, while a host that knows nothing yet reads the
-	// rest. It reports whether the host serves with it.
+	// OnInitialRead receives the initial part of the state, while a host without any state
+	// reads the rest. It reports whether the host can serve requests with it.
 	OnInitialRead func(*State) bool
-	// FullReadSpread is the time over which the hosts that serve with a part spread their
-	// reads of the rest.
+	// FullReadSpread is the time over which hosts that serve with the initial part of the
+	// state spread their reads of the rest.
 	FullReadSpread time.Duration
-	// OnChanges takes in changes.
+	// OnChanges receives changes.
 	OnChanges func(*Changes)
-	// OnRecovery is told since when the store answers again after an outage in which
-	// leases may have run out.
+	// OnRecovery is called with the time of recovery when the store answers again after an
+	// outage in which leases may have expired.
 	OnRecovery func(at time.Time)
-	// Events receives what was lost, regained and refused.
+	// Events receives events about lost and restored connections and rejected items.
 	Events event.Sink
-	// WatchWait is how long one watch waits at the store.
+	// WatchWait is how long one watch waits at the store for changes.
 	WatchWait time.Duration
-	// InitialReadTimeout bounds a call that reads a part of everything, and RestTimeout the calls
-	// that read the rest.
+	// InitialReadTimeout bounds the call that reads the initial part of the state, and
+	// FullReadTimeout the calls that read the rest.
 	InitialReadTimeout, FullReadTimeout time.Duration
-	// CheckTimeout is the silence after which a short call has failed.
+	// CheckTimeout bounds short calls to the store.
 	CheckTimeout time.Duration
-	// FetchTimeout is the silence after which a question to a peer has failed.
+	// FetchTimeout bounds a fetch from a peer.
 	FetchTimeout time.Duration
 }
 
-// inputsLength bounds the results and messages that wait for the follower.
-const inputsLength = 256
+// inputQueueSize bounds the results and messages that wait for Run.
+const inputQueueSize = 256
 
-// Watcher keeps an entry host in step with a store: it carries out what
-// storesync.Core decides.
+// Watcher keeps an entry host in sync with a store: it performs what storesync.Core decides.
 type Watcher struct {
 	conf    Config
 	inputs  chan func()
-	process uint64 // names this process
-	fresh   atomic.Pointer[time.Time]
+	process uint64 // identifies this process
+	asOf    atomic.Pointer[time.Time]
 	started time.Time
 
-	// What follows belongs to Run's goroutine.
-	core                 *storesync.Core
-	mirror               *mirror
-	delays               storesync.DelayEstimator
-	stopWatch            context.CancelFunc
-	toldLast, toldBefore uint64 // revisions told last and before
-	ctx                  context.Context
+	// The following fields are used only on the goroutine of Run.
+	core                   *storesync.Core
+	mirror                 *mirror
+	delays                 storesync.DelayEstimator
+	stopWatch              context.CancelFunc
+	lastSent, previousSent uint64 // revisions of the last two updates sent
+	ctx                    context.Context
 }
 
-// NewWatcher returns a follower that has read nothing.
+// NewWatcher returns a Watcher without any state.
 func NewWatcher(conf Config) *Watcher {
 	now := clock.Now()
 	f := &Watcher{
 		conf:    conf,
-		inputs:  make(chan func(), inputsLength),
+		inputs:  make(chan func(), inputQueueSize),
 		process: rand.Uint64(),
 		started: now,
 		core:    storesync.New(now, conf.Follow),
 		mirror:  newMirror(),
 	}
-	f.fresh.Store(new(time.Time))
+	f.asOf.Store(new(time.Time))
 	return f
 }
 
-// AsOf returns the newest moment of which this host knows every change; zero while it knows
-// nothing. It may be called on any goroutine.
-func (f *Watcher) AsOf() time.Time { return *f.fresh.Load() }
+// AsOf returns the latest time for which this host knows every change, or the zero time while
+// it has no state. It is safe for concurrent use.
+func (w *Watcher) AsOf() time.Time { return *w.asOf.Load() }
 
-// Run follows the store until ctx ends. Hosts that were set before are known from
-// the start.
-func (f *Watcher) Run(ctx context.Context) {
-	f.ctx = ctx
+// Run watches the store until ctx ends. Hosts set before Run are known from the start.
+func (w *Watcher) Run(ctx context.Context) {
+	w.ctx = ctx
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	if f.conf.Peers == nil {
-		f.do(f.core.SetHosts(clock.Now(), f.conf.Self, nil, true))
+	if w.conf.Peers == nil {
+		w.do(w.core.SetHosts(clock.Now(), w.conf.Self, nil, true))
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case input := <-f.inputs:
+		case input := <-w.inputs:
 			input()
 		case <-timer.C:
-			f.do(f.core.Tick(clock.Now()))
+			w.do(w.core.Tick(clock.Now()))
 		}
-		if due, ok := f.core.NextTick(); ok {
+		if due, ok := w.core.NextTick(); ok {
 			timer.Reset(clock.Until(due))
 		} else {
 			timer.Stop()
@@ -114,99 +112,99 @@
 	}
 }
 
-// post hands work to Run's goroutine, unless ctx ends first.
-func (f *Watcher) post(ctx context.Context, input func()) {
+// post passes an input to the goroutine of Run, unless ctx ends first.
+func (w *Watcher) post(ctx context.Context, input func()) {
 	select {
-	case f.inputs <- input:
+	case w.inputs <- input:
 	case <-ctx.Done():
 	}
 }
 
-// do carries out effects; what takes time runs beside and posts its result.
-func (f *Watcher) do(e storesync.Effects) {
-	if fresh := f.core.AsOf(); !fresh.Equal(*f.fresh.Load()) {
-		f.fresh.Store(&fresh)
+// do performs effects. Blocking calls run on their own goroutines and post their results.
+func (w *Watcher) do(e storesync.Effects) {
+	if asOf := w.core.AsOf(); !asOf.Equal(*w.asOf.Load()) {
+		w.asOf.Store(&asOf)
 	}
 	for _, ev := range e.Events {
-		f.emit(ev)
+		w.emit(ev)
 	}
 	if !e.RecoveredAt.IsZero() {
-		f.conf.OnRecovery(e.RecoveredAt)
+		w.conf.OnRecovery(e.RecoveredAt)
 	}
-	ctx := f.ctx
+	ctx := w.ctx
 	if e.Read {
-		go f.read(ctx)
+		go w.read(ctx)
 	}
 	if e.Check {
-		go f.check(ctx)
+		go w.check(ctx)
 	}
 	if e.Ping {
-		go f.look(ctx)
+		go w.ping(ctx)
 	}
 	if e.StopWatch {
-		f.stopWatch()
+		w.stopWatch()
 	}
 	if e.Watch != nil {
 		watchCtx, cancel := context.WithCancel(ctx)
-		f.stopWatch = cancel
-		go f.watch(ctx, watchCtx, *e.Watch)
+		w.stopWatch = cancel
+		go w.watch(ctx, watchCtx, *e.Watch)
 	}
 	if e.Fetch != nil {
-		go f.ask(ctx, *e.Fetch)
+		go w.fetch(ctx, *e.Fetch)
 	}
-	f.tell(clock.Now(), e.SendUpdate)
-	f.warn(clock.Now(), e.SendOutageUpdate)
+	w.sendUpdate(clock.Now(), e.SendUpdate)
+	w.sendOutageUpdate(clock.Now(), e.SendOutageUpdate)
 }
 
-// read reads everything. A host that can serve with the first part of it leaves the
+// read reads the full state. A host that can serve with the initial part of it first leaves the
 // store to others for a while: where all hosts start at once, the store's link is the
-// narrowest, and what each needs to begin is a small part of everything.
-func (f *Watcher) read(ctx context.Context) {
-	state, spared, err := f.begin(ctx)
-	if spared {
-		f.post(ctx, func() { f.do(f.core.CancelRead(clock.Now())) })
+// bottleneck, and the part that each needs to start serving is small.
+func (w *Watcher) read(ctx context.Context) {
+	state, provided, err := w.readInitial(ctx)
+	if provided {
+		w.post(ctx, func() { w.do(w.core.CancelRead(clock.Now())) })
 		return
 	}
 	if err == nil {
-		state, err = f.rest(ctx, state)
+		state, err = w.readAll(ctx, state)
 	}
-	f.post(ctx, func() {
+	w.post(ctx, func() {
 		var revision uint64
 		if err == nil {
-			f.reject(state.Rejected)
-			f.takeAll(state)
+			w.reportRejected(state.Rejected)
+			w.applyState(state)
 			revision = state.Revision
 		}
-		f.do(f.core.ReadDone(clock.Now(), revision, err))
+		w.do(w.core.ReadDone(clock.Now(), revision, err))
 	})
 }
 
-// begin reads the first part and puts it in force. It returns when the rest is due, or
-// spared if a peer has handed it over by then.
-func (f *Watcher) begin(ctx context.Context) (begun *State, spared bool, err error) {
-	callCtx, cancel := context.WithTimeout(ctx, f.conf.InitialReadTimeout)
+// readInitial reads and applies the initial part of the state. It returns when the rest is due;
+// provided is true if a peer has provided the rest by then.
+func (w *Watcher) readInitial(ctx context.Context) (initial *State, provided bool, err error) {
+	callCtx, cancel := context.WithTimeout(ctx, w.conf.InitialReadTimeout)
 	defer cancel()
-	begun, err = f.conf.Store.ReadInitial(callCtx)
+	initial, err = w.conf.Store.ReadInitial(callCtx)
 	if err != nil {
 		return nil, false, err
 	}
 	var wait time.Duration
-	if err := f.runOnce(ctx, func() { wait = f.takePart(begun) }); err != nil || wait == 0 {
-		return begun, false, err
+	if err := w.runAndWait(ctx, func() { wait = w.applyInitial(initial) }); err != nil || wait == 0 {
+		return initial, false, err
 	}
 	select {
 	case <-ctx.Done():
 		return nil, false, ctx.Err()
 	case <-time.After(wait):
 	}
-	err = f.runOnce(ctx, func() { spared = f.mirror.revision > 0 })
-	return begun, spared, err
+	err = w.runAndWait(ctx, func() { provided = w.mirror.revision > 0 })
+	return initial, provided, err
 }
 
-// runOnce runs input on Run's goroutine and waits for its end.
-func (f *Watcher) runOnce(ctx context.Context, input func()) error {
+// runAndWait runs input on the goroutine of Run and waits until it has finished.
+func (w *Watcher) runAndWait(ctx context.Context, input func()) error {
 	done := make(chan struct{})
-	f.post(ctx, func() {
+	w.post(ctx, func() {
 		defer close(done)
 		input()
 	})
@@ -218,82 +216,82 @@
 	}
 }
 
-func (f *Watcher) rest(ctx context.Context, begun *State) (*State, error) {
-	callCtx, cancel := context.WithTimeout(ctx, f.conf.FullReadTimeout)
+func (w *Watcher) readAll(ctx context.Context, initial *State) (*State, error) {
+	callCtx, cancel := context.WithTimeout(ctx, w.conf.FullReadTimeout)
 	defer cancel()
-	return f.conf.Store.ReadAll(callCtx, begun)
+	return w.conf.Store.ReadAll(callCtx, initial)
 }
 
-func (f *Watcher) check(ctx context.Context) {
-	callCtx, cancel := context.WithTimeout(ctx, f.conf.CheckTimeout)
+func (w *Watcher) check(ctx context.Context) {
+	callCtx, cancel := context.WithTimeout(ctx, w.conf.CheckTimeout)
 	defer cancel()
-	revision, err := f.conf.Store.Revision(callCtx)
-	f.post(ctx, func() { f.do(f.core.CheckDone(clock.Now(), revision, err)) })
+	revision, err := w.conf.Store.Revision(callCtx)
+	w.post(ctx, func() { w.do(w.core.CheckDone(clock.Now(), revision, err)) })
 }
 
-func (f *Watcher) look(ctx context.Context) {
-	callCtx, cancel := context.WithTimeout(ctx, f.conf.CheckTimeout)
+func (w *Watcher) ping(ctx context.Context) {
+	callCtx, cancel := context.WithTimeout(ctx, w.conf.CheckTimeout)
 	defer cancel()
-	err := f.conf.Store.Ping(callCtx)
-	f.post(ctx, func() { f.do(f.core.PingDone(clock.Now(), err)) })
+	err := w.conf.Store.Ping(callCtx)
+	w.post(ctx, func() { w.do(w.core.PingDone(clock.Now(), err)) })
 }
 
-// shortWait is the wait of a watch that only fetches what is there already.
+// shortWait is the wait of a watch that only fetches existing changes.
 const shortWait = time.Millisecond
 
-// watch calls with watchCtx, which may be ended early.
-func (f *Watcher) watch(ctx, watchCtx context.Context, call storesync.Watch) {
-	wait, timeout := shortWait, f.conf.CheckTimeout
+// watch makes a watch call. The call uses watchCtx, which may be canceled early.
+func (w *Watcher) watch(ctx, watchCtx context.Context, call storesync.Watch) {
+	wait, timeout := shortWait, w.conf.CheckTimeout
 	if call.LongPoll {
-		wait, timeout = f.conf.WatchWait, f.conf.WatchWait+f.conf.InitialReadTimeout
+		wait, timeout = w.conf.WatchWait, w.conf.WatchWait+w.conf.InitialReadTimeout
 	}
 	callCtx, cancel := context.WithTimeout(watchCtx, timeout)
 	defer cancel()
-	changes, err := f.conf.Store.Watch(callCtx, call.After, wait)
-	f.post(ctx, func() {
+	changes, err := w.conf.Store.Watch(callCtx, call.After, wait)
+	w.post(ctx, func() {
 		var revision uint64
 		changed := false
 		if err == nil && changes.Items > 0 {
 			revision, changed = changes.Revision, true
-			f.reject(changes.Rejected)
-			f.take(changes)
+			w.reportRejected(changes.Rejected)
+			w.applyChanges(changes)
 		}
-		f.do(f.core.WatchDone(clock.Now(), revision, changed, err))
+		w.do(w.core.WatchDone(clock.Now(), revision, changed, err))
 	})
 }
 
-// takeAll puts everything in force.
-func (f *Watcher) takeAll(s *State) {
-	f.mirror.replace(s)
-	f.conf.OnRead(s)
+// applyState applies the full state.
+func (w *Watcher) applyState(s *State) {
+	w.mirror.replace(s)
+	w.conf.OnRead(s)
 }
 
-// takePart lets a host that knows nothing serve with a part. It returns how long to wait for
-// the rest; 0 if it is to be read at once.
-func (f *Watcher) takePart(s *State) time.Duration {
-	if f.mirror.revision != 0 || !f.conf.OnInitialRead(s) {
+// applyInitial applies the initial part of the state on a host without any state. It returns how
+// long to wait before reading the rest; 0 means at once.
+func (w *Watcher) applyInitial(s *State) time.Duration {
+	if w.mirror.revision != 0 || !w.conf.OnInitialRead(s) {
 		return 0
 	}
-	wait, effects := f.core.InitialReadDone(clock.Now(), s.Large, f.conf.FullReadSpread)
-	f.do(effects)
+	wait, effects := w.core.InitialReadDone(clock.Now(), s.Large, w.conf.FullReadSpread)
+	w.do(effects)
 	return wait
 }
 
-// take puts changes in force. Those that are known already change nothing.
-func (f *Watcher) take(c *Changes) {
-	f.mirror.apply(c)
+// applyChanges applies changes. Changes that are known already have no effect.
+func (w *Watcher) applyChanges(c *Changes) {
+	w.mirror.apply(c)
 	if len(c.Configurations) > 0 || len(c.Events) > 0 {
-		f.conf.OnChanges(c)
+		w.conf.OnChanges(c)
 	}
 }
 
-func (f *Watcher) reject(list []Rejected) {
+func (w *Watcher) reportRejected(list []Rejected) {
 	for _, r := range list {
-		f.emit(event.Event{Code: event.StoreItemRejected, Reason: r.Item, Detail: r.Reason, Value: int64(r.Revision)})
+		w.emit(event.Event{Code: event.StoreItemRejected, Reason: r.Item, Detail: r.Reason, Value: int64(r.Revision)})
 	}
 }
 
-func (f *Watcher) emit(e event.Event) {
+func (w *Watcher) emit(e event.Event) {
 	e.At = time.Now()
-	f.conf.Events.Emit(e)
+	w.conf.Events.Emit(e)
 }
--- a/internal/storewatch/watcher_test.go
+++ b/internal/storewatch/watcher_test.go
@@ -18,19 +18,19 @@
 
 var errDown = errors.New("down")
 
-// fakeStore answers in virtual time. A call that finds down set fails.
+// fakeStore answers in virtual time. Calls fail while down is set.
 type fakeStore struct {
-	mu       sync.Mutex
-	revision uint64
-	oldest   uint64
-	events   []Event
-	down     bool
-	silent   bool // calls wait until their context ends
-	deaf     bool // watches hear nothing
-	calls    int
-	reads    int
-	watches  int
-	changed  chan struct{}
+	mu           sync.Mutex
+	revision     uint64
+	oldest       uint64
+	events       []Event
+	down         bool
+	unresponsive bool // calls block until their context ends
+	watchStalled bool // watches return no changes
+	calls        int
+	reads        int
+	watches      int
+	changed      chan struct{}
 }
 
 func newFakeStore() *fakeStore { return &fakeStore{changed: make(chan struct{})} }
@@ -53,9 +53,9 @@
 func (s *fakeStore) call(ctx context.Context) error {
 	s.mu.Lock()
 	s.calls++
-	down, silent := s.down, s.silent
+	down, unresponsive := s.down, s.unresponsive
 	s.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -78,14 +78,14 @@
 	return out, nil
 }
 
-func (s *fakeStore) ReadAll(ctx context.Context, begun *State) (*State, error) {
+func (s *fakeStore) ReadAll(ctx context.Context, initial *State) (*State, error) {
 	if err := s.call(ctx); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads++
-	out := &State{Revision: begun.Revision}
+	out := &State{Revision: initial.Revision}
 	for _, e := range s.events {
 		out.Upstreams = append(out.Upstreams, *e.Upstream)
 	}
@@ -106,7 +106,7 @@
 func (s *fakeStore) Watch(ctx context.Context, after uint64, wait time.Duration) (*Changes, error) {
 	s.mu.Lock()
 	s.watches++
-	deaf := s.deaf // a watch that began deaf stays so
+	stalled := s.watchStalled // fixed for the duration of the call
 	s.mu.Unlock()
 	timeout := time.After(wait)
 	for {
@@ -124,7 +124,7 @@
 		lost := after < s.oldest
 		s.mu.Unlock()
 		switch {
-		case deaf:
+		case stalled:
 		case lost:
 			return nil, ErrHistoryLost
 		case len(out.Events) > 0:
@@ -141,33 +141,33 @@
 	}
 }
 
-// begin runs a follower; what it learned is kept in learned, and the number
-// of outages it told of in returned.
-type following struct {
-	store    *fakeStore
-	follower *Watcher
-	mu       sync.Mutex
-	learned  map[string]time.Time
-	returned int
-	events   map[event.Code]int
+// testWatcher is a running Watcher with the times at which it learned of upstreams, and the
+// number of recoveries that it reported.
+type testWatcher struct {
+	store      *fakeStore
+	watcher    *Watcher
+	mu         sync.Mutex
+	learned    map[string]time.Time
+	recoveries int
+	events     map[event.Code]int
 }
 
-func (f *following) Emit(e event.Event) {
+func (f *testWatcher) Emit(e event.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.events[e.Code]++
 }
 
-func (f *following) count(c event.Code) int {
+func (f *testWatcher) count(c event.Code) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.events[c]
 }
 
-func (f *following) outages() int {
+func (f *testWatcher) outages() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.returned
+	return f.recoveries
 }
 
 func (s *fakeStore) readCalls() int {
@@ -188,7 +188,7 @@
 	return s.watches
 }
 
-func (f *following) learn(id string) {
+func (f *testWatcher) learn(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.learned[id]; !ok {
@@ -196,13 +196,13 @@
 	}
 }
 
-func begin(t *testing.T, store *fakeStore) *following {
-	return beginAs(t, store, func(*Config) {})
+func startWatcher(t *testing.T, store *fakeStore) *testWatcher {
+	return startWatcherWith(t, store, func(*Config) {})
 }
 
-// beginAs changes the follower's settings before it runs.
-func beginAs(t *testing.T, store *fakeStore, change func(*Config)) *following {
-	f := &following{store: store, learned: make(map[string]time.Time), events: make(map[event.Code]int)}
+// startWatcherWith changes the watcher's configuration before it runs.
+func startWatcherWith(t *testing.T, store *fakeStore, change func(*Config)) *testWatcher {
+	f := &testWatcher{store: store, learned: make(map[string]time.Time), events: make(map[event.Code]int)}
 	conf := Config{
 		Store: store,
 		Follow: storesync.Config{
@@ -237,7 +237,7 @@
 		OnRecovery: func(time.Time) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.returned++
+			f.recoveries++
 		},
 		Events:             f,
 		WatchWait:          30 * time.Second,
@@ -245,12 +245,12 @@
 		CheckTimeout:       700 * time.Millisecond,
 	}
 	change(&conf)
-	f.follower = NewWatcher(conf)
+	f.watcher = NewWatcher(conf)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.follower.Run(ctx)
+		f.watcher.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -259,24 +259,24 @@
 	return f
 }
 
-// after returns how long after from the id was learned; false if it was not.
-func (f *following) after(id string, from time.Time) (time.Duration, bool) {
+// learnedAfter returns how long after from the ID was learned, and false if it was not learned.
+func (f *testWatcher) learnedAfter(id string, from time.Time) (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at, ok := f.learned[id]
 	return at.Sub(from), ok
 }
 
-// bound is within what a change must be in force on the platforms known.
+// bound is within the time in which a change must be in force on the known platforms.
 const bound = 2 * time.Second
 
-// inTime requires that a change made now is learned within the bound.
-func (f *following) inTime(t *testing.T, id string) {
+// expectInTime checks that a change made now is learned within the bound.
+func (f *testWatcher) expectInTime(t *testing.T, id string) {
 	t.Helper()
 	from := time.Now()
 	f.store.put(id)
 	time.Sleep(bound)
-	took, ok := f.after(id, from)
+	took, ok := f.learnedAfter(id, from)
 	if !ok || took > bound {
 		t.Fatalf("%s: learned %v after %v", id, ok, took)
 	}
@@ -285,20 +285,20 @@
 func TestChangesAreLearnedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		f := begin(t, store)
+		f := startWatcher(t, store)
 		time.Sleep(time.Second)
 		for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-			f.inTime(t, id)
+			f.expectInTime(t, id)
 		}
 	})
 }
 
-// TestBurstCostsFewCalls changes something every 50 ms for five seconds.
+// TestBurstCostsFewCalls makes a change every 50 ms for five seconds.
 func TestBurstCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
-		f := begin(t, store)
+		f := startWatcher(t, store)
 		time.Sleep(time.Second)
 		before := store.watchCalls()
 		for i := range 100 {
@@ -306,23 +306,23 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		is.True(store.watchCalls()-before <= 10)
-		f.inTime(t, "last")
+		f.expectInTime(t, "last")
 	})
 }
 
-// TestWatchThatHearsNothingIsBegunAnew: the store answers every call, but the
-// watch that waits there is never told of a change.
+// TestWatchThatHearsNothingIsBegunAnew covers a store that answers every call but never returns
+// changes from the pending watch.
 func TestWatchThatHearsNothingIsBegunAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
-		store.change(func() { store.deaf = true })
-		f := begin(t, store)
+		store.change(func() { store.watchStalled = true })
+		f := startWatcher(t, store)
 		time.Sleep(time.Second)
-		store.change(func() { store.deaf = false })
+		store.change(func() { store.watchStalled = false })
 		store.put("a")
-		time.Sleep(3 * time.Second) // what a host has after the store's trouble
-		_, ok := f.after("a", time.Now())
+		time.Sleep(3 * time.Second) // the time allowed after a fault of the store
+		_, ok := f.learnedAfter("a", time.Now())
 		is.True(ok)
 		is.Equal(f.count(event.StoreWatchBehind), 1)
 		is.Equal(f.outages(), 0)
@@ -333,7 +333,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
-		f := begin(t, store)
+		f := startWatcher(t, store)
 		time.Sleep(time.Second)
 		store.change(func() {
 			store.revision += 5
@@ -341,37 +341,38 @@
 			store.events = []Event{{Upstream: &discovery.Upstream{ID: "a"}, Revision: store.revision}}
 		})
 		time.Sleep(bound)
-		_, ok := f.after("a", time.Now())
+		_, ok := f.learnedAfter("a", time.Now())
 		is.True(ok)
 		is.Equal(store.readCalls(), 2)
 		is.Equal(f.count(event.StoreHistoryLost), 1)
 	})
 }
 
-// TestSilentStore stops answering while a watch waits, and comes back.
+// TestSilentStore makes the store stop answering while a watch is pending, and recover.
 func TestSilentStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
-		f := begin(t, store)
+		f := startWatcher(t, store)
 		time.Sleep(time.Second)
-		store.change(func() { store.silent = true })
+		store.change(func() { store.unresponsive = true })
 		time.Sleep(10 * time.Second)
 		is.Equal(f.count(event.StoreLost), 1)
-		store.change(func() { store.silent = false })
+		store.change(func() { store.unresponsive = false })
 		time.Sleep(3 * time.Second)
 		is.Equal(f.count(event.StoreRegained), 1)
 		is.Equal(f.outages(), 1)
-		f.inTime(t, "a")
+		f.expectInTime(t, "a")
 	})
 }
 
-// TestShortLossIsNoOutage: one failed call says nothing about leases.
+// TestShortLossIsNoOutage checks that a single failed call does not count as an outage in which
+// leases may have expired.
 func TestShortLossIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
-		f := begin(t, store)
+		f := startWatcher(t, store)
 		time.Sleep(time.Second)
 		store.change(func() { store.down = true })
 		time.Sleep(100 * time.Millisecond)
