--- a/pkg/discovery/discovery.go
+++ b/pkg/discovery/discovery.go
@@ -1,14 +1,13 @@
-// Package discovery keeps the upstreams that register themselves with a
-// store, as one entry host knows them.
+// Package discovery tracks the upstreams that register themselves with a store, as known to one
+// entry host.
 //
-// News may come late, twice and out of order; each piece carries the store's
-// revision. What is known is known of one start of an upstream: it may start again
-// under its id, and holds nothing of before then. Draining is final for a start. An
-// entry may vanish because its upstream ended, or because its lease ran out while the
-// store was away; what vanishes right after the store has come back is therefore kept
-// for a while.
+// Updates may arrive late, twice and out of order; each carries the store's revision. State
+// belongs to one start of an upstream: an upstream may start again under its ID, and nothing
+// known of the earlier start applies then. Draining is final for a start. An entry may be missing
+// because its upstream ended, or because its lease expired during an outage of the store;
+// entries found missing right after the store recovered are therefore kept for a while.
 //
-// The package does no I/O and reads no clock. A Set belongs to one goroutine.
+// The package does no I/O and reads no clock. A Set is not safe for concurrent use.
 package discovery
 
 import (
@@ -18,58 +17,58 @@
 	"time"
 )
 
-// Upstream is one upstream as it registered itself.
+// Upstream is an upstream as it registered itself.
 type Upstream struct {
-	// ID names the upstream, over all of its starts.
+	// ID identifies the upstream across all of its starts.
 	ID string
-	// Born is its start that the entry is about, in Unix milliseconds by its own clock;
-	// 0 if the entry does not say, and then the id is of one start only.
+	// Born is the time of the start that the entry describes, in Unix milliseconds by the
+	// upstream's own clock; 0 if unknown, and then the ID stands for a single start.
 	Born int64 `json:",omitempty"`
-	// Start counts the starts under this id that this host knows of, from 1. Set.Upstreams
-	// sets it.
+	// Start is the number of starts under this ID that this host knows of, including this one.
+	// It is set by Set.Upstreams.
 	Start uint64 `json:"-"`
-	// Service is what it belongs to.
+	// Service is the service that the upstream belongs to.
 	Service string
 	// Address is "IP:port".
 	Address string
-	// FailureDomain is where it runs.
+	// FailureDomain is the upstream's failure domain.
 	FailureDomain string
-	// Slots is the number of requests that it serves at the same time.
+	// Slots is the number of requests that the upstream serves concurrently.
 	Slots int
-	// Draining is true when it is about to end and takes no new requests.
+	// Draining is true when the upstream is about to end and accepts no new requests.
 	Draining bool
-	// ColdFor is how long it stays slow after its start, from its entry on.
+	// ColdFor is how long the upstream stays slow after its start, counted from its entry.
 	ColdFor time.Duration
 	// Revision is the store's revision of the entry.
 	Revision uint64
 }
 
-// entry is one id, also after it has vanished.
+// entry is the state of one ID, kept for a while after its removal.
 type entry struct {
 	upstream Upstream
-	// earlier is newer news about an earlier start than upstream's, and since when it is
-	// known; nil if there is none.
+	// earlier is a newer update that describes an earlier start than upstream does, nil if there
+	// is none; earlierSince is when the first such update arrived.
 	earlier      *Upstream
 	earlierSince time.Time
-	// revision is that of the newest news, a removal included.
+	// revision is the revision of the newest update, including removals.
 	revision uint64
-	gone     bool
-	// vanished is when a kept entry went missing in the store; zero if it is there.
-	vanished time.Time
+	removed  bool
+	// missingSince is when a kept entry was found missing in the store; zero if it is present.
+	missingSince time.Time
 }
 
-// Config bounds a Set.
+// Config configures a Set.
 type Config struct {
-	// RecoveryGrace is how long after the store came back a vanished entry is kept:
-	// the time in which living upstreams register again.
+	// RecoveryGrace is how long after a recovery of the store missing entries are kept: the
+	// time in which running upstreams register again.
 	RecoveryGrace time.Duration
-	// TombstoneRetention is how long the id of an upstream that is gone is remembered, so that
-	// a read of an old state can't bring it back.
+	// TombstoneRetention is how long the ID of a removed upstream is remembered, so that a
+	// read of an older state can't restore it.
 	TombstoneRetention time.Duration
-	// EarlierStartDelay is how long news about an earlier start than the known one has to
-	// stand before it is believed: longer than two writes of a living upstream are apart.
-	// The writes of a start that has ended may arrive after the first ones of the next;
-	// and the clock that a start is told by may have been set back.
+	// EarlierStartDelay is how long an update about an earlier start than the known one must
+	// remain unchallenged before it is applied. It is longer than the interval between two
+	// writes of a running upstream. Writes of a start that has ended may arrive after the first
+	// writes of the next one, and the clock that identifies a start may have been set back.
 	EarlierStartDelay time.Duration
 }
 
@@ -77,60 +76,60 @@
 type Set struct {
 	conf    Config
 	entries map[string]*entry
-	// listed holds the entries that are not gone, of each service, by id: a change of one
-	// upstream costs no look at all the others.
-	listed  map[string][]*entry
-	changed map[string]bool // services, since the last Changed
-	// returned is when the store was last reached again after an outage.
-	returned time.Time
-	goneAt   map[string]time.Time
+	// byService holds the present entries of each service, sorted by ID, so that a change of one
+	// upstream does not require a scan of all entries.
+	byService map[string][]*entry
+	changed   map[string]bool // services changed since the last call of Changed
+	// recoveredAt is when the store last recovered from an outage.
+	recoveredAt time.Time
+	removedAt   map[string]time.Time
 }
 
 // NewSet returns an empty set.
 func NewSet(conf Config) *Set {
 	return &Set{
-		conf:    conf,
-		entries: make(map[string]*entry),
-		listed:  make(map[string][]*entry),
-		changed: make(map[string]bool),
-		goneAt:  make(map[string]time.Time),
+		conf:      conf,
+		entries:   make(map[string]*entry),
+		byService: make(map[string][]*entry),
+		changed:   make(map[string]bool),
+		removedAt: make(map[string]time.Time),
 	}
 }
 
-// StoreRecovered records that the store is reached again after an outage.
-func (s *Set) StoreRecovered(now time.Time) { s.returned = now }
+// StoreRecovered records that the store is reachable again after an outage.
+func (s *Set) StoreRecovered(now time.Time) { s.recoveredAt = now }
 
-// Put takes in an entry. News that is not newer than what is known is ignored.
+// Put applies an entry. It is ignored if it is older than what is known.
 func (s *Set) Put(now time.Time, u Upstream) {
 	e := s.entries[u.ID]
 	if e == nil {
 		u.Start = 1
 		e = &entry{upstream: u, revision: u.Revision}
 		s.entries[u.ID] = e
-		s.list(e)
+		s.index(e)
 		s.changed[u.Service] = true
 		return
 	}
-	if u.Revision < e.revision || (e.gone && u.Revision == e.revision) {
+	if u.Revision < e.revision || (e.removed && u.Revision == e.revision) {
 		return
 	}
 	e.revision = u.Revision
 	if u.Born != 0 && u.Born < e.upstream.Born {
-		e.holdBack(now, u)
+		e.holdEarlier(now, u)
 		return
 	}
 	s.put(e, u)
 }
 
-// holdBack keeps news about an earlier start.
-func (e *entry) holdBack(now time.Time, u Upstream) {
+// holdEarlier holds back an update about an earlier start.
+func (e *entry) holdEarlier(now time.Time, u Upstream) {
 	if e.earlier == nil || e.earlier.Born != u.Born {
 		e.earlierSince = now
 	}
 	e.earlier = &u
 }
 
-// put lets u replace what is known. What was known of another start is forgotten.
+// put replaces the known entry by u. State of another start is discarded.
 func (s *Set) put(e *entry, u Upstream) {
 	old := e.upstream
 	u.Start = old.Start
@@ -141,49 +140,48 @@
 		u.Born = old.Born
 		u.Draining = u.Draining || old.Draining
 	}
-	if e.gone || old.Service != u.Service {
-		s.unlist(e)
-		e.upstream, e.gone = u, false
-		s.list(e)
+	if e.removed || old.Service != u.Service {
+		s.unindex(e)
+		e.upstream, e.removed = u, false
+		s.index(e)
 	}
 	e.upstream, e.earlier = u, nil
-	e.vanished = time.Time{}
-	delete(s.goneAt, u.ID)
+	e.missingSince = time.Time{}
+	delete(s.removedAt, u.ID)
 	s.changed[old.Service] = true
 	s.changed[u.Service] = true
 }
 
-// Remove takes in that the entry of an id vanished at a revision.
+// Remove applies the removal of an entry at a revision.
 func (s *Set) Remove(now time.Time, id string, revision uint64) {
 	e := s.entries[id]
-	if e == nil || e.gone || revision < e.revision {
+	if e == nil || e.removed || revision < e.revision {
 		return
 	}
 	e.revision = revision
 	e.earlier = nil
-	if s.keeps(now) && !e.upstream.Draining {
-		if e.vanished.IsZero() {
-			e.vanished = now
+	if s.inRecoveryGrace(now) && !e.upstream.Draining {
+		if e.missingSince.IsZero() {
+			e.missingSince = now
 		}
 		return
 	}
-	s.drop(now, e)
+	s.markRemoved(now, e)
 }
 
-// keeps reports whether what vanishes now may be back soon.
-func (s *Set) keeps(now time.Time) bool {
-	return !s.returned.IsZero() && now.Sub(s.returned) < s.conf.RecoveryGrace
+// inRecoveryGrace reports whether entries found missing now may be registered again soon.
+func (s *Set) inRecoveryGrace(now time.Time) bool {
+	return !s.recoveredAt.IsZero() && now.Sub(s.recoveredAt) < s.conf.RecoveryGrace
 }
 
-func (s *Set) drop(now time.Time, e *entry) {
-	s.unlist(e)
-	e.gone = true
-	s.goneAt[e.upstream.ID] = now
+func (s *Set) markRemoved(now time.Time, e *entry) {
+	s.unindex(e)
+	e.removed = true
+	s.removedAt[e.upstream.ID] = now
 	s.changed[e.upstream.Service] = true
 }
 
-// Replace takes in a whole listing as of a revision: what is not in it has
-// vanished.
+// Replace applies a full list as of a revision: entries that are not in it have been removed.
 func (s *Set) Replace(now time.Time, list []Upstream, revision uint64) {
 	listed := make(map[string]bool, len(list))
 	for _, u := range list {
@@ -197,20 +195,20 @@
 	}
 }
 
-// Tick drops the vanished entries whose time to return is over, believes news about an
-// earlier start that has stood, and forgets ids that are long gone.
+// Tick removes missing entries after the recovery grace period, applies updates about an earlier
+// start that were held back long enough, and deletes expired tombstones.
 func (s *Set) Tick(now time.Time) {
 	for _, e := range s.entries {
 		if e.earlier != nil && now.Sub(e.earlierSince) >= s.conf.EarlierStartDelay {
 			s.put(e, *e.earlier)
 		}
-		if !e.gone && !e.vanished.IsZero() && !s.keeps(now) {
-			s.drop(now, e)
+		if !e.removed && !e.missingSince.IsZero() && !s.inRecoveryGrace(now) {
+			s.markRemoved(now, e)
 		}
 	}
-	for id, at := range s.goneAt {
+	for id, at := range s.removedAt {
 		if now.Sub(at) > s.conf.TombstoneRetention {
-			delete(s.goneAt, id)
+			delete(s.removedAt, id)
 			delete(s.entries, id)
 		}
 	}
@@ -223,12 +221,12 @@
 	return names
 }
 
-// MarkChanged marks the services with upstreams in a failure domain as changed: something
-// else about the domain has. It returns the number of these upstreams.
+// MarkChanged marks the services with upstreams in a failure domain as changed, because another
+// property of the domain has changed. It returns the number of these upstreams.
 func (s *Set) MarkChanged(failureDomain string) int {
 	known := 0
 	for _, e := range s.entries {
-		if !e.gone && e.upstream.FailureDomain == failureDomain {
+		if !e.removed && e.upstream.FailureDomain == failureDomain {
 			s.changed[e.upstream.Service] = true
 			known++
 		}
@@ -236,9 +234,9 @@
 	return known
 }
 
-// Upstreams returns the upstreams of a service, by id.
+// Upstreams returns the upstreams of a service, sorted by ID.
 func (s *Set) Upstreams(service string) []Upstream {
-	list := s.listed[service]
+	list := s.byService[service]
 	if len(list) == 0 {
 		return nil
 	}
@@ -249,18 +247,18 @@
 	return out
 }
 
-// list adds an entry to the upstreams of its service.
-func (s *Set) list(e *entry) {
-	list := s.listed[e.upstream.Service]
+// index adds an entry to the upstreams of its service.
+func (s *Set) index(e *entry) {
+	list := s.byService[e.upstream.Service]
 	at, _ := slices.BinarySearchFunc(list, e.upstream.ID, compareID)
-	s.listed[e.upstream.Service] = slices.Insert(list, at, e)
+	s.byService[e.upstream.Service] = slices.Insert(list, at, e)
 }
 
-// unlist takes an entry out of the upstreams of its service, if it is there.
-func (s *Set) unlist(e *entry) {
-	list := s.listed[e.upstream.Service]
+// unindex removes an entry from the upstreams of its service, if it is present.
+func (s *Set) unindex(e *entry) {
+	list := s.byService[e.upstream.Service]
 	if at, found := slices.BinarySearchFunc(list, e.upstream.ID, compareID); found {
-		s.listed[e.upstream.Service] = slices.Delete(list, at, at+1)
+		s.byService[e.upstream.Service] = slices.Delete(list, at, at+1)
 	}
 }
 
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -32,9 +32,9 @@
 	s := newSet()
 	s.Put(at(0), entryOf("i-1", 5))
 	s.Remove(at(0), "i-1", 9)
-	s.Put(at(0), entryOf("i-1", 7)) // read from an old state
+	s.Put(at(0), entryOf("i-1", 7)) // from an older state
 	is.Equal(len(ids(s)), 0)
-	s.Put(at(0), entryOf("i-1", 10)) // its lease had run out, and it is back
+	s.Put(at(0), entryOf("i-1", 10)) // registered again after its lease expired
 	is.Equal(ids(s), []string{"i-1"})
 	s.Remove(at(1), "i-1", 9)
 	is.Equal(ids(s), []string{"i-1"})
@@ -50,8 +50,8 @@
 	is.True(s.Upstreams("a")[0].Draining)
 }
 
-// TestVanishedAfterAnOutage keeps what vanished while the store was away, but
-// no longer than its upstream could need to be back.
+// TestVanishedAfterAnOutage checks that entries that went missing during an outage are kept, but
+// no longer than their upstreams may need to register again.
 func TestVanishedAfterAnOutage(t *testing.T) {
 	is := is.New(t)
 	s := newSet()
@@ -63,7 +63,7 @@
 	s.Put(at(0), leaving)
 	s.StoreRecovered(at(0))
 	s.Replace(at(0), nil, 10)
-	is.Equal(ids(s), []string{"i-1", "i-2"}) // one that said it leaves is gone
+	is.Equal(ids(s), []string{"i-1", "i-2"}) // a draining upstream is removed at once
 	s.Put(at(0), entryOf("i-2", 11))
 	s.Tick(at(1499))
 	is.Equal(ids(s), []string{"i-1", "i-2"})
--- a/pkg/discovery/listed_test.go
+++ b/pkg/discovery/listed_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// TestListsHoldWhatIsThere compares the lists of services with a look at all entries, over
-// random news: new ones, starts anew, moves between services, removals and returns.
+// TestListsHoldWhatIsThere compares the index of services with a scan of all entries, over random
+// updates: new entries, restarts, moves between services, removals and recoveries.
 func TestListsHoldWhatIsThere(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -37,15 +37,15 @@
 			s.Put(now, u)
 		}
 		for _, service := range []string{"a", "b", "c"} {
-			is.Equal(s.Upstreams(service), lookAtAll(s, service))
+			is.Equal(s.Upstreams(service), scanEntries(s, service))
 		}
 	}
 }
 
-func lookAtAll(s *Set, service string) []Upstream {
+func scanEntries(s *Set, service string) []Upstream {
 	var out []Upstream
 	for _, e := range s.entries {
-		if !e.gone && e.upstream.Service == service {
+		if !e.removed && e.upstream.Service == service {
 			out = append(out, e.upstream)
 		}
 	}
