--- a/internal/peertransport/answer.go
+++ b/internal/peertransport/fetch.go
@@ -19,24 +19,24 @@
 	"github.com/dapplespindle/dapplespindle/pkg/storesync"
 )
 
-// The ages of an answer, in microseconds, are headers: its body is the same for
-// all who ask for the same, and is encoded once.
+// The ages of a response, in microseconds, are sent as headers, so that the body is the same for
+// all peers that make the same request and is encoded only once.
 const (
 	headerAge         = "Spindle-Age"
 	headerReturnedAge = "Spindle-Returned-Age"
 )
 
-// packed is the newest body of its kind that was encoded: after a change many
-// peers ask for the same at the same time. After is 0 for everything.
-type packed struct {
+// encodedBody is the most recently encoded body of its kind: after a change, many peers make the
+// same request at the same time. The field after is 0 for the full state.
+type encodedBody struct {
 	after, revision uint64
 	body            []byte
 }
 
-// packedKinds tells what came after a revision from everything: the one is often
-// asked for while the other is still the newest of its kind.
-type packedKinds struct {
-	changes, all packed
+// bodyCache holds one body for changes and one for the full state: requests for the two kinds
+// alternate while both bodies are still current.
+type bodyCache struct {
+	changes, state encodedBody
 }
 
 func (t *Transport) serve(w http.ResponseWriter, r *http.Request) {
@@ -45,68 +45,68 @@
 		http.Error(w, paramAfter+": is not a revision", http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), serveTimeout)
 	defer cancel()
-	if !t.takeTurn(ctx, after) {
+	if !t.acquireSlot(ctx, after) {
 		http.Error(w, storesync.ErrBusy.Error(), http.StatusTooManyRequests)
 		return
 	}
-	defer func() { <-t.answering }()
-	told, err := t.conf.ServeFetch(ctx, after)
+	defer func() { <-t.fetchSlots }()
+	message, err := t.conf.ServeFetch(ctx, after)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
 	answered := clock.Now()
-	body, err := t.pack(after, told)
+	body, err := t.encodeBody(after, message)
 	if err != nil {
-		t.refused(err)
+		t.reportRefused(err)
 		http.Error(w, "can't be encoded", http.StatusInternalServerError)
 		return
 	}
-	w.Header().Set(headerAge, formatAge(told.Age+clock.Since(answered)))
-	if told.ReturnedAge > 0 {
-		w.Header().Set(headerReturnedAge, formatAge(told.ReturnedAge))
+	w.Header().Set(headerAge, formatAge(message.Age+clock.Since(answered)))
+	if message.ReturnedAge > 0 {
+		w.Header().Set(headerReturnedAge, formatAge(message.ReturnedAge))
 	}
 	w.Header().Set("Content-Encoding", "gzip")
-	_, _ = w.Write(body) // a peer that has left asks again
+	_, _ = w.Write(body) // a peer whose connection failed asks again
 }
 
-// maxAnswering is how many questions are answered at the same time. Answers may be large: the
-// first hosts that have theirs can hand it on while the others wait.
-const maxAnswering = 4
+// maxConcurrentFetches is the number of fetches served concurrently. Responses may be large: a
+// low limit completes the first ones early, and their receivers can serve the other hosts.
+const maxConcurrentFetches = 4
 
-// takeTurn waits until this host can answer. One that asks for everything is told at once that
-// others come first: it can ask another host.
-func (t *Transport) takeTurn(ctx context.Context, after uint64) bool {
+// acquireSlot waits until this host can serve another fetch. A request for the full state does
+// not wait and fails at once if the host is busy, since the peer can ask another host.
+func (t *Transport) acquireSlot(ctx context.Context, after uint64) bool {
 	if after == 0 {
 		select {
-		case t.answering <- struct{}{}:
+		case t.fetchSlots <- struct{}{}:
 			return true
 		default:
 			return false
 		}
 	}
 	select {
-	case t.answering <- struct{}{}:
+	case t.fetchSlots <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// pack returns the compressed body of an answer.
-func (t *Transport) pack(after uint64, told *storewatch.PeerMessage) ([]byte, error) {
+// encodeBody returns the compressed body of a response.
+func (t *Transport) encodeBody(after uint64, message *storewatch.PeerMessage) ([]byte, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	kept := &t.packed.changes
-	if told.State != nil {
-		kept, after = &t.packed.all, 0 // the same whatever a peer knows
+	cached := &t.bodies.changes
+	if message.State != nil {
+		cached, after = &t.bodies.state, 0 // the same for all revisions that a peer may know
 	}
-	if kept.body != nil && kept.after == after && kept.revision == told.Revision {
-		return kept.body, nil
+	if cached.body != nil && cached.after == after && cached.revision == message.Revision {
+		return cached.body, nil
 	}
-	shared := *told
+	shared := *message
 	shared.Age, shared.ReturnedAge = 0, 0
 	var out bytes.Buffer
 	zip, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
@@ -119,7 +119,7 @@
 	if err := zip.Close(); err != nil {
 		return nil, err
 	}
-	*kept = packed{after, told.Revision, out.Bytes()}
+	*cached = encodedBody{after, message.Revision, out.Bytes()}
 	return out.Bytes(), nil
 }
 
@@ -128,11 +128,11 @@
 	url := "http://" + peer.String() + path + "?" + paramAfter + "=" + strconv.FormatUint(after, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "question")
+		return nil, errors.Wrap(err, "request")
 	}
 	resp, err := t.client.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "question")
+		return nil, errors.Wrap(err, "request")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch resp.StatusCode {
@@ -142,19 +142,19 @@
 	default:
 		return nil, &httpget.StatusError{Code: resp.StatusCode}
 	}
-	told := new(storewatch.PeerMessage)
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(told); err != nil {
-		return nil, errors.Wrap(err, "answer")
+	message := new(storewatch.PeerMessage)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(message); err != nil {
+		return nil, errors.Wrap(err, "response")
 	}
-	if told.Age, err = parseAge(resp.Header.Get(headerAge)); err != nil {
+	if message.Age, err = parseAge(resp.Header.Get(headerAge)); err != nil {
 		return nil, err
 	}
 	if text := resp.Header.Get(headerReturnedAge); text != "" {
-		if told.ReturnedAge, err = parseAge(text); err != nil {
+		if message.ReturnedAge, err = parseAge(text); err != nil {
 			return nil, err
 		}
 	}
-	return told, validate(told)
+	return message, validate(message)
 }
 
 func formatAge(d time.Duration) string { return strconv.FormatInt(d.Microseconds(), 10) }
--- a/internal/peertransport/limits.go
+++ b/internal/peertransport/limits.go
@@ -10,25 +10,24 @@
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
 )
 
-// limitsKind is the first byte of a datagram that tells of the limits of upstreams.
+// limitsKind is the first byte of a datagram with limits of upstreams.
 const limitsKind = 'l'
 
-// LimitsPerMessage is how many limits fit a datagram.
+// LimitsPerMessage is the number of limits that fit into a datagram.
 const LimitsPerMessage = 10
 
-// limitMessage is what a host knows of the limit of one upstream.
+// limitMessage is the known limit of one upstream.
 type limitMessage struct {
 	Upstream  uint64  `json:"u"`
 	Born      int64   `json:"b,omitempty"`
 	PerSecond float64 `json:"r,omitempty"`
 	Ended     bool    `json:"e,omitempty"`
-	AgeUs     int64   `json:"a"` // when it was sent
+	AgeUs     int64   `json:"a"` // at the time of sending
 }
 
-// SendLimits sends what is known of limits to each of the hosts, in as many messages as it
-// takes.
-func (t *Transport) SendLimits(to []netip.AddrPort, told []ratelimit.News) {
-	for part := range slices.Chunk(told, LimitsPerMessage) {
+// SendLimits sends known limits to each of the hosts, in as many messages as needed.
+func (t *Transport) SendLimits(to []netip.AddrPort, limits []ratelimit.News) {
+	for part := range slices.Chunk(limits, LimitsPerMessage) {
 		var messages []limitMessage
 		for _, n := range part {
 			messages = append(messages, limitMessage{
@@ -39,17 +38,17 @@
 				AgeUs:     n.Age.Microseconds(),
 			})
 		}
-		t.tellKind(to, limitsKind, messages)
+		t.sendKind(to, limitsKind, messages)
 	}
 }
 
-// heardLimits takes in a datagram behind its first byte.
-func (t *Transport) heardLimits(text []byte) error {
+// receiveLimits handles a datagram without its first byte.
+func (t *Transport) receiveLimits(text []byte) error {
 	var messages []limitMessage
 	if err := json.Unmarshal(text, &messages); err != nil {
-		return errors.Wrap(err, "message of limits")
+		return errors.Wrap(err, "limits message")
 	}
-	var told []ratelimit.News
+	var limits []ratelimit.News
 	for _, m := range messages {
 		n := ratelimit.News{
 			Server:    ratelimit.Server{Name: m.Upstream, Born: m.Born},
@@ -60,8 +59,8 @@
 		if err := n.Validate(); err != nil {
 			return err
 		}
-		told = append(told, n)
+		limits = append(limits, n)
 	}
-	t.conf.OnLimits(told)
+	t.conf.OnLimits(limits)
 	return nil
 }
--- a/internal/peertransport/limits_test.go
+++ b/internal/peertransport/limits_test.go
@@ -11,34 +11,34 @@
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
 )
 
-// TestLimitsAreTold: in as many messages as it takes, each of a datagram, and what makes no
-// sense is refused.
+// TestLimitsAreTold checks that limits are split into datagrams, and that invalid limits are
+// refused.
 func TestLimitsAreTold(t *testing.T) {
 	is := is.New(t)
-	a, b := begin(t), begin(t)
-	var told []ratelimit.News
+	a, b := startHost(t), startHost(t)
+	var limits []ratelimit.News
 	for i := range LimitsPerMessage + 1 {
-		told = append(told, ratelimit.News{
+		limits = append(limits, ratelimit.News{
 			Server:    ratelimit.Server{Name: 1<<64 - 1 - uint64(i), Born: 1_700_000_000_000 + int64(i)},
 			PerSecond: 123456.78901234567,
 			Ended:     i%2 == 0,
 			Age:       4999999 * time.Microsecond,
 		})
 	}
-	a.SendLimits([]netip.AddrPort{b.address}, told)
-	is.Equal(append(<-b.limits, <-b.limits...), told)
+	a.SendLimits([]netip.AddrPort{b.address}, limits)
+	is.Equal(append(<-b.limits, <-b.limits...), limits)
 	for _, text := range []string{`{`, `[{"r":-1}]`, `[{"r":1,"a":-1}]`, `[{"r":1e300}]`, `[{"a":9000000000000}]`} {
-		is.True(b.heardLimits([]byte(text)) != nil)
+		is.True(b.receiveLimits([]byte(text)) != nil)
 	}
 	is.Equal(len(b.limits), 0)
 }
 
-// TestBorrow: a host lends a turn that it has, once, and none that it does not have; one that
-// is gone lends nothing, and the question ends in time.
+// TestBorrow checks that a host lends a time slot that it has once, and none that it does not
+// have. A stopped host lends nothing, and the request times out.
 func TestBorrow(t *testing.T) {
 	is := is.New(t)
-	a, b := begin(t), begin(t)
-	state := b.book.Hold("i-1", 7)
+	a, b := startHost(t), startHost(t)
+	state := b.limiters.Hold("i-1", 7)
 	server := state.Server()
 	is.True(!a.Borrow(t.Context(), b.address, server)) // no limit is known there
 	now := time.Now()
@@ -57,18 +57,18 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	is.True(!a.Borrow(ctx, b.address, server))
-	is.Equal(len(a.borrowing.open), 0)
+	is.Equal(len(a.borrows.pending), 0)
 }
 
-// TestAnswersThatNobodyWaitsFor: late, doubled or made up.
+// TestAnswersThatNobodyWaitsFor covers late, duplicate and forged responses.
 func TestAnswersThatNobodyWaitsFor(t *testing.T) {
 	is := is.New(t)
-	a := begin(t)
-	is.NoErr(a.heardLent([]byte(`{"q":5,"l":true}`)))
-	number, answer := a.borrowing.ask()
-	a.borrowing.take(number) <- true
-	is.True(a.borrowing.take(number) == nil)
-	is.True(<-answer)
-	is.True(a.heardLent([]byte(`[`)) != nil)
-	is.True(a.heardBorrow([]byte(`[`), a.address) != nil)
+	a := startHost(t)
+	is.NoErr(a.receiveLent([]byte(`{"q":5,"l":true}`)))
+	id, response := a.borrows.add()
+	a.borrows.remove(id) <- true
+	is.True(a.borrows.remove(id) == nil)
+	is.True(<-response)
+	is.True(a.receiveLent([]byte(`[`)) != nil)
+	is.True(a.receiveBorrow([]byte(`[`), a.address) != nil)
 }
--- a/internal/peertransport/poison.go
+++ b/internal/peertransport/poison.go
@@ -12,29 +12,30 @@
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 )
 
-// poisonKind is the first byte of a datagram that tells of ends of upstreams. Those that
-// tell of the store begin with the brace of a JSON object.
+// poisonKind is the first byte of a datagram about requests that crash upstreams. Datagrams
+// about the store begin with the opening brace of a JSON object.
 const poisonKind = 'p'
 
-// DeathsPerMessage is how many ends fit a datagram.
+// DeathsPerMessage is the number of crashes that fit into a datagram.
 const DeathsPerMessage = 5
 
-// poisonMessage is what a host tells of requests under which upstreams ended.
+// poisonMessage reports requests during which upstreams crashed, and requests of that kind that
+// were answered later.
 type poisonMessage struct {
-	Died     []deathMessage       `json:"d,omitempty"`
+	Crashes  []crashMessage       `json:"d,omitempty"`
 	Answered []fingerprintMessage `json:"a,omitempty"`
 }
 
-// deathMessage is an end; times are ages, in microseconds, when it was sent.
-type deathMessage struct {
+// crashMessage is a crash; times are ages in microseconds at the time of sending.
+type crashMessage struct {
 	Request  fingerprintMessage `json:"r"`
 	Upstream uint64             `json:"u"`
 	Host     uint64             `json:"h"`
-	Began    int64              `json:"b"`
-	Ended    int64              `json:"e"`
+	SentUs   int64              `json:"b"`
+	EndedUs  int64              `json:"e"`
 }
 
-// fingerprintMessage is target, content and caller of a fingerprint.
+// fingerprintMessage holds the target, content and caller of a fingerprint.
 type fingerprintMessage [3]uint64
 
 func encodeFingerprint(f poison.Fingerprint) fingerprintMessage {
@@ -45,68 +46,68 @@
 	return poison.Fingerprint{Target: m[0], Content: m[1], Caller: m[2]}
 }
 
-// SendDeaths sends ends of upstreams to each of the hosts, in as many messages as it
-// takes.
+// SendDeaths sends crashes of upstreams to each of the hosts, in as many messages as needed.
 func (t *Transport) SendDeaths(to []netip.AddrPort, deaths []poison.Death) {
 	now := clock.Now()
 	for part := range slices.Chunk(deaths, DeathsPerMessage) {
 		var m poisonMessage
 		for _, d := range part {
-			m.Died = append(m.Died, deathMessage{
+			m.Crashes = append(m.Crashes, crashMessage{
 				Request:  encodeFingerprint(d.Request),
 				Upstream: d.Upstream,
 				Host:     d.Host,
-				Began:    now.Sub(d.Began).Microseconds(),
-				Ended:    now.Sub(d.Ended).Microseconds(),
+				SentUs:   now.Sub(d.Began).Microseconds(),
+				EndedUs:  now.Sub(d.Ended).Microseconds(),
 			})
 		}
-		t.tellKind(to, poisonKind, &m)
+		t.sendKind(to, poisonKind, &m)
 	}
 }
 
-// SendAnswered tells each of the hosts that a request under which upstreams ended was
+// SendAnswered tells each of the hosts that a request during which upstreams crashed was
 // answered.
 func (t *Transport) SendAnswered(to []netip.AddrPort, f poison.Fingerprint) {
-	t.tellKind(to, poisonKind, &poisonMessage{Answered: []fingerprintMessage{encodeFingerprint(f)}})
+	t.sendKind(to, poisonKind, &poisonMessage{Answered: []fingerprintMessage{encodeFingerprint(f)}})
 }
 
-// tellKind sends a message of a kind. One that can't be sent is as one that is lost.
-func (t *Transport) tellKind(to []netip.AddrPort, kind byte, m any) {
+// sendKind sends a message with the given first byte. A message that can't be sent is treated as
+// lost.
+func (t *Transport) sendKind(to []netip.AddrPort, kind byte, m any) {
 	text, err := json.Marshal(m)
 	if err != nil {
-		t.refused(err)
+		t.reportRefused(err)
 		return
 	}
 	t.send(to, append([]byte{kind}, text...))
 }
 
-// heardPoison takes in a datagram behind its first byte.
-func (t *Transport) heardPoison(text []byte) error {
+// receivePoison handles a datagram without its first byte.
+func (t *Transport) receivePoison(text []byte) error {
 	var m poisonMessage
 	if err := json.Unmarshal(text, &m); err != nil {
-		return errors.Wrap(err, "message of ends")
+		return errors.Wrap(err, "poison message")
 	}
 	now := clock.Now()
-	var died []poison.Death
-	for _, d := range m.Died {
+	var crashes []poison.Death
+	for _, d := range m.Crashes {
 		death, err := d.decode(now)
 		if err != nil {
 			return err
 		}
-		died = append(died, death)
+		crashes = append(crashes, death)
 	}
 	var answered []poison.Fingerprint
 	for _, f := range m.Answered {
 		answered = append(answered, f.decode())
 	}
-	t.conf.OnPoison(died, answered)
+	t.conf.OnPoison(crashes, answered)
 	return nil
 }
 
-func (m *deathMessage) decode(now time.Time) (poison.Death, error) {
-	began, ended, ok := poison.Times(now, m.Began, m.Ended)
+func (m *crashMessage) decode(now time.Time) (poison.Death, error) {
+	began, ended, ok := poison.Times(now, m.SentUs, m.EndedUs)
 	if !ok {
-		return poison.Death{}, errors.Newf("an end %d us ago of a request sent %d us ago", m.Ended, m.Began)
+		return poison.Death{}, errors.Newf("invalid times: crash %d us ago of a request sent %d us ago", m.EndedUs, m.SentUs)
 	}
 	return poison.Death{
 		Request:  m.Request.decode(),
--- a/internal/peertransport/quotas.go
+++ b/internal/peertransport/quotas.go
@@ -13,108 +13,110 @@
 )
 
 const (
-	// roomKind and grantKind are the first bytes of datagrams that ask for room of a
-	// customer's quota, and that answer.
-	roomKind  = 'q'
+	// quotaKind and grantKind are the first bytes of datagrams that request part of a
+	// customer's quota, and of the responses.
+	quotaKind = 'q'
 	grantKind = 'g'
-	// askRoomAgain is when a question is sent again whose message may be lost.
-	askRoomAgain = 20 * time.Millisecond
-	// maxRelays bounds the questions of others that are answered at the same time.
-	maxRelays = 1024
+	// quotaRetryDelay is the delay before a request is sent again, since its message may be
+	// lost.
+	quotaRetryDelay = 20 * time.Millisecond
+	// maxGrantsInProgress bounds the requests of other hosts that are handled concurrently.
+	maxGrantsInProgress = 1024
 )
 
-// roomMessage asks for room.
-type roomMessage struct {
-	Question  uint64         `json:"q"`
-	Customer  string         `json:"c"`
-	PerSecond float64        `json:"r"`
-	Burst     float64        `json:"b,omitempty"`
-	Must      int            `json:"m,omitempty"`
-	Ahead     int            `json:"a,omitempty"`
-	Used      int            `json:"u,omitempty"`
-	Role      quotas.Role    `json:"o,omitempty"`
-	Charged   netip.AddrPort `json:"h,omitzero"`
-	Sure      bool           `json:"s,omitempty"`
+// quotaMessage requests quota.
+type quotaMessage struct {
+	RequestID   uint64         `json:"q"`
+	Customer    string         `json:"c"`
+	PerSecond   float64        `json:"r"`
+	Burst       float64        `json:"b,omitempty"`
+	Required    int            `json:"m,omitempty"`
+	Prefetch    int            `json:"a,omitempty"`
+	Used        int            `json:"u,omitempty"`
+	Role        quotas.Role    `json:"o,omitempty"`
+	Coordinator netip.AddrPort `json:"h,omitzero"`
+	Confident   bool           `json:"s,omitempty"`
 }
 
-// grantMessage answers.
+// grantMessage is the response to a quotaMessage.
 type grantMessage struct {
-	Question uint64 `json:"q"`
-	Granted  int    `json:"g,omitempty"`
-	WaitUs   int64  `json:"w,omitempty"`
-	Nobody   bool   `json:"n,omitempty"`
+	RequestID   uint64 `json:"q"`
+	Granted     int    `json:"g,omitempty"`
+	WaitUs      int64  `json:"w,omitempty"`
+	Unavailable bool   `json:"n,omitempty"`
 }
 
-// AskRoom implements quotas.Peers. A question whose answer is lost is asked again once; room
-// that is granted twice is lost.
+// AskRoom implements quotas.Peers. A request without a response is sent once more; quota that is
+// granted twice for it is lost.
 func (t *Transport) AskRoom(ctx context.Context, host netip.AddrPort, q quotas.Question) (quota.Answer, bool) {
-	number, answer := t.rooms.ask()
-	defer t.rooms.take(number)
-	m := roomMessage{
-		Question: number, Customer: q.Customer, PerSecond: q.Limit.PerSecond, Burst: q.Limit.Burst,
-		Must: q.Must, Ahead: q.Ahead, Used: q.Used, Role: q.Role, Charged: q.Charged, Sure: q.Sure,
+	id, response := t.quotaRequests.add()
+	defer t.quotaRequests.remove(id)
+	m := quotaMessage{
+		RequestID: id, Customer: q.Customer, PerSecond: q.Limit.PerSecond, Burst: q.Limit.Burst,
+		Required: q.Must, Prefetch: q.Ahead, Used: q.Used, Role: q.Role, Coordinator: q.Charged, Confident: q.Sure,
 	}
-	t.tellKind([]netip.AddrPort{host}, roomKind, &m)
-	again := time.NewTimer(askRoomAgain)
-	defer again.Stop()
+	t.sendKind([]netip.AddrPort{host}, quotaKind, &m)
+	retry := time.NewTimer(quotaRetryDelay)
+	defer retry.Stop()
 	for {
 		select {
-		case a := <-answer:
+		case a := <-response:
 			return a, true
-		case <-again.C:
-			t.tellKind([]netip.AddrPort{host}, roomKind, &m)
+		case <-retry.C:
+			t.sendKind([]netip.AddrPort{host}, quotaKind, &m)
 		case <-ctx.Done():
 			return quota.Answer{}, false
 		}
 	}
 }
 
-// heardRoom answers a question for room, beside what comes next: it may have to be passed on.
-func (t *Transport) heardRoom(text []byte, from netip.AddrPort) error {
-	var m roomMessage
+// receiveQuotaRequest handles a request for quota. It does so on a new goroutine, because the
+// request may have to be forwarded to another host.
+func (t *Transport) receiveQuotaRequest(text []byte, from netip.AddrPort) error {
+	var m quotaMessage
 	if err := json.Unmarshal(text, &m); err != nil {
-		return errors.Wrap(err, "question for room")
+		return errors.Wrap(err, "quota request")
 	}
 	q := &quotas.Question{
 		Ask: quota.Ask{
 			Customer: m.Customer,
 			Limit:    quota.Limit{PerSecond: m.PerSecond, Burst: m.Burst},
-			Must:     m.Must, Ahead: m.Ahead, Used: m.Used,
+			Must:     m.Required, Ahead: m.Prefetch, Used: m.Used,
 		},
-		Role: m.Role, Charged: m.Charged, Sure: m.Sure,
+		Role: m.Role, Charged: m.Coordinator, Sure: m.Confident,
 	}
 	if err := q.Validate(); err != nil {
 		return err
 	}
-	asker := netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-	if t.relays.Add(1) > maxRelays {
-		t.relays.Add(-1)
-		return errors.New("question for room: too many at once")
+	sender := netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
+	if t.grantsInProgress.Add(1) > maxGrantsInProgress {
+		t.grantsInProgress.Add(-1)
+		return errors.New("quota request: too many concurrent requests")
 	}
 	go func() {
-		defer t.relays.Add(-1)
-		t.grant(m.Question, from, t.conf.GrantQuota(asker, q))
+		defer t.grantsInProgress.Add(-1)
+		t.sendGrant(m.RequestID, from, t.conf.GrantQuota(sender, q))
 	}()
 	return nil
 }
 
-func (t *Transport) grant(question uint64, to netip.AddrPort, a quota.Answer) {
-	m := grantMessage{Question: question, Granted: a.Granted, WaitUs: a.Wait.Microseconds(), Nobody: a.Nobody}
-	t.tellKind([]netip.AddrPort{to}, grantKind, &m)
+func (t *Transport) sendGrant(requestID uint64, to netip.AddrPort, a quota.Answer) {
+	m := grantMessage{RequestID: requestID, Granted: a.Granted, WaitUs: a.Wait.Microseconds(), Unavailable: a.Nobody}
+	t.sendKind([]netip.AddrPort{to}, grantKind, &m)
 }
 
-// heardGrant takes in the answer to a question for room.
-func (t *Transport) heardGrant(text []byte) error {
+// receiveGrant handles the response to a request for quota.
+func (t *Transport) receiveGrant(text []byte) error {
 	var m grantMessage
 	if err := json.Unmarshal(text, &m); err != nil {
-		return errors.Wrap(err, "answer to a question for room")
+		return errors.Wrap(err, "quota response")
 	}
-	a := quota.Answer{Granted: m.Granted, Wait: time.Duration(m.WaitUs) * time.Microsecond, Nobody: m.Nobody}
+	a := quota.Answer{Granted: m.Granted, Wait: time.Duration(m.WaitUs) * time.Microsecond, Nobody: m.Unavailable}
 	if err := a.Validate(); err != nil {
 		return err
 	}
-	if answer := t.rooms.take(m.Question); answer != nil {
-		answer <- a
+	if response := t.quotaRequests.remove(m.RequestID); response != nil {
+		response <- a
 	}
 	return nil
 }
--- a/internal/peertransport/transport.go
+++ b/internal/peertransport/transport.go
@@ -1,10 +1,10 @@
-// Package peertransport moves what hosts tell one another of the store: short messages in
-// datagrams, and answers to questions, which may be large, over HTTP. Both use
-// one port number, which is the same on all hosts.
+// Package peertransport exchanges messages between hosts: short messages in datagrams, and
+// responses to fetches, which may be large, over HTTP. Both use one port number, which is the same
+// on all hosts.
 //
-// It decides nothing; pkg/storesync does. Messages carry no signature: the network
-// among the hosts is trusted, and a message counts only from the address that it
-// names as its sender.
+// It implements no policy; pkg/storesync does. Messages carry no signature: the network between
+// the hosts is trusted, and a message is accepted only from the address that it names as its
+// sender.
 package peertransport
 
 import (
@@ -29,39 +29,40 @@
 )
 
 const (
-	// maxDatagramBytes fits an Ethernet frame.
+	// maxDatagramBytes fits into an Ethernet frame.
 	maxDatagramBytes = 1200
-	// maxAnswerBytes bounds an answer: everything of a store of some thousand
+	// maxResponseBytes bounds a response: the full state of a store with some thousand
 	// upstreams and a configuration of a megabyte.
-	maxAnswerBytes = 16 << 20
-	// answerTimeout bounds answering one question.
-	answerTimeout = time.Second
-	// dialTimeout bounds a connection to a peer, a few milliseconds away.
+	maxResponseBytes = 16 << 20
+	// serveTimeout bounds serving one fetch.
+	serveTimeout = time.Second
+	// dialTimeout bounds connecting to a peer, which is a few milliseconds away.
 	dialTimeout = 250 * time.Millisecond
 
 	path       = "/v1/published"
 	paramAfter = "after"
 )
 
-// Config holds what a Transport needs.
+// Config configures a Transport.
 type Config struct {
-	// Address is where peers reach this host, over UDP and TCP.
+	// Address is the address at which peers reach this host, over UDP and TCP.
 	Address netip.AddrPort
-	// OnMessage takes in a message.
+	// OnMessage receives a message about the store.
 	OnMessage func(*storewatch.PeerMessage)
-	// ServeFetch answers a question of a peer.
+	// ServeFetch returns the response to a fetch of a peer.
 	ServeFetch func(ctx context.Context, after uint64) (*storewatch.PeerMessage, error)
-	// OnPoison takes in what a peer tells of ends of upstreams.
+	// OnPoison receives a peer's report of crashes of upstreams and of requests that were
+	// answered.
 	OnPoison func(died []poison.Death, answered []poison.Fingerprint)
-	// OnLimits takes in what a peer tells of the limits of upstreams.
+	// OnLimits receives a peer's known limits of upstreams.
 	OnLimits func([]ratelimit.News)
-	// LendTimeSlot uses a turn of this host at an upstream for another host. It reports whether
-	// there was one.
+	// LendTimeSlot uses a time slot of this host at an upstream for another host. It reports
+	// whether there was one.
 	LendTimeSlot func(ratelimit.Server) bool
-	// GrantQuota answers a host's question for room of a customer's quota. It may take as long
-	// as asking hosts does, and runs on a goroutine of its own.
+	// GrantQuota handles another host's request for part of a customer's quota. It may block
+	// for as long as requests to other hosts take, and runs on its own goroutine.
 	GrantQuota func(from netip.AddrPort, q *quotas.Question) quota.Answer
-	// Events receives what was refused.
+	// Events receives an event for each refused message.
 	Events event.Sink
 }
 
@@ -72,22 +73,22 @@
 	server *http.Server
 	client *http.Client
 
-	borrowing questions[bool]
-	rooms     questions[quota.Answer]
-	relays    atomic.Int64 // questions for room that are being answered
+	borrows          pendingRequests[bool]
+	quotaRequests    pendingRequests[quota.Answer]
+	grantsInProgress atomic.Int64 // requests for quota that are being handled
 
-	answering chan struct{} // has an element for each answer under way
+	fetchSlots chan struct{} // holds an element for each fetch being served
 
 	mu     sync.Mutex
-	packed packedKinds
+	bodies bodyCache
 }
 
-// New returns a transport without sockets.
+// New returns a Transport without sockets.
 func New(conf Config) *Transport {
 	t := &Transport{
-		conf:      conf,
-		answering: make(chan struct{}, maxAnswering),
-		// A kept connection may have gone silent, and questions are rare.
+		conf:       conf,
+		fetchSlots: make(chan struct{}, maxConcurrentFetches),
+		// An idle connection may be dead, and fetches are rare.
 		client: &http.Client{Transport: &http.Transport{
 			DialContext:       (&net.Dialer{Timeout: dialTimeout}).DialContext,
 			DisableKeepAlives: true,
@@ -95,7 +96,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, t.serve)
-	t.server = &http.Server{Handler: mux, ReadHeaderTimeout: answerTimeout, WriteTimeout: 2 * answerTimeout}
+	t.server = &http.Server{Handler: mux, ReadHeaderTimeout: serveTimeout, WriteTimeout: 2 * serveTimeout}
 	return t
 }
 
@@ -103,17 +104,17 @@
 func (t *Transport) Start() error {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(t.conf.Address))
 	if err != nil {
-		return errors.Wrap(err, "news socket")
+		return errors.Wrap(err, "peer transport: UDP socket")
 	}
 	ln, err := net.Listen("tcp", t.conf.Address.String())
 	if err != nil {
-		return errors.CombineErrors(errors.Wrap(err, "news listener"), conn.Close())
+		return errors.CombineErrors(errors.Wrap(err, "peer transport: TCP listener"), conn.Close())
 	}
 	t.conn = conn
 	go t.read()
 	go func() {
 		if err := t.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			t.refused(err)
+			t.reportRefused(err)
 		}
 	}()
 	return nil
@@ -124,16 +125,15 @@
 	if t.conn == nil {
 		return
 	}
-	_ = t.conn.Close() // it holds nothing that is not sent
+	_ = t.conn.Close() // it buffers no unsent data
 	_ = t.server.Close()
 }
 
-// Send implements storewatch.Peers. A message that can't be sent is as one that is
-// lost.
-func (t *Transport) Send(to []netip.AddrPort, told *storewatch.PeerMessage) {
-	datagram, err := encodeDatagram(told)
+// Send implements storewatch.Peers. A message that can't be sent is treated as lost.
+func (t *Transport) Send(to []netip.AddrPort, message *storewatch.PeerMessage) {
+	datagram, err := encodeDatagram(message)
 	if err != nil {
-		t.refused(err)
+		t.reportRefused(err)
 		return
 	}
 	t.send(to, datagram)
@@ -145,18 +145,18 @@
 	}
 }
 
-// encodeDatagram leaves the changes out if they don't fit.
-func encodeDatagram(told *storewatch.PeerMessage) ([]byte, error) {
-	datagram, err := json.Marshal(told)
+// encodeDatagram encodes a message, without its changes if they don't fit.
+func encodeDatagram(message *storewatch.PeerMessage) ([]byte, error) {
+	datagram, err := json.Marshal(message)
 	if err != nil || len(datagram) <= maxDatagramBytes {
 		return datagram, err
 	}
-	short := *told
+	short := *message
 	short.After, short.Changes = 0, nil
 	return json.Marshal(&short)
 }
 
-// read takes datagrams until the socket is closed.
+// read handles datagrams until the socket is closed.
 func (t *Transport) read() {
 	buffer := make([]byte, maxDatagramBytes+1)
 	for {
@@ -165,87 +165,88 @@
 			return
 		}
 		if err != nil {
-			continue // such as an answer of a peer's machine that the port is closed
+			continue // for example the ICMP error of a peer whose port is closed
 		}
-		if heard := t.kind(buffer[:n]); heard != nil {
-			if err := heard(buffer[1:n], from); err != nil {
-				t.refused(err)
+		if handle := t.handler(buffer[:n]); handle != nil {
+			if err := handle(buffer[1:n], from); err != nil {
+				t.reportRefused(err)
 			}
 			continue
 		}
-		told, err := decodeDatagram(buffer[:n])
+		message, err := decodeDatagram(buffer[:n])
 		if err != nil {
-			t.refused(err)
+			t.reportRefused(err)
 			continue
 		}
-		if sender := netip.AddrPortFrom(from.Addr().Unmap(), from.Port()); told.From.Address != sender {
-			t.refused(errors.Newf("%s says that it is %s", sender, told.From.Address))
+		if sender := netip.AddrPortFrom(from.Addr().Unmap(), from.Port()); message.From.Address != sender {
+			t.reportRefused(errors.Newf("message from %s names %s as its sender", sender, message.From.Address))
 			continue
 		}
-		t.conf.OnMessage(told)
+		t.conf.OnMessage(message)
 	}
 }
 
-// kind returns what takes in a datagram behind its first byte; nil if it tells of the store.
-func (t *Transport) kind(datagram []byte) func(text []byte, from netip.AddrPort) error {
+// handler returns the handler of a datagram without its first byte; nil if the datagram is about
+// the store.
+func (t *Transport) handler(datagram []byte) func(text []byte, from netip.AddrPort) error {
 	if len(datagram) == 0 {
 		return nil
 	}
 	switch datagram[0] {
 	case poisonKind:
-		return fromAnyone(t.heardPoison)
+		return ignoreSender(t.receivePoison)
 	case limitsKind:
-		return fromAnyone(t.heardLimits)
+		return ignoreSender(t.receiveLimits)
 	case lentKind:
-		return fromAnyone(t.heardLent)
+		return ignoreSender(t.receiveLent)
 	case borrowKind:
-		return t.heardBorrow
-	case roomKind:
-		return t.heardRoom
+		return t.receiveBorrow
+	case quotaKind:
+		return t.receiveQuotaRequest
 	case grantKind:
-		return fromAnyone(t.heardGrant)
+		return ignoreSender(t.receiveGrant)
 	default:
 		return nil
 	}
 }
 
-// fromAnyone takes in a datagram whose sender does not matter.
-func fromAnyone(heard func([]byte) error) func([]byte, netip.AddrPort) error {
-	return func(text []byte, _ netip.AddrPort) error { return heard(text) }
+// ignoreSender returns a handler for datagrams whose sender does not matter.
+func ignoreSender(handle func([]byte) error) func([]byte, netip.AddrPort) error {
+	return func(text []byte, _ netip.AddrPort) error { return handle(text) }
 }
 
 func decodeDatagram(datagram []byte) (*storewatch.PeerMessage, error) {
-	told := new(storewatch.PeerMessage)
-	if err := json.Unmarshal(datagram, told); err != nil {
+	message := new(storewatch.PeerMessage)
+	if err := json.Unmarshal(datagram, message); err != nil {
 		return nil, errors.Wrap(err, "message")
 	}
-	return told, validate(told)
+	return message, validate(message)
 }
 
-// validate checks what another version of the product may write otherwise.
-func validate(told *storewatch.PeerMessage) error {
+// validate checks a message, which another version of the product may have written differently.
+func validate(message *storewatch.PeerMessage) error {
 	switch {
-	case told.Revision == 0:
+	case message.Revision == 0:
 		return errors.New("revision: is 0")
-	case told.Age < 0:
-		return errors.Newf("age: %s is negative", told.Age)
-	case told.ReturnedAge < 0:
-		return errors.Newf("returned age: %s is negative", told.ReturnedAge)
-	case !validUnanswered(told.Unanswered):
+	case message.Age < 0:
+		return errors.Newf("age: %s is negative", message.Age)
+	case message.ReturnedAge < 0:
+		return errors.Newf("returned age: %s is negative", message.ReturnedAge)
+	case !validFailedCalls(message.Unanswered):
 		return errors.New("unanswered calls: too many, without a host or with a negative age")
-	case told.State != nil && told.State.Configuration != nil:
-		return told.State.Configuration.Validate()
-	case told.Changes != nil:
-		return validateChanges(told.Changes)
+	case message.State != nil && message.State.Configuration != nil:
+		return message.State.Configuration.Validate()
+	case message.Changes != nil:
+		return validateChanges(message.Changes)
 	}
 	return nil
 }
 
-// maxUnanswered bounds the calls of one message; hosts of this version name three.
-const maxUnanswered = 16
+// maxFailedCalls bounds the failed calls in one message; hosts of this version send at most five.
+const maxFailedCalls = 16
 
-func validUnanswered(calls []storewatch.FailedCall) bool {
-	return len(calls) <= maxUnanswered && !slices.ContainsFunc(calls, func(u storewatch.FailedCall) bool {
+func validFailedCalls(calls []storewatch.FailedCall) bool {
+	return len(calls) <= maxFailedCalls && !slices.ContainsFunc(calls, func(u storewatch.FailedCall) bool {
 		return !u.Host.IsValid() || u.Age < 0
 	})
 }
@@ -262,6 +263,6 @@
 	return nil
 }
 
-func (t *Transport) refused(err error) {
+func (t *Transport) reportRefused(err error) {
 	t.conf.Events.Emit(event.Event{Code: event.StorePeerNewsRefused, Detail: err.Error()})
 }
--- a/internal/peertransport/transport_test.go
+++ b/internal/peertransport/transport_test.go
@@ -25,22 +25,22 @@
 	"github.com/dapplespindle/dapplespindle/pkg/turns"
 )
 
-// host is a transport with what it heard and refused.
+// host is a Transport with the messages that it received and refused.
 type host struct {
 	*Transport
-	address netip.AddrPort
-	heard   chan *storewatch.PeerMessage
-	mu      sync.Mutex
-	events  []event.Event
-	told    *storewatch.PeerMessage // its answer; nil knows nothing
-	poison  chan poisonHeard
-	limits  chan []ratelimit.News
-	book    *ratelimit.Book
+	address  netip.AddrPort
+	messages chan *storewatch.PeerMessage
+	mu       sync.Mutex
+	events   []event.Event
+	response *storewatch.PeerMessage // response to fetches; nil while the host has no state
+	poison   chan poisonUpdate
+	limits   chan []ratelimit.News
+	limiters *ratelimit.Book
 }
 
-// poisonHeard is one message on ends of upstreams.
-type poisonHeard struct {
-	died     []poison.Death
+// poisonUpdate is one message about crashes of upstreams.
+type poisonUpdate struct {
+	crashes  []poison.Death
 	answered []poison.Fingerprint
 }
 
@@ -75,25 +75,25 @@
 	return netip.AddrPort{}
 }
 
-func begin(t *testing.T) *host {
+func startHost(t *testing.T) *host {
 	address := freeAddress(t)
-	h := &host{address: address, heard: make(chan *storewatch.PeerMessage, 8), poison: make(chan poisonHeard, 8),
-		limits: make(chan []ratelimit.News, 8), book: ratelimit.NewBook(turns.Alone())}
+	h := &host{address: address, messages: make(chan *storewatch.PeerMessage, 8), poison: make(chan poisonUpdate, 8),
+		limits: make(chan []ratelimit.News, 8), limiters: ratelimit.NewBook(turns.Alone())}
 	h.Transport = New(Config{
 		Address:   address,
-		OnMessage: func(told *storewatch.PeerMessage) { h.heard <- told },
+		OnMessage: func(message *storewatch.PeerMessage) { h.messages <- message },
 		ServeFetch: func(context.Context, uint64) (*storewatch.PeerMessage, error) {
-			if h.told == nil {
+			if h.response == nil {
 				return nil, storewatch.ErrNoState
 			}
-			return h.told, nil
+			return h.response, nil
 		},
 		Events: h,
 
-		OnLimits:     func(told []ratelimit.News) { h.limits <- told },
-		LendTimeSlot: func(s ratelimit.Server) bool { return h.book.Lend(time.Now(), s) },
-		OnPoison: func(died []poison.Death, answered []poison.Fingerprint) {
-			h.poison <- poisonHeard{died, answered}
+		OnLimits:     func(limits []ratelimit.News) { h.limits <- limits },
+		LendTimeSlot: func(s ratelimit.Server) bool { return h.limiters.Lend(time.Now(), s) },
+		OnPoison: func(crashes []poison.Death, answered []poison.Fingerprint) {
+			h.poison <- poisonUpdate{crashes, answered}
 		},
 	})
 	if err := h.Start(); err != nil {
@@ -118,41 +118,41 @@
 	return out
 }
 
-func (h *host) hears(t *testing.T) *storewatch.PeerMessage {
+func (h *host) receive(t *testing.T) *storewatch.PeerMessage {
 	t.Helper()
 	select {
-	case told := <-h.heard:
-		return told
+	case message := <-h.messages:
+		return message
 	case <-time.After(10 * time.Second):
-		t.Fatal("heard nothing")
+		t.Fatal("no message received")
 		return nil
 	}
 }
 
 func TestTellCarriesChangesThatFit(t *testing.T) {
 	is := is.New(t)
-	a, b := begin(t), begin(t)
+	a, b := startHost(t), startHost(t)
 	a.Send([]netip.AddrPort{b.address}, a.message(2))
-	got := b.hears(t)
+	got := b.receive(t)
 	is.Equal(got, a.message(2))
 	a.Send([]netip.AddrPort{b.address}, a.message(200))
-	got = b.hears(t)
+	got = b.receive(t)
 	is.Equal(got.Changes, nil)
 	is.Equal(got.Revision, uint64(7))
 }
 
 func TestTellCarriesUnansweredCalls(t *testing.T) {
 	is := is.New(t)
-	a, b := begin(t), begin(t)
-	told := a.message(0)
-	told.Unanswered = []storewatch.FailedCall{{Host: b.address, Age: time.Second}, {Host: a.address}}
-	a.Send([]netip.AddrPort{b.address}, told)
-	is.Equal(b.hears(t), told)
+	a, b := startHost(t), startHost(t)
+	message := a.message(0)
+	message.Unanswered = []storewatch.FailedCall{{Host: b.address, Age: time.Second}, {Host: a.address}}
+	a.Send([]netip.AddrPort{b.address}, message)
+	is.Equal(b.receive(t), message)
 }
 
 func TestRefusesWhatIsNoMessage(t *testing.T) {
 	is := is.New(t)
-	a, b := begin(t), begin(t)
+	a, b := startHost(t), startHost(t)
 	forged := a.message(0)
 	forged.From.Address = netip.MustParseAddrPort("10.9.9.9:7200")
 	empty := a.message(0)
@@ -160,93 +160,94 @@
 	early, nameless, many := a.message(0), a.message(0), a.message(0)
 	early.Unanswered = []storewatch.FailedCall{{Host: a.address, Age: -1}}
 	nameless.Unanswered = []storewatch.FailedCall{{}}
-	many.Unanswered = slices.Repeat([]storewatch.FailedCall{{Host: a.address}}, maxUnanswered+1)
-	for _, told := range []*storewatch.PeerMessage{forged, empty, early, nameless, many} {
-		a.Send([]netip.AddrPort{b.address}, told)
+	many.Unanswered = slices.Repeat([]storewatch.FailedCall{{Host: a.address}}, maxFailedCalls+1)
+	for _, message := range []*storewatch.PeerMessage{forged, empty, early, nameless, many} {
+		a.Send([]netip.AddrPort{b.address}, message)
 	}
 	_, err := a.conn.WriteToUDPAddrPort([]byte("{"), b.address)
 	is.NoErr(err)
 	a.Send([]netip.AddrPort{b.address}, a.message(1))
-	is.Equal(len(b.hears(t).Changes.Events), 1)
+	is.Equal(len(b.receive(t).Changes.Events), 1)
 	is.Equal(b.refusals(), 6)
 }
 
-// TestAsk: the age of an answer is that of the moment, also when its body was
-// encoded for another peer before.
+// TestAsk checks that the age of a response is current even when its body was encoded earlier for
+// another peer.
 func TestAsk(t *testing.T) {
 	is := is.New(t)
-	a, b := begin(t), begin(t)
+	a, b := startHost(t), startHost(t)
 	_, err := a.Fetch(t.Context(), b.address, 0)
 	status := new(httpget.StatusError)
 	is.True(errors.As(err, &status))
 	is.Equal(status.Code, http.StatusServiceUnavailable)
-	told := b.message(0)
-	told.Changes, told.After = nil, 0
-	told.ReturnedAge = time.Second
-	told.State = &storewatch.State{Revision: 7, Configuration: &config.Configuration{Version: 3,
+	message := b.message(0)
+	message.Changes, message.After = nil, 0
+	message.ReturnedAge = time.Second
+	message.State = &storewatch.State{Revision: 7, Configuration: &config.Configuration{Version: 3,
 		Callers: &config.CallerLimits{HeadBytes: 1, BodyBytes: 2, HeadTimeout: time.Second, IdleTimeout: time.Minute}}}
-	b.told = told
+	b.response = message
 	for _, age := range []time.Duration{40 * time.Millisecond, 900 * time.Millisecond} {
-		told.Age = age
+		message.Age = age
 		got, err := a.Fetch(t.Context(), b.address, 0)
 		is.NoErr(err)
 		is.True(got.Age >= age)
 		is.True(got.ReturnedAge == time.Second)
-		is.Equal(got.State, told.State)
+		is.Equal(got.State, message.State)
 	}
 }
 
-// TestEverythingIsEncodedOnce, whatever the peers that ask know already.
+// TestEverythingIsEncodedOnce checks that the full state is encoded once, whatever revisions the
+// requesting peers know.
 func TestEverythingIsEncodedOnce(t *testing.T) {
 	is := is.New(t)
-	h := begin(t)
-	told := h.message(0)
-	told.Changes, told.State = nil, &storewatch.State{Revision: 7}
-	first, err := h.pack(3, told)
+	h := startHost(t)
+	message := h.message(0)
+	message.Changes, message.State = nil, &storewatch.State{Revision: 7}
+	first, err := h.encodeBody(3, message)
 	is.NoErr(err)
-	changes, err := h.pack(5, h.message(1))
+	changes, err := h.encodeBody(5, h.message(1))
 	is.NoErr(err)
 	is.True(string(changes) != string(first))
-	again, err := h.pack(4, told)
+	again, err := h.encodeBody(4, message)
 	is.NoErr(err)
 	is.True(&again[0] == &first[0])
-	newer := *told
+	newer := *message
 	newer.Revision = 8
-	other, err := h.pack(4, &newer)
+	other, err := h.encodeBody(4, &newer)
 	is.NoErr(err)
 	is.True(string(other) != string(first))
 }
 
 func TestAnswerThatIsInvalidIsRefused(t *testing.T) {
 	is := is.New(t)
-	a, b := begin(t), begin(t)
-	b.told = b.message(0)
-	b.told.Changes.Configurations = []*config.Configuration{{}} // version 0
+	a, b := startHost(t), startHost(t)
+	b.response = b.message(0)
+	b.response.Changes.Configurations = []*config.Configuration{{}} // version 0
 	_, err := a.Fetch(t.Context(), b.address, 5)
 	is.True(err != nil)
 }
 
-// FuzzDatagram gives the decoder what a peer of another version, or a stranger,
-// may send.
+// FuzzDatagram feeds the decoder datagrams as a peer of another version, or an unrelated sender,
+// may send them.
 func FuzzDatagram(f *testing.F) {
 	f.Add([]byte(`{"From":{"Address":"10.0.0.1:7200"},"Revision":3,"Age":5}`))
 	f.Add([]byte(`{"Changes":{"Events":[{"Upstream":null}],"Configurations":[null]},"Revision":3}`))
 	f.Fuzz(func(t *testing.T, datagram []byte) {
-		told, err := decodeDatagram(datagram)
+		message, err := decodeDatagram(datagram)
 		if err != nil {
 			return
 		}
-		if told.Revision == 0 || told.Age < 0 {
-			t.Fatal("took a message that says nothing")
+		if message.Revision == 0 || message.Age < 0 {
+			t.Fatal("accepted a message without a revision or with a negative age")
 		}
 	})
 }
 
-// TestDeathsAreTold: ends of upstreams arrive at their time, in as many messages as it
-// takes, and what makes no sense is refused.
+// TestDeathsAreTold checks that crashes of upstreams are split into datagrams and arrive with their
+// times, and that invalid ones are refused.
 func TestDeathsAreTold(t *testing.T) {
 	is := is.New(t)
-	a, b := begin(t), begin(t)
+	a, b := startHost(t), startHost(t)
 	now := time.Now()
 	var deaths []poison.Death
 	for i := range DeathsPerMessage + 1 {
@@ -259,7 +260,7 @@
 	to := []netip.AddrPort{b.address}
 	a.SendDeaths(to, deaths)
 	for range 2 {
-		for _, got := range (<-b.poison).died {
+		for _, got := range (<-b.poison).crashes {
 			at := slices.IndexFunc(deaths, func(d poison.Death) bool { return d.Request == got.Request })
 			is.True(at >= 0)
 			is.Equal(got.Upstream, deaths[at].Upstream)
@@ -274,6 +275,6 @@
 	a.SendAnswered(to, f)
 	is.Equal((<-b.poison).answered, []poison.Fingerprint{f})
 	for _, text := range []string{`{`, `{"d":[{"b":1,"e":2}]}`, `{"d":[{"b":-2,"e":-3}]}`, `{"d":[{"b":9000000000000000,"e":2}]}`} {
-		is.True(b.heardPoison([]byte(text)) != nil)
+		is.True(b.receivePoison([]byte(text)) != nil)
 	}
 }
--- a/internal/peertransport/turns.go
+++ b/internal/peertransport/turns.go
@@ -12,65 +12,65 @@
 )
 
 const (
-	// borrowKind and lentKind are the first bytes of datagrams that ask for a turn at an
-	// upstream, and that answer.
+	// borrowKind and lentKind are the first bytes of datagrams that request a time slot at an
+	// upstream, and of the responses.
 	borrowKind = 'b'
 	lentKind   = 'a'
-	// borrowTimeout bounds asking one host. The farthest is a few milliseconds away, and a
-	// request waits.
+	// borrowTimeout bounds a request to one host. The farthest host is a few milliseconds away,
+	// and a request waits for the response.
 	borrowTimeout = 20 * time.Millisecond
 )
 
-// borrowMessage asks for a turn.
+// borrowMessage requests a time slot.
 type borrowMessage struct {
-	Question uint64 `json:"q"`
-	Upstream uint64 `json:"u"`
-	Born     int64  `json:"b,omitempty"`
+	RequestID uint64 `json:"q"`
+	Upstream  uint64 `json:"u"`
+	Born      int64  `json:"b,omitempty"`
 }
 
-// lentMessage answers.
+// lentMessage is the response to a borrowMessage.
 type lentMessage struct {
-	Question uint64 `json:"q"`
-	Lent     bool   `json:"l,omitempty"`
+	RequestID uint64 `json:"q"`
+	Lent      bool   `json:"l,omitempty"`
 }
 
-// Borrow asks a host to lend its turn at an upstream. It reports whether it did. A turn whose
-// message is lost, or comes too late, is not used.
+// Borrow asks a host to lend its time slot at an upstream, and reports whether it did. A slot whose
+// response is lost or late is not used.
 func (t *Transport) Borrow(ctx context.Context, lender netip.AddrPort, server ratelimit.Server) bool {
-	number, answer := t.borrowing.ask()
-	defer t.borrowing.take(number)
-	t.tellKind([]netip.AddrPort{lender}, borrowKind, borrowMessage{number, server.Name, server.Born})
-	late := time.NewTimer(borrowTimeout)
-	defer late.Stop()
+	id, response := t.borrows.add()
+	defer t.borrows.remove(id)
+	t.sendKind([]netip.AddrPort{lender}, borrowKind, borrowMessage{id, server.Name, server.Born})
+	timer := time.NewTimer(borrowTimeout)
+	defer timer.Stop()
 	select {
-	case lent := <-answer:
+	case lent := <-response:
 		return lent
-	case <-late.C:
+	case <-timer.C:
 		return false
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// heardBorrow answers a question for a turn.
-func (t *Transport) heardBorrow(text []byte, from netip.AddrPort) error {
+// receiveBorrow handles a request for a time slot.
+func (t *Transport) receiveBorrow(text []byte, from netip.AddrPort) error {
 	var m borrowMessage
 	if err := json.Unmarshal(text, &m); err != nil {
-		return errors.Wrap(err, "question for a turn")
+		return errors.Wrap(err, "time slot request")
 	}
 	lent := t.conf.LendTimeSlot(ratelimit.Server{Name: m.Upstream, Born: m.Born})
-	t.tellKind([]netip.AddrPort{from}, lentKind, lentMessage{m.Question, lent})
+	t.sendKind([]netip.AddrPort{from}, lentKind, lentMessage{m.RequestID, lent})
 	return nil
 }
 
-// heardLent takes in the answer to a question for a turn.
-func (t *Transport) heardLent(text []byte) error {
+// receiveLent handles the response to a request for a time slot.
+func (t *Transport) receiveLent(text []byte) error {
 	var m lentMessage
 	if err := json.Unmarshal(text, &m); err != nil {
-		return errors.Wrap(err, "answer to a question for a turn")
+		return errors.Wrap(err, "time slot response")
 	}
-	if answer := t.borrowing.take(m.Question); answer != nil {
-		answer <- m.Lent
+	if response := t.borrows.remove(m.RequestID); response != nil {
+		response <- m.Lent
 	}
 	return nil
 }
