--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -9,7 +9,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/gossip"
 )
 
-// TestDraw: each one of a list is drawn as often as the others, and none twice.
+// TestDraw checks that each element is drawn equally often, and none twice.
 func TestDraw(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
