--- a/internal/configfeed/feed.go
+++ b/internal/configfeed/feed.go
@@ -162,22 +162,22 @@
 	ctx, cancel := context.WithTimeout(f.ctx, r.Wait+answerSlack)
 	defer cancel()
 	changes, err := f.conf.Platform.Watch(ctx, r.After, r.Wait)
-	var answer configsync.Answer
+	var answer configsync.ReadResult
 	if err == nil {
 		answer = answerOf(changes)
 	}
 	_ = f.conf.Loop.Call(f.ctx, func() {
 		now := clock.Now()
 		if err != nil {
-			f.apply(f.node.PlatformFailed(now, err))
+			f.apply(f.node.ReadFailed(now, err))
 			return
 		}
-		f.apply(f.node.PlatformAnswered(now, answer))
+		f.apply(f.node.ReadDone(now, answer))
 	})
 }
 
-func answerOf(c *platform.Changes) configsync.Answer {
-	out := configsync.Answer{Revision: c.Revision}
+func answerOf(c *platform.Changes) configsync.ReadResult {
+	out := configsync.ReadResult{Revision: c.Revision}
 	for _, ch := range c.Changes {
 		out.Versions = append(out.Versions, configsync.NewVersion(ch.Key, ch.Revision, ch.Deleted, ch.Value))
 	}
--- a/internal/configfeed/feed_test.go
+++ b/internal/configfeed/feed_test.go
@@ -198,7 +198,7 @@
 	}
 	p, err := f.hosts[0].Progress(context.Background(), "services/a", second, marks)
 	is.NoErr(err)
-	is.Equal(p.Verdict, configsync.Superseded)
+	is.Equal(p.Status, configsync.Superseded)
 }
 
 func TestAloneServesAfterTheBound(t *testing.T) {
--- a/internal/configfeed/fuzz_test.go
+++ b/internal/configfeed/fuzz_test.go
@@ -44,7 +44,7 @@
 		now := time.Unix(1_800_000_000, 0)
 		n := configsync.NewNode(now, configsync.Options{Rand: rand.New(rand.NewPCG(1, 1))})
 		n.SetMembers(now, []configsync.Member{{Address: "peer", FailureDomain: "d"}})
-		n.PlatformAnswered(now, configsync.Answer{Revision: 3, Versions: []configsync.Version{
+		n.ReadDone(now, configsync.ReadResult{Revision: 3, Versions: []configsync.Version{
 			configsync.NewVersion("services/a", 3, false, document("a", 1)),
 		}})
 		before := n.State().InForceID("services/a")
--- a/pkg/configsync/bootstrap.go
+++ b/pkg/configsync/bootstrap.go
@@ -7,83 +7,83 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// answer is how far a starting host has got with one peer.
-type answer uint8
+// peerStatus is the progress of a starting host's exchange with one peer.
+type peerStatus uint8
 
 const (
-	unasked answer = iota
-	asked
-	failed
-	coveredStarting // holds all that a peer which does not serve has
-	coveredReady    // holds all that a peer which serves has
+	statusUnknown peerStatus = iota
+	statusRequested
+	statusFailed
+	statusSyncedStarting // states are equal; the peer does not serve yet
+	statusSyncedReady    // states are equal; the peer serves
 )
 
-// bootstrap brings a starting host to where it may serve. It asks peers of
-// every failure domain in turn: the first alone, which sends the whole state,
-// then all others at once, which send what differs.
+// bootstrap synchronizes a starting host until it may serve. It queries peers of
+// all failure domains, one domain after the other: first a single peer, which
+// sends its full state, then all others at once, which send the differences.
 type bootstrap struct {
-	done   bool
-	listed bool
-	order  []Member
-	status map[string]answer
-	due    map[string]time.Time
+	done         bool
+	membersKnown bool
+	peers        []Member
+	status       map[string]peerStatus
+	retryAt      map[string]time.Time
 }
 
-// list takes a new list of members; answers already had are kept.
-func (b *bootstrap) list(now time.Time, n *Node) {
-	b.listed = true
+// setMembers applies a new member list. The status of known peers is kept.
+func (b *bootstrap) setMembers(now time.Time, n *Node) {
+	b.membersKnown = true
 	if b.done {
 		return
 	}
-	b.order = spread(n.opt, n.members)
-	b.order = b.order[:min(len(b.order), n.opt.StartPeers)]
+	b.peers = interleaveDomains(n.opt, n.members)
+	b.peers = b.peers[:min(len(b.peers), n.opt.StartPeers)]
 	if b.status == nil {
-		b.status = make(map[string]answer)
-		b.due = make(map[string]time.Time)
+		b.status = make(map[string]peerStatus)
+		b.retryAt = make(map[string]time.Time)
 	}
 	b.step(now, n)
 }
 
-// step asks the peers that are due and decides whether the host may serve.
+// step queries the peers that are due and decides whether the host may serve.
 func (b *bootstrap) step(now time.Time, n *Node) {
 	if b.done {
 		return
 	}
-	for _, m := range b.order {
-		if b.covered(m.Address) {
+	for _, m := range b.peers {
+		if b.synced(m.Address) {
 			continue
 		}
-		if now.After(b.due[m.Address]) {
-			b.ask(now, n, m.Address)
+		if now.After(b.retryAt[m.Address]) {
+			b.request(now, n, m.Address)
 		}
-		if !b.anyCovered() && b.status[m.Address] == asked {
+		if !b.anySynced() && b.status[m.Address] == statusRequested {
 			break
 		}
 	}
 	b.decide(now, n)
 }
 
-// ask sends a comparison. A peer that was asked before counts as failed until
-// it answers; the host then goes on to the next.
-func (b *bootstrap) ask(now time.Time, n *Node, to string) {
-	if b.status[to] == unasked {
-		b.status[to] = asked
+// request starts a comparison with a peer. A peer that was queried before counts
+// as failed until it responds; the host then continues with the next peer.
+func (b *bootstrap) request(now time.Time, n *Node, to string) {
+	if b.status[to] == statusUnknown {
+		b.status[to] = statusRequested
 	} else {
-		b.status[to] = failed
+		b.status[to] = statusFailed
 	}
-	b.due[to] = now.Add(n.opt.PeerTimeout)
+	b.retryAt[to] = now.Add(n.opt.PeerTimeout)
 	n.send(to, n.summary(now, true))
 }
 
-// cover notes that this host now holds all that a peer has.
-func (b *bootstrap) cover(now time.Time, n *Node, from string, ready bool) {
+// markSynced records that this host has the same state as a peer.
+func (b *bootstrap) markSynced(now time.Time, n *Node, from string, ready bool) {
 	if b.done || b.status == nil {
 		return
 	}
-	first := !b.anyCovered()
-	b.status[from] = coveredStarting
+	first := !b.anySynced()
+	b.status[from] = statusSyncedStarting
 	if ready {
-		b.status[from] = coveredReady
+		b.status[from] = statusSyncedReady
 	}
 	if first {
 		b.step(now, n)
@@ -92,24 +92,24 @@
 	b.decide(now, n)
 }
 
-// PeerFailed says that a peer could not be reached. A starting host then does
-// not wait for it.
+// PeerFailed reports that a peer could not be reached, so that a starting host
+// does not wait for it.
 func (n *Node) PeerFailed(now time.Time, address string) Effects {
-	n.begin(now)
-	if !n.start.done && n.start.status[address] == asked {
-		n.start.status[address] = failed
-		n.start.step(now, n)
+	n.detectPause(now)
+	if !n.bootstrap.done && n.bootstrap.status[address] == statusRequested {
+		n.bootstrap.status[address] = statusFailed
+		n.bootstrap.step(now, n)
 	}
-	return n.take()
+	return n.takeEffects()
 }
 
-func (b *bootstrap) covered(address string) bool {
-	return b.status[address] >= coveredStarting
+func (b *bootstrap) synced(address string) bool {
+	return b.status[address] >= statusSyncedStarting
 }
 
-func (b *bootstrap) anyCovered() bool {
+func (b *bootstrap) anySynced() bool {
 	for _, s := range b.status {
-		if s >= coveredStarting {
+		if s >= statusSyncedStarting {
 			return true
 		}
 	}
@@ -117,13 +117,13 @@
 }
 
 func (b *bootstrap) decide(now time.Time, n *Node) {
-	if b.done || n.confirmed.IsZero() {
+	if b.done || n.confirmedAt.IsZero() {
 		return
 	}
 	switch {
-	case b.listed && b.all(b.covered):
+	case b.membersKnown && b.all(b.synced):
 		b.finish(n, event.ConfigReady, "every listed peer answered")
-	case b.listed && b.resolved() && b.enough(n.members):
+	case b.membersKnown && b.allResolved() && b.enoughReady(n.members):
 		b.finish(n, event.ConfigReady, "peers that serve answered")
 	case n.opt.SoloStartTimeout >= 0 && now.Sub(n.started) >= n.opt.SoloStartTimeout:
 		b.finish(n, event.ConfigUnconfirmed, "listed peers did not answer")
@@ -131,22 +131,22 @@
 }
 
 func (b *bootstrap) all(is func(string) bool) bool {
-	return !slices.ContainsFunc(b.order, func(m Member) bool { return !is(m.Address) })
+	return !slices.ContainsFunc(b.peers, func(m Member) bool { return !is(m.Address) })
 }
 
-// resolved is true when each peer that was to be asked answered or failed.
-func (b *bootstrap) resolved() bool {
-	return b.all(func(a string) bool { return b.status[a] >= failed })
+// allResolved reports whether each peer to query has responded or failed.
+func (b *bootstrap) allResolved() bool {
+	return b.all(func(a string) bool { return b.status[a] >= statusFailed })
 }
 
-// enough is true when peers that serve answered from two failure domains, or
-// from one if no more are listed.
-func (b *bootstrap) enough(members []Member) bool {
+// enoughReady reports whether this host has the same state as serving peers in
+// two failure domains, or in one if the member list has only one.
+func (b *bootstrap) enoughReady(members []Member) bool {
 	listed := make(map[string]bool)
 	ready := make(map[string]bool)
 	for _, m := range members {
 		listed[m.FailureDomain] = true
-		if b.status[m.Address] == coveredReady {
+		if b.status[m.Address] == statusSyncedReady {
 			ready[m.FailureDomain] = true
 		}
 	}
@@ -155,7 +155,7 @@
 
 func (b *bootstrap) finish(n *Node, code event.Code, reason string) {
 	b.done = true
-	b.order, b.status, b.due = nil, nil, nil
+	b.peers, b.status, b.retryAt = nil, nil, nil
 	n.event(event.Event{Code: code, Reason: reason, Value: int64(n.state.Frontier())})
 	n.out.InForce = true
 }
--- a/pkg/configsync/compare.go
+++ b/pkg/configsync/compare.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// differing returns a mask of the buckets that are not equal. An ill-formed
-// list differs in all.
+// differing returns a mask of the buckets whose hashes differ. A list of the
+// wrong length differs in all buckets.
 func (s *State) differing(hashes []uint64) uint64 {
 	if len(hashes) != bucketCount {
 		return ^uint64(0)
@@ -21,8 +21,8 @@
 	return mask
 }
 
-// index lists the keys of the buckets in mask, in pages of about pageEntries.
-// A bucket is never split over pages.
+// index lists the keys of the buckets in mask, in pages of about pageEntries
+// keys. A bucket is never split across pages.
 func (s *State) index(mask uint64, pageEntries int) []Index {
 	var lists [bucketCount][]Known
 	for _, key := range s.Keys() {
@@ -67,7 +67,8 @@
 	return out
 }
 
-// changedAfter returns the keys whose newest version is above revision.
+// changedAfter returns the keys whose newest version has a revision above the
+// given one.
 func (s *State) changedAfter(revision uint64) []string {
 	var out []string
 	for key, e := range s.entries {
@@ -79,8 +80,8 @@
 	return out
 }
 
-// lacking returns the entries of which the other host knows more, with what
-// this host knows of them.
+// lacking returns the listed keys for which the sender has newer versions, with
+// the versions that this host has.
 func (s *State) lacking(entries []Known) []Known {
 	var out []Known
 	for _, k := range entries {
@@ -103,8 +104,8 @@
 	return k.InForce.Compare(idOf(e.inForce)) > 0 && !seen
 }
 
-// surplus returns the versions that the sender of an index lacks.
-func (s *State) surplus(in Index) []Item {
+// newerThanIndex returns the versions that the sender of an index lacks.
+func (s *State) newerThanIndex(in Index) []Item {
 	other := make(map[string]Known, len(in.Entries))
 	for _, k := range in.Entries {
 		other[k.Key] = k
@@ -122,8 +123,8 @@
 	return out
 }
 
-// wanted returns the versions newer than those listed.
-func (s *State) wanted(entries []Known) []Item {
+// newerThanKnown returns the versions that are newer than those listed.
+func (s *State) newerThanKnown(entries []Known) []Item {
 	var out []Item
 	for _, k := range entries {
 		if e := s.entries[k.Key]; e != nil {
@@ -144,7 +145,8 @@
 	return out
 }
 
-// item writes v for a host that has base in force.
+// item encodes v for a host whose current version is base: as a delta if base is
+// still known here, else in full.
 func (e *entry) item(v *Version, base ID) Item {
 	if v.Deleted {
 		return Item{Version: *v}
@@ -161,8 +163,8 @@
 	return Item{Version: *v}
 }
 
-// resolve returns the full version of an item, or false when its base is not
-// here or the content does not fit its digest.
+// resolve returns the full version of an item. It returns false if the base of
+// its delta is not known here or the content does not match its digest.
 func (s *State) resolve(it Item) (Version, bool) {
 	v := it.Version
 	if it.Delta != nil {
--- a/pkg/configsync/delta.go
+++ b/pkg/configsync/delta.go
@@ -2,19 +2,19 @@
 
 import "bytes"
 
-// Delta writes a document as a change to an older one: a prefix and a suffix
-// taken from the base, and the bytes between them. Documents change in one
-// place at a time, such as the state of one upstream, so this is small.
+// Delta encodes a document as a change to an older version: a prefix and a suffix
+// of the base, and the bytes between them. This is compact because documents
+// usually change in one place at a time, such as the state of one upstream.
 type Delta struct {
 	// Base is the version that the delta applies to.
 	Base ID
-	// Prefix and Suffix are the bytes taken from the base at either end.
+	// Prefix and Suffix are the numbers of bytes copied from either end of the base.
 	Prefix, Suffix int
-	// Middle stands between them.
+	// Middle is the content between prefix and suffix.
 	Middle []byte
 }
 
-// newDelta returns the change from base to value.
+// newDelta returns the delta from base to value.
 func newDelta(base *Version, value []byte) Delta {
 	old := base.Value
 	limit := min(len(old), len(value))
@@ -29,7 +29,7 @@
 	return Delta{base.ID, prefix, suffix, value[prefix : len(value)-suffix]}
 }
 
-// apply returns the document, or false when the delta does not fit old.
+// apply returns the new document, or false if the delta does not fit old.
 func (d Delta) apply(old []byte) ([]byte, bool) {
 	if d.Prefix < 0 || d.Suffix < 0 || d.Prefix > len(old) || d.Suffix > len(old)-d.Prefix {
 		return nil, false
--- a/pkg/configsync/example_test.go
+++ b/pkg/configsync/example_test.go
@@ -6,7 +6,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/configsync"
 )
 
-// A state takes versions in any order; an older one never comes into force.
+// Versions may be merged in any order. An older version never becomes current.
 func ExampleState() {
 	const document = `{"name": "lots", "match": {"path_prefix": "/"}, "groups": [{"name": "main"}],
 		"rules": [{"name": "all", "group": "main", "repeat": "repeatable", "deadline": "%dms"}]}`
--- a/pkg/configsync/fleet_test.go
+++ b/pkg/configsync/fleet_test.go
@@ -17,7 +17,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// TestMain fixes the seed of rapid, unless the command line gives one.
+// TestMain fixes the seed of rapid, unless the command line sets one.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
@@ -32,33 +32,33 @@
 		`"rules":[{"name":"r","group":"main","repeat":"repeatable","deadline":"%dms"}]}`, name, name, n+1)
 }
 
-func newRealNode(w *world, m Member) subject {
+func newRealNode(w *simulation, m Member) subject {
 	return NewNode(w.now, Options{Self: m, Rand: rand.New(rand.NewPCG(w.rand.Uint64(), 2)), PeerTimeout: 2 * time.Second})
 }
 
-// naive takes whatever it last read of the platform or heard from a peer, and
-// serves after its first read.
+// naive is a faulty node: it adopts whatever it last read from the platform or
+// received from a peer, also if it is older, and serves after its first read.
 type naive struct {
 	*Node
 }
 
-func newNaiveNode(w *world, m Member) subject {
+func newNaiveNode(w *simulation, m Member) subject {
 	return naive{newRealNode(w, m).(*Node)}
 }
 
-func (n naive) PlatformAnswered(now time.Time, a Answer) Effects {
+func (n naive) ReadDone(now time.Time, a ReadResult) Effects {
 	pending := n.read.pending
 	for _, v := range a.Versions {
 		n.overwrite(v)
 	}
 	if pending != nil && a.Revision < n.state.frontier {
 		n.state.frontier = a.Revision // its next read starts there
-		n.read.next = now
+		n.read.nextCall = now
 	}
-	e := n.Node.PlatformAnswered(now, a)
-	if !n.start.done {
-		n.start.finish(n.Node, event.ConfigReady, "read once")
-		e.Events = append(e.Events, n.take().Events...)
+	e := n.Node.ReadDone(now, a)
+	if !n.bootstrap.done {
+		n.bootstrap.finish(n.Node, event.ConfigReady, "read once")
+		e.Events = append(e.Events, n.takeEffects().Events...)
 	}
 	e.InForce = true
 	return e
@@ -89,23 +89,23 @@
 	}
 }
 
-// totals add up what a whole test did.
+// totals are the counts over all runs of a test.
 type totals struct {
 	runs, steps, broken int
 	faults              map[string]int
 }
 
 func (s totals) String() string {
-	out := fmt.Sprintf("%d runs, %d steps, %d runs with a breach; faults:", s.runs, s.steps, s.broken)
+	out := fmt.Sprintf("%d runs, %d steps, %d runs with a violation; faults:", s.runs, s.steps, s.broken)
 	for _, k := range slices.Sorted(maps.Keys(s.faults)) {
 		out += fmt.Sprintf(" %s %d", k, s.faults[k])
 	}
 	return out
 }
 
-// machine lets rapid draw operators' changes and faults over a fleet.
+// machine is a rapid state machine that draws operators' changes and faults.
 type machine struct {
-	*world
+	*simulation
 	t *rapid.T
 }
 
@@ -134,11 +134,11 @@
 		"twin": count("same-revision", func() {
 			name := m.key()
 			v := m.platform.publish(KeyPrefix+name, false, document(name, m.rand.IntN(1000)))
-			m.platform.twins[v.ID.Revision] = NewVersion(v.Key, v.ID.Revision, false, document(name, 1000+m.rand.IntN(1000)))
+			m.platform.conflicting[v.ID.Revision] = NewVersion(v.Key, v.ID.Revision, false, document(name, 1000+m.rand.IntN(1000)))
 		}),
 		"kill": count("killed", func() { m.pick().subject = nil }),
 		"restart": count("restarted", func() {
-			m.boot(m.pick())
+			m.start(m.pick())
 		}),
 		"pause": count("paused", func() {
 			h := m.pick()
@@ -147,19 +147,19 @@
 		}),
 		"split": count("split", func() {
 			for _, h := range m.hosts {
-				h.part = m.rand.IntN(2)
+				h.partition = m.rand.IntN(2)
 				h.clean = false
 			}
 		}),
 		"heal": count("healed", func() {
 			for _, h := range m.hosts {
-				h.part = 0
+				h.partition = 0
 			}
 		}),
 		"network": count("network", func() {
 			m.loss = float64(rapid.IntRange(0, 1).Draw(m.t, "loss")) * 0.3
-			m.double = float64(rapid.IntRange(0, 1).Draw(m.t, "double")) * 0.3
-			m.late = float64(rapid.IntRange(0, 1).Draw(m.t, "late")) * 0.3
+			m.duplicate = float64(rapid.IntRange(0, 1).Draw(m.t, "double")) * 0.3
+			m.delayed = float64(rapid.IntRange(0, 1).Draw(m.t, "late")) * 0.3
 		}),
 		"platform": count("platform", func() {
 			m.platform.down = rapid.Bool().Draw(m.t, "down")
@@ -170,22 +170,23 @@
 	}
 }
 
-// settle ends all faults and lets the fleet converge.
-func (m machine) settle() {
-	m.loss, m.double, m.late = 0, 0, 0
+// healAndConverge ends all faults, starts stopped hosts and runs the fleet until it
+// should have converged.
+func (m machine) healAndConverge() {
+	m.loss, m.duplicate, m.delayed = 0, 0, 0
 	m.platform.down, m.platform.stale = false, false
 	for _, h := range m.hosts {
-		h.part, h.paused = 0, false
+		h.partition, h.paused = 0, false
 		if h.subject == nil {
-			m.boot(h)
+			m.start(h)
 		}
 	}
 	m.run(45 * time.Second)
 }
 
-// current raises floor to what the platform now shows as the newest of a key,
-// if that is valid. Versions between two reads may never have been seen.
-func (m machine) current(floor map[string]ID) {
+// raiseToPlatform raises floor to the platform's newest version of each key that
+// is valid. Older versions may have been missed between two reads.
+func (m machine) raiseToPlatform(floor map[string]ID) {
 	newest := make(map[string]Version)
 	for _, v := range m.platform.history {
 		newest[v.Key] = v
@@ -197,8 +198,9 @@
 	}
 }
 
-// converged names the first host that differs from the others.
-func (m machine) converged() string {
+// checkConverged describes the first host that differs from the others, or
+// returns an empty string.
+func (m machine) checkConverged() string {
 	for _, h := range m.hosts {
 		s := h.State()
 		if !h.Ready() || s.Digest() != m.hosts[0].State().Digest() || s.Frontier() != uint64(len(m.platform.history)) {
@@ -208,13 +210,13 @@
 	return ""
 }
 
-func runFleet(t *rapid.T, sum *totals, create func(*world, Member) subject) string {
+func runFleet(t *rapid.T, sum *totals, create func(*simulation, Member) subject) string {
 	seed := rapid.Uint64().Draw(t, "seed")
 	size := rapid.IntRange(3, 18).Draw(t, "hosts")
-	m := machine{newWorld(seed, size, 3, create), t}
-	m.platform.twins = make(map[uint64]Version)
+	m := machine{newSimulation(seed, size, 3, create), t}
+	m.platform.conflicting = make(map[uint64]Version)
 	for _, h := range m.hosts {
-		m.boot(h)
+		m.start(h)
 	}
 	m.run(5 * time.Second)
 	t.Repeat(m.actions())
@@ -224,47 +226,50 @@
 			raise(best, h.State())
 		}
 	}
-	m.current(best)
-	m.settle()
-	problem := m.converged()
+	m.raiseToPlatform(best)
+	m.healAndConverge()
+	problem := m.checkConverged()
 	for _, h := range m.hosts {
 		m.check(h, best, "lost a version")
 	}
 	if problem != "" {
-		m.breaches = append(m.breaches, problem)
+		m.violations = append(m.violations, problem)
 	}
 	sum.runs++
 	sum.steps += m.seq
 	for k, v := range m.faults {
 		sum.faults[k] += v
 	}
-	if len(m.breaches) == 0 {
+	if len(m.violations) == 0 {
 		return ""
 	}
 	sum.broken++
-	return m.breaches[0]
+	return m.violations[0]
 }
 
-// TestFleetNeverFallsBack drives real nodes through random faults. Flags of
-// rapid (-rapid.checks, -rapid.seed) lengthen it; `make long-config` does.
-func TestFleetNeverFallsBack(t *testing.T) {
+// TestFleetNeverRegresses runs real nodes under random faults. It guards against
+// hosts whose current version of a document goes back, that serve an older version
+// than a reachable peer, or that do not converge. The flags -rapid.checks and
+// -rapid.seed vary it, as `make long-config` does.
+func TestFleetNeverRegresses(t *testing.T) {
 	sum := totals{faults: make(map[string]int)}
 	rapid.Check(t, func(rt *rapid.T) {
-		if breach := runFleet(rt, &sum, newRealNode); breach != "" {
-			rt.Fatal(breach)
+		if violation := runFleet(rt, &sum, newRealNode); violation != "" {
+			rt.Fatal(violation)
 		}
 	})
 	t.Log(sum)
 }
 
-// TestNaiveFleetFallsBack shows that the run above finds the fault it is for:
-// hosts that believe the last read and the first of two equals fall back.
-func TestNaiveFleetFallsBack(t *testing.T) {
+// TestNaiveFleetRegresses checks that the simulation of TestFleetNeverRegresses
+// detects the faults it is meant to find: naive hosts adopt stale reads and do not
+// order two versions with the same revision.
+func TestNaiveFleetRegresses(t *testing.T) {
 	is := is.New(t)
 	sum := totals{faults: make(map[string]int)}
 	rapid.Check(t, func(rt *rapid.T) { _ = runFleet(rt, &sum, newNaiveNode) })
 	t.Log(sum)
-	is.True(sum.broken > sum.runs/10) // the run can tell the naive variant
-	is.True(sum.faults["BREACH fell back"] > 0)
-	is.True(sum.faults["BREACH start below a peer"] > 0)
+	is.True(sum.broken > sum.runs/10) // the simulation detects the naive variant
+	is.True(sum.faults["VIOLATION regressed"] > 0)
+	is.True(sum.faults["VIOLATION started older than a peer"] > 0)
 }
--- a/pkg/configsync/measure_test.go
+++ b/pkg/configsync/measure_test.go
@@ -10,20 +10,22 @@
 	"time"
 )
 
-// The measurements run with CONFIG_MEASURE=1; `make measure-config` does so.
+// skipUnlessMeasuring skips a measurement unless CONFIG_MEASURE is set, as it is by
+// `make measure-config`.
 func skipUnlessMeasuring(t *testing.T) {
 	if os.Getenv("CONFIG_MEASURE") == "" {
 		t.Skip("set CONFIG_MEASURE=1")
 	}
 }
 
-// changesPerSecond is 15,000 a day.
+// changesPerSecond is the target rate of 15,000 changes a day.
 const changesPerSecond = 15000.0 / 86400
 
-// targetServices and targetEndpoints are the sizes at the target.
+// targetServices and targetEndpoints are the numbers of services and upstreams in
+// the target deployment.
 const targetServices, targetEndpoints = 410, 15000
 
-// targetDocument has the size of a service at the target.
+// targetDocument returns a document of the size of a service in the target deployment.
 func targetDocument(name string, n int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"name":%q,"match":{"path_prefix":"/%s/"},"groups":[{"name":"main","upstreams":[`, name, name)
@@ -41,7 +43,7 @@
 	return []byte(b.String())
 }
 
-// wireSize is about the size of a message, without what gRPC adds, in bytes.
+// wireSize returns the approximate size of a message in bytes, without gRPC overhead.
 func wireSize(m Message) int {
 	const known = 40
 	switch m := m.(type) {
@@ -72,9 +74,9 @@
 	messages float64 // sent per second and host
 }
 
-// observe publishes changes at the target's rate for a while and waits for
-// each to be in force on every host that runs.
-func observe(w *world, seconds int) figures {
+// observe publishes changes at the target rate and measures how long each takes
+// to become current on every running host.
+func observe(w *simulation, seconds int) figures {
 	sent, messages := 0, 0
 	w.onSend = func(_ string, m Message) { sent += wireSize(m); messages++ }
 	began, calls := w.now, w.calls
@@ -86,7 +88,7 @@
 		name := fmt.Sprintf("s%d", w.rand.IntN(20))
 		v := w.platform.publish(KeyPrefix+name, false, targetDocument(name, w.rand.IntN(5000)))
 		at := w.now
-		for w.now.Sub(at) < 30*time.Second && !everywhere(w, v) {
+		for w.now.Sub(at) < 30*time.Second && !currentOnAll(w, v) {
 			w.run(time.Millisecond)
 		}
 		took = append(took, w.now.Sub(at))
@@ -105,7 +107,7 @@
 	return b
 }
 
-func everywhere(w *world, v Version) bool {
+func currentOnAll(w *simulation, v Version) bool {
 	for _, h := range w.hosts {
 		if h.subject != nil && !h.paused && h.State().InForceID(v.Key).Compare(v.ID) < 0 {
 			return false
@@ -119,24 +121,25 @@
 		f.took[len(f.took)/2], f.took[len(f.took)-1], len(f.took), f.calls, f.bytes, f.messages)
 }
 
-func bootFleet(size int) *world {
-	w := newWorld(7, size, 4, newRealNode)
+func startFleet(size int) *simulation {
+	w := newSimulation(7, size, 4, newRealNode)
 	for i := range 20 {
 		name := fmt.Sprintf("s%d", i)
 		w.platform.publish(KeyPrefix+name, false, targetDocument(name, i))
 	}
 	for _, h := range w.hosts {
-		w.boot(h)
+		w.start(h)
 	}
 	w.run(30 * time.Second)
 	return w
 }
 
-// TestMeasureFleetSize runs under virtual time, with 1 to 6 ms one way.
+// TestMeasureFleetSize measures fleets of several sizes in virtual time, with a
+// one-way latency of 1 to 6 ms.
 func TestMeasureFleetSize(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, size := range []int{13, 18, 64, 256, 1024, 4096} {
-		w := bootFleet(size)
+		w := startFleet(size)
 		t.Logf("%d hosts, no fault: %v", size, observe(w, 120))
 		w.loss = 0.1
 		t.Logf("%d hosts, 10%% of messages lost: %v", size, observe(w, 60))
@@ -157,7 +160,7 @@
 	}
 }
 
-// TestMeasureState prints memory and time for the documents of the target.
+// TestMeasureState measures memory and time for documents of the target size.
 func TestMeasureState(t *testing.T) {
 	skipUnlessMeasuring(t)
 	const documents = 1000
--- a/pkg/configsync/node.go
+++ b/pkg/configsync/node.go
@@ -7,136 +7,139 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// Outgoing is a message for a peer.
+// Outgoing is a message to send to a peer.
 type Outgoing struct {
 	// To is the peer's address.
-	To string
-	// Message is what to send.
+	To      string
 	Message Message
 }
 
-// Read is a call of the platform that the caller makes. Its outcome goes to
-// PlatformAnswered or PlatformFailed.
+// Read is a call of the platform for the embedder to make. Its outcome is passed
+// to Node.ReadDone or Node.ReadFailed.
 type Read struct {
-	// After is the revision after which changes are asked for.
+	// After is the revision after which changes are requested.
 	After uint64
-	// Wait is how long the platform may wait for one; 0 for a plain read.
+	// Wait is how long the platform may wait for a change; 0 for a plain read.
 	Wait time.Duration
 }
 
-// Effects are what the caller has to do after an event.
+// Effects are the actions that the embedder must carry out after a call of a Node.
 type Effects struct {
-	// Send are messages. Delivery is not guaranteed.
+	// Send are the messages to send. Delivery need not be reliable.
 	Send []Outgoing
-	// Read is a call of the platform, or nil. There is one at a time.
+	// Read is a call of the platform to make, or nil. At most one is pending.
 	Read *Read
-	// Events are decisions, without time and host.
+	// Events are the events to emit, without time and host.
 	Events []event.Event
-	// InForce is true when the documents in force or Ready have changed.
+	// InForce is true when the current documents, Ready or CatchingUp changed.
 	InForce bool
 }
 
-// Answer is what the platform said.
-type Answer struct {
+// ReadResult is the platform's response to a Read.
+type ReadResult struct {
 	// Revision is the platform's newest revision.
 	Revision uint64
 	// Versions are the newest versions of the keys changed after Read.After.
 	Versions []Version
 }
 
-// Node is the configuration part of one entry host in one incarnation.
+// Node replicates the configuration on one incarnation of an entry host.
 type Node struct {
-	opt        Options
-	state      *State
-	out        Effects
-	last       time.Time
-	started    time.Time
-	members    []Member
-	listed     []Member
-	neighbours neighbours
-	reader     bool
-	start      bootstrap
-	wakeUntil  time.Time
-	nextSync   time.Time
-	read       readState
-	confirmed  time.Time
-}
-
-// NewNode returns the node of a host that starts at now. It knows nothing and
-// is not ready.
+	opt            Options
+	state          *State
+	out            Effects
+	lastCall       time.Time
+	started        time.Time
+	members        []Member
+	memberList     []Member
+	neighbours     neighbours
+	reader         bool
+	bootstrap      bootstrap
+	resumeDeadline time.Time
+	nextSync       time.Time
+	read           readState
+	confirmedAt    time.Time
+}
+
+// NewNode returns the node of a host that starts at now. Its state is empty, and
+// it is not ready.
 func NewNode(now time.Time, opt Options) *Node {
-	n := &Node{opt: opt.withDefaults(), state: NewState(), last: now, started: now}
+	n := &Node{opt: opt.withDefaults(), state: NewState(), lastCall: now, started: now}
 	n.nextSync = now.Add(n.jitter(n.opt.SyncInterval))
 	return n
 }
 
-// Ready reports whether the host may serve: it has heard enough to know that
-// what it has in force is no older than what its peers have.
-func (n *Node) Ready() bool { return n.start.done }
+// Ready reports whether the host may serve. It is ready once it has compared its
+// state with enough peers to know that its current documents are not older than
+// theirs, or after Options.SoloStartTimeout. Either way its state must include a
+// response of the platform.
+func (n *Node) Ready() bool { return n.bootstrap.done }
 
-// CatchingUp reports whether the host woke from a pause and has not yet heard
-// from a peer. It must not act on its configuration for long-lived decisions.
-func (n *Node) CatchingUp() bool { return !n.wakeUntil.IsZero() }
+// CatchingUp reports whether the host resumed after a pause and has not yet
+// confirmed its state with a peer. Meanwhile its configuration may be old and
+// must not be used for long-lived decisions.
+func (n *Node) CatchingUp() bool { return !n.resumeDeadline.IsZero() }
 
-// InForce returns the documents in force, ordered by name.
+// InForce returns the current documents, ordered by name.
 func (n *Node) InForce() []Document { return n.state.InForce() }
 
-// State returns the state, for reading.
+// State returns the state, which the caller must not modify.
 func (n *Node) State() *State { return n.state }
 
-// Watermark returns what the host publishes about itself.
+// Watermark returns the watermark for the host's membership metadata.
 func (n *Node) Watermark() Watermark {
 	return Watermark{Frontier: n.state.Frontier(), Digest: n.state.Digest(), Ready: n.Ready()}
 }
 
-// SetMembers takes the present list of entry hosts. It may contain this host.
-// Until the first call a host is no reader and waits, unless
-// Options.SoloStartTimeout passes.
+// SetMembers sets the list of entry hosts, which may contain this host. Before
+// the first call the host is not a reader and does not become ready until
+// Options.SoloStartTimeout has passed.
 func (n *Node) SetMembers(now time.Time, members []Member) Effects {
-	n.begin(now)
-	if !n.start.listed || !slices.Equal(members, n.listed) {
-		n.listed = slices.Clone(members)
+	n.detectPause(now)
+	if !n.bootstrap.membersKnown || !slices.Equal(members, n.memberList) {
+		n.memberList = slices.Clone(members)
 		n.members = others(members, n.opt.Self.Address)
 		n.neighbours = chooseNeighbours(n.opt, n.members)
 		n.reader = isReader(n.opt, n.members)
-		n.start.list(now, n)
+		n.bootstrap.setMembers(now, n)
 	}
 	n.stepRead(now)
-	return n.take()
+	return n.takeEffects()
 }
 
-// Tick lets time pass. It is to be called several times a second.
+// Tick runs what is due by now. It must be called several times a second.
 func (n *Node) Tick(now time.Time) Effects {
-	n.begin(now)
-	n.start.step(now, n)
-	n.stepWake(now)
+	n.detectPause(now)
+	n.bootstrap.step(now, n)
+	n.stepResume(now)
 	n.stepSync(now)
 	n.stepRead(now)
-	return n.take()
+	return n.takeEffects()
 }
 
-// Wake says that the process may have been paused. Tick finds out by itself;
-// a caller that knows earlier may say so.
-func (n *Node) Wake(now time.Time) Effects {
-	n.last = now
-	n.wake(now)
-	return n.take()
+// Resume reports that the process may have been paused. The node detects a pause
+// by itself; the embedder may call Resume if it detects one earlier.
+func (n *Node) Resume(now time.Time) Effects {
+	n.lastCall = now
+	n.resume(now)
+	return n.takeEffects()
 }
 
-// begin notices a pause before anything else is done.
-func (n *Node) begin(now time.Time) {
-	silence := now.Sub(n.last)
-	n.last = now
-	if silence > n.opt.PauseThreshold {
-		n.wake(now)
+// detectPause detects a pause of the process. It is called before an event is
+// processed.
+func (n *Node) detectPause(now time.Time) {
+	gap := now.Sub(n.lastCall)
+	n.lastCall = now
+	if gap > n.opt.PauseThreshold {
+		n.resume(now)
 	}
 }
 
-func (n *Node) wake(now time.Time) {
+func (n *Node) resume(now time.Time) {
 	if !n.Ready() || len(n.members) == 0 {
 		return
 	}
-	n.wakeUntil = now.Add(n.opt.WakeTimeout)
+	n.resumeDeadline = now.Add(n.opt.ResumeTimeout)
 	n.event(event.Event{Code: event.ConfigLearning, Reason: "woke from a pause"})
 	n.out.InForce = true
 	for _, to := range n.neighbours.pick(n.opt.Rand, n.opt.FanOutInside, n.opt.FanOutOutside) {
@@ -144,25 +147,26 @@
 	}
 }
 
-func (n *Node) stepWake(now time.Time) {
-	if n.CatchingUp() && now.After(n.wakeUntil) {
-		n.learned("no peer answered in time")
+func (n *Node) stepResume(now time.Time) {
+	if n.CatchingUp() && now.After(n.resumeDeadline) {
+		n.caughtUp("no peer answered in time")
 	}
 }
 
-func (n *Node) learned(reason string) {
-	n.wakeUntil = time.Time{}
+func (n *Node) caughtUp(reason string) {
+	n.resumeDeadline = time.Time{}
 	n.event(event.Event{Code: event.ConfigLearned, Reason: reason, Value: int64(n.state.Frontier())})
 	n.out.InForce = true
 }
 
-// stepSync compares the state with one random neighbour now and then.
+// stepSync starts a comparison with one random neighbour at random intervals
+// around Options.SyncInterval.
 func (n *Node) stepSync(now time.Time) {
 	if now.Before(n.nextSync) {
 		return
 	}
 	n.nextSync = now.Add(n.jitter(n.opt.SyncInterval))
-	if to, ok := n.neighbours.one(n.opt.Rand); ok {
+	if to, ok := n.neighbours.pickOne(n.opt.Rand); ok {
 		n.send(to, n.summary(now, true))
 	}
 }
@@ -173,15 +177,15 @@
 		Digest:   n.state.Digest(),
 		Ready:    n.Ready(),
 		Reply:    reply,
-		Informed: !n.confirmed.IsZero(),
+		Informed: !n.confirmedAt.IsZero(),
 	}
 	if m.Informed {
-		m.Age = max(now.Sub(n.confirmed), 0)
+		m.Age = max(now.Sub(n.confirmedAt), 0)
 	}
 	return m
 }
 
-// jitter returns a random time around d, between half and one and a half of it.
+// jitter returns a uniformly distributed duration from 0.5 d to 1.5 d.
 func (n *Node) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(n.opt.Rand.Int64N(int64(d)))
 }
@@ -194,7 +198,7 @@
 	n.out.Events = append(n.out.Events, e)
 }
 
-func (n *Node) take() Effects {
+func (n *Node) takeEffects() Effects {
 	out := n.out
 	n.out = Effects{}
 	return out
--- a/pkg/configsync/node_example_test.go
+++ b/pkg/configsync/node_example_test.go
@@ -11,8 +11,8 @@
 const lots = `{"name": "lots", "match": {"path_prefix": "/"}, "groups": [{"name": "main"}],
 	"rules": [{"name": "all", "group": "main", "repeat": "repeatable", "deadline": "700ms"}]}`
 
-// A host starts alone: it asks for a read of the platform, and serves once it
-// has the answer. The embedder carries out the effects of each call.
+// A host without peers requests a read of the platform and is ready once it has
+// the response. The embedder carries out the effects of each call.
 func ExampleNode() {
 	now := time.Unix(1000, 0)
 	self := configsync.Member{Address: "10.0.0.1:7400", FailureDomain: "hanoi"}
@@ -24,7 +24,7 @@
 	fmt.Println("read after revision", effects.Read.After)
 
 	now = now.Add(5 * time.Millisecond)
-	effects = node.PlatformAnswered(now, configsync.Answer{
+	effects = node.ReadDone(now, configsync.ReadResult{
 		Revision: 7,
 		Versions: []configsync.Version{
 			configsync.NewVersion("services/lots", 7, false, []byte(lots)),
--- a/pkg/configsync/options.go
+++ b/pkg/configsync/options.go
@@ -6,11 +6,10 @@
 	"time"
 )
 
-// Member is an entry host as the membership knows it.
+// Member is an entry host in the membership list.
 type Member struct {
-	// Address is where its peers reach it, "IP:port".
-	Address string
-	// FailureDomain is where it runs.
+	// Address is its peer address, "IP:port".
+	Address       string
 	FailureDomain string
 }
 
@@ -18,58 +17,60 @@
 type Options struct {
 	// Self is this host.
 	Self Member
-	// Rand is the source of all random choices. Required.
+	// Rand is the source of randomness. Required.
 	Rand *rand.Rand
-	// ReadersPerDomain is the number of hosts of a failure domain that watch the
-	// platform. Default: 2.
+	// ReadersPerDomain is the number of readers in a failure domain: hosts that
+	// watch the platform. Default: 2.
 	ReadersPerDomain int
-	// FanOutInside and FanOutOutside are the numbers of peers that hear of a
-	// change at once, in the own failure domain and in others. Default: 3 and 1.
+	// FanOutInside and FanOutOutside are the numbers of peers to which a change is
+	// announced, in the host's own failure domain and in others. Default: 3 and 1.
 	FanOutInside, FanOutOutside int
-	// NeighboursInside and NeighboursOutside bound the peers that this host
-	// talks to, in its own failure domain and in others. Default: 12 and 8.
+	// NeighboursInside and NeighboursOutside bound the number of peers that this
+	// host contacts, in its own failure domain and in others. Default: 12 and 8.
 	NeighboursInside, NeighboursOutside int
 	// SyncInterval is the mean time between comparisons with a random peer. Default: 1s.
 	SyncInterval time.Duration
-	// WatchWait is how long a watch of a reader waits for a change. Default: 2s.
+	// WatchWait is how long a reader's long poll waits for a change. Default: 2s.
 	WatchWait time.Duration
-	// WatchInterval is the least time between two calls of a reader. Default: 100ms.
+	// WatchInterval is the minimum time between two calls of a reader. Default: 100ms.
 	WatchInterval time.Duration
-	// RetryDelay is the time between two calls of a reader when the platform
-	// does not answer. Default: 1s.
+	// RetryDelay is the mean time between two calls while the platform does not
+	// respond. Default: 1s.
 	RetryDelay time.Duration
-	// FallbackReadAfter is the time without confirmation by the platform after which a
-	// host that is no reader reads for itself. Default: 6s.
+	// FallbackReadAfter is the time without confirmation by the platform after
+	// which a host that is not a reader reads the platform itself. Default: 6s.
 	FallbackReadAfter time.Duration
-	// StartPeers is the number of peers that a starting host asks. Default: 16.
+	// StartPeers is the number of peers that a starting host queries. Default: 16.
 	StartPeers int
-	// PeerTimeout is how long a starting or waking host waits for one peer. Default: 1s.
+	// PeerTimeout is how long a starting host waits for one peer. Default: 1s.
 	PeerTimeout time.Duration
-	// SoloStartTimeout is the time after which a starting host serves although listed
-	// peers did not answer. Negative: never. Default: 20s.
+	// SoloStartTimeout is the time after which a starting host serves although
+	// listed peers did not respond. Negative: never. Default: 20s.
 	SoloStartTimeout time.Duration
-	// PauseThreshold is the silence of its own clock after which a host takes it
-	// that it was paused. Default: 3s.
+	// PauseThreshold is the gap between two calls of a Node above which the host
+	// assumes that its process was paused. Default: 3s.
 	PauseThreshold time.Duration
-	// WakeTimeout bounds the time that a woken host waits for a peer. Default: 2s.
-	WakeTimeout time.Duration
-	// PageBytes is the size at which an answer is split, in bytes. One document
-	// may exceed it. Default: 256 KiB.
+	// ResumeTimeout bounds how long a host that resumed after a pause waits for a
+	// peer. Default: 2s.
+	ResumeTimeout time.Duration
+	// PageBytes is the size at which a reply is split into pages, in bytes. A page
+	// may exceed it by one document. Default: 256 KiB.
 	PageBytes int
 }
 
-// fallbackPerHost spaces the reads of hosts that are no readers: with n members
-// each reads once in n times this, so that the fleet stays below 50 a second.
+// fallbackPerHost spaces the reads of hosts that are not readers. With n members
+// each host reads once in n times this interval, so that the fleet stays below
+// 50 reads a second.
 const fallbackPerHost = 20 * time.Millisecond
 
-// pageEntries is the number of keys in one page of an index.
+// pageEntries is the number of keys in one page of an Index or Announce.
 const pageEntries = 512
 
-// maxPages bounds the pages of one answer; the next comparison brings the rest.
+// maxPages bounds the pages of one reply; the next comparison transfers the rest.
 const maxPages = 16
 
-// rereadAfter is how long the platform must have been behind this host before
-// its recovery makes the host read everything once.
+// rereadAfter is how long the platform must have been behind this host for the
+// host to read the full state again once the platform has caught up.
 const rereadAfter = 10 * time.Second
 
 func (o Options) withDefaults() Options {
@@ -87,7 +88,7 @@
 	o.PeerTimeout = cmp.Or(o.PeerTimeout, time.Second)
 	o.SoloStartTimeout = cmp.Or(o.SoloStartTimeout, 20*time.Second)
 	o.PauseThreshold = cmp.Or(o.PauseThreshold, 3*time.Second)
-	o.WakeTimeout = cmp.Or(o.WakeTimeout, 2*time.Second)
+	o.ResumeTimeout = cmp.Or(o.ResumeTimeout, 2*time.Second)
 	o.PageBytes = cmp.Or(o.PageBytes, 256<<10)
 	return o
 }
--- a/pkg/configsync/peers.go
+++ b/pkg/configsync/peers.go
@@ -8,15 +8,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// neighbours are the peers that a host talks to of its own accord. Their
-// number is bounded, so that the cost of a host does not grow with the fleet.
+// neighbours are the peers to which a host initiates messages. Their number is
+// bounded, so that the cost per host does not grow with the fleet.
 type neighbours struct {
 	inside, outside []string
 }
 
-// chooseNeighbours takes the peers that rank first by a hash of the pair. The
-// choices of all hosts together form a random graph, which is connected with
-// high probability at the default sizes.
+// chooseNeighbours selects peers by rendezvous hashing. The selections of all
+// hosts together form a random graph, which is connected with high probability
+// at the default sizes.
 func chooseNeighbours(opt Options, members []Member) neighbours {
 	ranked := rank(members, opt.Self.Address)
 	var out neighbours
@@ -32,7 +32,7 @@
 	return out
 }
 
-// others returns the members without self.
+// others returns the members other than self.
 func others(members []Member, self string) []Member {
 	var out []Member
 	for _, m := range members {
@@ -43,7 +43,7 @@
 	return out
 }
 
-// rank orders members by a hash of their address and salt, the highest first.
+// rank orders members by a hash of salt and their address, highest first.
 func rank(members []Member, salt string) []Member {
 	type scored struct {
 		Member
@@ -63,14 +63,14 @@
 	return out
 }
 
-// pick returns random neighbours, up to inside of the own failure domain and
-// outside of others.
+// pick returns random neighbours: at most inside from the host's own failure
+// domain and outside from others.
 func (p neighbours) pick(r *rand.Rand, inside, outside int) []string {
 	return append(sample(r, p.inside, inside), sample(r, p.outside, outside)...)
 }
 
-// one returns one random neighbour.
-func (p neighbours) one(r *rand.Rand) (string, bool) {
+// pickOne returns one random neighbour.
+func (p neighbours) pickOne(r *rand.Rand) (string, bool) {
 	total := len(p.inside) + len(p.outside)
 	if total == 0 {
 		return "", false
@@ -91,8 +91,8 @@
 }
 
 // isReader reports whether self is one of the hosts of its failure domain that
-// watch the platform. Every host with the same list answers alike. Only the
-// number of calls rests on it.
+// watch the platform. Hosts with the same member list agree on the readers. A
+// disagreement affects only the number of calls, not correctness.
 func isReader(opt Options, members []Member) bool {
 	domain := []Member{opt.Self}
 	for _, m := range members {
@@ -105,23 +105,23 @@
 	return slices.Contains(first, opt.Self)
 }
 
-// spread orders members so that each failure domain comes in turn, beginning
-// with self's, where answers are nearest.
-func spread(opt Options, members []Member) []Member {
+// interleaveDomains orders members round-robin over the failure domains, starting
+// with the domain of self, where latency is lowest.
+func interleaveDomains(opt Options, members []Member) []Member {
 	ranked := rank(members, opt.Self.Address)
 	seen := make(map[string]int)
-	turn := make(map[string]int, len(ranked))
+	position := make(map[string]int, len(ranked))
 	for _, m := range ranked {
-		turn[m.Address] = seen[m.FailureDomain]
+		position[m.Address] = seen[m.FailureDomain]
 		seen[m.FailureDomain]++
 	}
 	slices.SortStableFunc(ranked, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(turn[a.Address], turn[b.Address]), cmp.Compare(distance(opt, a), distance(opt, b)))
+		return cmp.Or(cmp.Compare(position[a.Address], position[b.Address]), cmp.Compare(domainDistance(opt, a), domainDistance(opt, b)))
 	})
 	return ranked
 }
 
-func distance(opt Options, m Member) int {
+func domainDistance(opt Options, m Member) int {
 	if m.FailureDomain == opt.Self.FailureDomain {
 		return 0
 	}
--- a/pkg/configsync/reader.go
+++ b/pkg/configsync/reader.go
@@ -6,104 +6,105 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// readState is how this host stands towards the platform.
+// readState is the state of a host's calls of the platform.
 type readState struct {
 	pending    *Read
-	next       time.Time
-	fallback   time.Time
+	nextCall   time.Time
+	fallbackAt time.Time
 	reachable  bool
 	staleSince time.Time
 	reread     bool
 }
 
-// stepRead starts a call of the platform when one is due.
+// stepRead starts a call of the platform if one is due.
 func (n *Node) stepRead(now time.Time) {
 	r := &n.read
-	if r.pending != nil || now.Before(r.next) {
+	if r.pending != nil || now.Before(r.nextCall) {
 		return
 	}
 	if n.reader {
-		n.call(now, n.opt.WatchWait)
+		n.startRead(now, n.opt.WatchWait)
 		return
 	}
-	if !n.cutOff(now) {
-		r.fallback = time.Time{}
+	if !n.unconfirmed(now) {
+		r.fallbackAt = time.Time{}
 		return
 	}
-	if r.fallback.IsZero() {
-		r.fallback = now.Add(time.Duration(n.opt.Rand.Int64N(int64(n.fallbackEvery()))))
+	if r.fallbackAt.IsZero() {
+		r.fallbackAt = now.Add(time.Duration(n.opt.Rand.Int64N(int64(n.fallbackInterval()))))
 	}
-	if !now.Before(r.fallback) {
-		r.fallback = now.Add(n.jitter(n.fallbackEvery()))
+	if !now.Before(r.fallbackAt) {
+		r.fallbackAt = now.Add(n.jitter(n.fallbackInterval()))
 		n.event(event.Event{Code: event.ConfigFallbackRead, Reason: "no reader confirmed the configuration"})
-		n.call(now, 0)
+		n.startRead(now, 0)
 	}
 }
 
-// cutOff reports whether nothing fresh came from the readers for a while.
-func (n *Node) cutOff(now time.Time) bool {
-	since := n.confirmed
+// unconfirmed reports whether the platform has not confirmed the state, directly
+// or through a peer, for longer than FallbackReadAfter.
+func (n *Node) unconfirmed(now time.Time) bool {
+	since := n.confirmedAt
 	if since.IsZero() {
 		since = n.started
 	}
 	return now.Sub(since) > n.opt.FallbackReadAfter
 }
 
-// fallbackEvery is the time between two reads of a host that is no reader. It
-// grows with the fleet.
-func (n *Node) fallbackEvery() time.Duration {
+// fallbackInterval returns the mean time between two reads of a host that is not
+// a reader. It grows with the number of members.
+func (n *Node) fallbackInterval() time.Duration {
 	return max(n.opt.FallbackReadAfter, time.Duration(len(n.members)+1)*fallbackPerHost)
 }
 
-func (n *Node) call(now time.Time, wait time.Duration) {
+func (n *Node) startRead(now time.Time, wait time.Duration) {
 	after := n.state.Frontier()
 	if n.read.reread {
 		after, wait = 0, 0
 	}
-	n.read.next = now.Add(n.opt.WatchInterval)
+	n.read.nextCall = now.Add(n.opt.WatchInterval)
 	n.read.pending = &Read{After: after, Wait: wait}
 	n.out.Read = n.read.pending
 }
 
-// PlatformFailed says that the call asked for did not succeed.
-func (n *Node) PlatformFailed(now time.Time, err error) Effects {
-	n.begin(now)
+// ReadFailed reports that the call requested by Effects.Read failed.
+func (n *Node) ReadFailed(now time.Time, err error) Effects {
+	n.detectPause(now)
 	n.read.pending = nil
-	n.read.next = now.Add(n.jitter(n.opt.RetryDelay))
-	if n.read.reachable || n.confirmed.IsZero() {
+	n.read.nextCall = now.Add(n.jitter(n.opt.RetryDelay))
+	if n.read.reachable || n.confirmedAt.IsZero() {
 		n.event(event.Event{Code: event.PlatformUnreadable, Detail: err.Error()})
 	}
 	n.read.reachable = false
-	return n.take()
+	return n.takeEffects()
 }
 
-// PlatformAnswered takes the answer to the call asked for. An answer older
-// than what is known adds nothing.
-func (n *Node) PlatformAnswered(now time.Time, a Answer) Effects {
-	n.begin(now)
+// ReadDone applies the response to the call requested by Effects.Read. A
+// response that is older than the state changes nothing.
+func (n *Node) ReadDone(now time.Time, a ReadResult) Effects {
+	n.detectPause(now)
 	r := n.read.pending
 	if r == nil {
-		return n.take()
+		return n.takeEffects()
 	}
 	n.read.pending = nil
 	n.read.reachable = true
-	n.judgeAge(now, a)
+	n.trackStaleness(now, a)
 	before := n.state.Frontier()
 	changed := n.merge(a.Versions, "platform")
 	n.advance(Range{r.After, a.Revision})
 	if a.Revision >= n.state.Frontier() {
-		n.confirmed = now
+		n.confirmedAt = now
 	}
 	n.announce(changed, Range{r.After, a.Revision}, before, "")
-	n.start.decide(now, n)
+	n.bootstrap.decide(now, n)
 	n.stepRead(now)
-	return n.take()
+	return n.takeEffects()
 }
 
-// judgeAge notices a platform that is behind, and one that has caught up after
-// long: it may have taken other content for revisions already passed, so
-// everything is read once more.
-func (n *Node) judgeAge(now time.Time, a Answer) {
+// trackStaleness detects a platform that is behind this host. Once it has caught
+// up after more than rereadAfter, the full state is read again, because the
+// platform may hold other content for revisions that this host has already read.
+func (n *Node) trackStaleness(now time.Time, a ReadResult) {
 	r := &n.read
 	if a.Revision < n.state.Frontier() {
 		if r.staleSince.IsZero() {
--- a/pkg/configsync/receive.go
+++ b/pkg/configsync/receive.go
@@ -7,9 +7,9 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// Receive takes a message of the peer at address from.
+// Receive handles a message of the peer at address from.
 func (n *Node) Receive(now time.Time, from string, m Message) Effects {
-	n.begin(now)
+	n.detectPause(now)
 	switch m := m.(type) {
 	case Summary:
 		n.onSummary(now, from, m)
@@ -24,12 +24,12 @@
 	case Items:
 		n.onItems(now, from, m)
 	}
-	return n.take()
+	return n.takeEffects()
 }
 
 func (n *Node) onSummary(now time.Time, from string, m Summary) {
 	if m.Digest == n.state.Digest() {
-		n.equal(now, from, m)
+		n.onEqualState(now, from, m)
 		if m.Reply {
 			n.send(from, n.summary(now, false))
 		}
@@ -40,16 +40,16 @@
 	}
 }
 
-// equal notes that a peer holds the same state: what is known of one holds
-// for the other.
-func (n *Node) equal(now time.Time, from string, m Summary) {
+// onEqualState handles a Summary with the digest of this host's state. The states
+// are equal, so that the peer's frontier and confirmation hold for this host too.
+func (n *Node) onEqualState(now time.Time, from string, m Summary) {
 	n.advance(Range{To: m.Frontier, Base: n.state.Frontier()})
-	if at := now.Add(-m.Age); m.Informed && at.After(n.confirmed) {
-		n.confirmed = at
+	if at := now.Add(-m.Age); m.Informed && at.After(n.confirmedAt) {
+		n.confirmedAt = at
 	}
-	n.start.cover(now, n, from, m.Ready)
+	n.bootstrap.markSynced(now, n, from, m.Ready)
 	if n.CatchingUp() && m.Ready {
-		n.learned("a peer holds the same state")
+		n.caughtUp("a peer holds the same state")
 	}
 }
 
@@ -63,7 +63,7 @@
 	if lacking := n.state.lacking(m.Entries); len(lacking) > 0 {
 		n.send(from, Want{Entries: lacking})
 	}
-	n.sendItems(from, n.state.surplus(m), Range{}, true)
+	n.sendItems(from, n.state.newerThanIndex(m), Range{}, true)
 }
 
 func (n *Node) onAnnounce(from string, m Announce) {
@@ -80,11 +80,11 @@
 	if n.state.Frontier() < r.To {
 		r = Range{}
 	}
-	n.sendItems(from, n.state.wanted(m.Entries), r, r == Range{})
+	n.sendItems(from, n.state.newerThanKnown(m.Entries), r, r == Range{})
 }
 
 // sendItems sends versions in pages of bounded size. A range is stated only if
-// all fit into one page.
+// all versions fit into one page.
 func (n *Node) sendItems(to string, items []Item, r Range, verify bool) {
 	pages := paginate(items, n.opt.PageBytes)
 	if len(pages) > 1 {
@@ -111,7 +111,7 @@
 	return pages
 }
 
-// size is about the size of the item on the wire, in bytes.
+// size returns the approximate encoded size of the item, in bytes.
 func (it Item) size() int {
 	const head = 48
 	if it.Delta != nil {
@@ -150,7 +150,7 @@
 	}
 }
 
-// merge joins versions and returns the keys whose entry has changed.
+// merge merges versions into the state and returns the keys that changed.
 func (n *Node) merge(versions []Version, source string) []string {
 	var changed []string
 	for _, v := range versions {
@@ -164,7 +164,7 @@
 	return changed
 }
 
-func (n *Node) report(v Version, r Merged, source string) {
+func (n *Node) report(v Version, r MergeResult, source string) {
 	e := event.Event{Reason: source, Detail: v.Key, Value: int64(v.ID.Revision)}
 	emit := func(code event.Code) {
 		e.Code = code
@@ -191,9 +191,9 @@
 	}
 }
 
-// announce tells some neighbours of changed keys. A range that moved this
-// host's frontier is passed on; then all keys changed since its base are
-// listed, also those that this host had before.
+// announce announces changed keys to random neighbours. A range that raised this
+// host's frontier is forwarded. In that case all keys changed since its base are
+// listed, including those that this host already had.
 func (n *Node) announce(keys []string, r Range, before uint64, from string) {
 	if len(keys) == 0 {
 		return
--- a/pkg/configsync/state.go
+++ b/pkg/configsync/state.go
@@ -13,14 +13,14 @@
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 )
 
-// KeyPrefix is the prefix of the keys of service documents; the rest is the
-// name of the service.
+// KeyPrefix is the prefix of the keys of service documents. It is followed by
+// the name of the service.
 const KeyPrefix = "services/"
 
-// bucketCount is the number of parts in which two states are compared.
+// bucketCount is the number of hash buckets by which two states are compared.
 const bucketCount = 64
 
-// Document is a service document in force with the version it came from.
+// Document is the current version of a service document.
 type Document struct {
 	*config.Service
 	// Revision is the platform's revision.
@@ -29,51 +29,53 @@
 	Digest uint64
 }
 
-// entry holds what is known of one key.
+// entry holds the versions of one key.
 type entry struct {
-	newest   *Version
-	inForce  *Version
+	newest   *Version // newest version seen, valid or not
+	inForce  *Version // current version: the newest valid one
 	service  *config.Service
-	previous *Version
-	rejected ID
+	previous *Version // the current version before inForce; a base for deltas
+	rejected ID       // the last invalid version
 }
 
-// State is the join of all versions that a host has seen.
+// State is the merge of all versions that a host has seen.
 type State struct {
 	entries  map[string]*entry
 	buckets  [bucketCount]uint64
 	frontier uint64
 }
 
-// NewState returns the state that has seen nothing.
+// NewState returns an empty state.
 func NewState() *State {
 	return &State{entries: make(map[string]*entry)}
 }
 
-// Merged says what one version changed.
-type Merged struct {
-	// Changed is true when the state is no longer what it was.
+// MergeResult reports what merging one version changed.
+type MergeResult struct {
+	// Changed is true when the state changed.
 	Changed bool
-	// InForce is true when another version of the key is now in force.
+	// InForce is true when the current version of the key changed.
 	InForce bool
-	// Conflict is true when the revision was known with other content.
+	// Conflict is true when the newest known version has the same revision with
+	// other content.
 	Conflict bool
-	// Invalid is why the document can't be in force; nil when it is valid.
+	// Invalid is the validation error that keeps the document from becoming
+	// current; nil if it is valid.
 	Invalid error
-	// Regressed is true when an older version would have replaced the one in
-	// force. The state refused; it is a breach of an invariant.
+	// Regressed is true when an older version would have replaced the current
+	// one. The state keeps the newer version; an invariant is violated.
 	Regressed bool
 }
 
-// Merge joins v into the state.
-func (s *State) Merge(v Version) Merged {
+// Merge merges v into the state.
+func (s *State) Merge(v Version) MergeResult {
 	e := s.entries[v.Key]
 	if e == nil {
 		e = new(entry)
 	}
 	newer := v.ID.Compare(idOf(e.newest)) > 0
 	better := v.ID.Compare(idOf(e.inForce)) > 0
-	out := Merged{Conflict: e.conflicts(v)}
+	out := MergeResult{Conflict: e.conflicts(v)}
 	if !newer && (!better || v.ID == e.rejected || v.ID == idOf(e.newest)) {
 		return out
 	}
@@ -89,7 +91,7 @@
 		e.rejected = v.ID
 	case better:
 		out.Changed = true
-		out.Regressed = !e.put(&v, service)
+		out.Regressed = !e.setInForce(&v, service)
 		out.InForce = !out.Regressed
 	}
 	s.entries[v.Key] = e
@@ -97,9 +99,9 @@
 	return out
 }
 
-// put takes v into force. It refuses, and reports false, when that would fall
-// back to an older version.
-func (e *entry) put(v *Version, service *config.Service) bool {
+// setInForce makes v the current version. It does nothing and returns false if
+// the current version is newer.
+func (e *entry) setInForce(v *Version, service *config.Service) bool {
 	if v.ID.Compare(idOf(e.inForce)) < 0 {
 		return false
 	}
@@ -114,8 +116,8 @@
 	return v.ID.Revision == known.Revision && v.ID.Digest != known.Digest
 }
 
-// validate decides whether v can be in force. It depends on nothing but v, so
-// that every host of one release decides alike.
+// validate checks whether v can become current. The result depends on v alone,
+// so that every host of one release comes to the same result.
 func validate(v Version) (*config.Service, error) {
 	name, ok := strings.CutPrefix(v.Key, KeyPrefix)
 	if !ok {
@@ -134,11 +136,10 @@
 	return service, nil
 }
 
-// Frontier returns the revision up to which no change is missing.
+// Frontier returns the revision up to which the state has every change.
 func (s *State) Frontier() uint64 { return s.frontier }
 
-// advance raises the frontier from base to revision, if nothing is missing
-// between the present frontier and base.
+// advance raises the frontier to revision, if the frontier has reached base.
 func (s *State) advance(base, revision uint64) bool {
 	if s.frontier < base || revision <= s.frontier {
 		return false
@@ -156,7 +157,7 @@
 	return d
 }
 
-// InForce returns the documents in force, ordered by name.
+// InForce returns the current documents, ordered by name.
 func (s *State) InForce() []Document {
 	out := make([]Document, 0, len(s.entries))
 	for _, e := range s.entries {
@@ -168,7 +169,7 @@
 	return out
 }
 
-// InForceID returns the version of key in force; the zero ID if there is none.
+// InForceID returns the current version of key, or the zero ID if there is none.
 func (s *State) InForceID(key string) ID {
 	if e := s.entries[key]; e != nil {
 		return idOf(e.inForce)
@@ -200,7 +201,8 @@
 	return int(xxhash.Sum64String(key) % bucketCount)
 }
 
-// hash is the share of one key in the digest of the state.
+// hash returns the hash of one key's versions, which is combined by XOR into
+// the hash of its bucket.
 func (e *entry) hash(key string) uint64 {
 	if e.newest == nil {
 		return 0
--- a/pkg/configsync/state_test.go
+++ b/pkg/configsync/state_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestStateIsAJoin(t *testing.T) {
+func TestMergeIsOrderIndependent(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(3, 3))
 	versions := []Version{
@@ -34,7 +34,7 @@
 		is.Equal(len(s.InForce()), 1)
 		is.Equal(s.InForceID("services/a"), max3(versions[2].ID, versions[3].ID))
 	}
-	is.Equal(len(digests), 1) // the order of merges does not matter
+	is.Equal(len(digests), 1) // the result does not depend on the order of merges
 }
 
 func max3(a, b ID) ID {
@@ -44,7 +44,7 @@
 	return b
 }
 
-func TestInvalidLeavesTheOneInForce(t *testing.T) {
+func TestInvalidVersionDoesNotReplaceCurrent(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
 	good := NewVersion("services/a", 1, false, document("a", 1))
@@ -53,17 +53,17 @@
 	is.True(got.Invalid != nil)
 	is.True(!got.InForce)
 	is.Equal(s.InForceID("services/a"), good.ID)
-	is.Equal(s.verdict("services/a", 2), Rejected)
-	is.Equal(s.verdict("services/a", 1), Current)
-	is.Equal(s.verdict("services/a", 3), Unseen)
+	is.Equal(s.status("services/a", 2), Rejected)
+	is.Equal(s.status("services/a", 1), Current)
+	is.Equal(s.status("services/a", 3), Unseen)
 }
 
-func TestPutRefusesToFallBack(t *testing.T) {
+func TestOlderVersionIsNotSetInForce(t *testing.T) {
 	is := is.New(t)
 	newer := NewVersion("services/a", 2, true, nil)
 	older := NewVersion("services/a", 1, true, nil)
 	e := &entry{inForce: &newer}
-	is.True(!e.put(&older, nil))
+	is.True(!e.setInForce(&older, nil))
 	is.Equal(e.inForce.ID, newer.ID)
 }
 
@@ -90,7 +90,7 @@
 	is.True(err != nil)
 }
 
-func TestFollow(t *testing.T) {
+func TestProgress(t *testing.T) {
 	is := is.New(t)
 	n := NewNode(epoch, Options{Rand: rand.New(rand.NewPCG(1, 1))})
 	n.state.Merge(NewVersion("services/a", 5, false, document("a", 1)))
@@ -114,11 +114,11 @@
 	is.Equal(len(n.state.Keys()), 0)
 }
 
-func TestWakeLearnsFirst(t *testing.T) {
+func TestResumeCatchesUpFirst(t *testing.T) {
 	is := is.New(t)
 	n := NewNode(epoch, Options{Self: Member{"a", "d"}, Rand: rand.New(rand.NewPCG(1, 1))})
 	n.SetMembers(epoch, nil)
-	n.PlatformAnswered(epoch, Answer{})
+	n.ReadDone(epoch, ReadResult{})
 	is.True(n.Ready())
 	n.SetMembers(epoch, []Member{{"b", "d"}})
 	later := epoch.Add(time.Minute)
--- a/pkg/configsync/watermark.go
+++ b/pkg/configsync/watermark.go
@@ -6,19 +6,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// WatermarkBytes is the size of an encoded Watermark.
+// WatermarkBytes is the size of an encoded Watermark, in bytes.
 const WatermarkBytes = 18
 
 const watermarkFormat = 1
 
-// Watermark is what a host publishes in its membership metadata, so that
-// operators see who lags.
+// Watermark is the replication progress that a host publishes in its membership
+// metadata, so that operators can see which hosts lag.
 type Watermark struct {
-	// Frontier is the revision up to which no change is missing.
+	// Frontier is the revision up to which the host has every change.
 	Frontier uint64
 	// Digest is the hash of the whole state.
 	Digest uint64
-	// Ready is true when the host serves.
+	// Ready is true when the host serves requests.
 	Ready bool
 }
 
@@ -33,14 +33,14 @@
 	return binary.BigEndian.AppendUint64(b, w.Digest)
 }
 
-// DecodeWatermark reads what Encode wrote. Bytes of a later format that follow
-// are ignored.
+// DecodeWatermark decodes the output of Encode. Trailing bytes, which a later
+// format may append, are ignored.
 func DecodeWatermark(b []byte) (Watermark, error) {
 	if len(b) < WatermarkBytes {
-		return Watermark{}, errors.Newf("watermark of %d bytes, want %d", len(b), WatermarkBytes)
+		return Watermark{}, errors.Newf("watermark is %d bytes, want at least %d", len(b), WatermarkBytes)
 	}
 	if b[0] == 0 {
-		return Watermark{}, errors.New("watermark of format 0")
+		return Watermark{}, errors.New("watermark has the invalid format 0")
 	}
 	return Watermark{
 		Frontier: binary.BigEndian.Uint64(b[2:]),
@@ -49,51 +49,50 @@
 	}, nil
 }
 
-// MemberWatermark is a host's watermark as the membership gives it.
+// MemberWatermark is a member with the watermark from its membership metadata.
 type MemberWatermark struct {
 	Member
 	Watermark
 }
 
-// Verdict is this host's view of one revision of one key.
-type Verdict uint8
+// Status is the status of one revision of one key on this host.
+type Status uint8
 
-// The verdicts.
 const (
-	// Unseen: the revision has not reached this host.
-	Unseen Verdict = iota
-	// Current: the revision is in force.
+	// Unseen means that the revision has not reached this host.
+	Unseen Status = iota
+	// Current means that the revision is the current one of its key.
 	Current
-	// Superseded: a newer revision of the key is in force.
+	// Superseded means that a newer revision of the key is current.
 	Superseded
-	// Rejected: the revision is invalid and will never be in force.
+	// Rejected means that the revision is invalid and will never be current.
 	Rejected
 )
 
-// String returns the verdict's name.
-func (v Verdict) String() string {
-	return [...]string{"unseen", "current", "superseded", "rejected"}[v]
+// String implements fmt.Stringer.
+func (s Status) String() string {
+	return [...]string{"unseen", "current", "superseded", "rejected"}[s]
 }
 
-// Progress says how far a revision has come over the fleet.
+// Progress is the progress of a rollout of one revision over the fleet.
 type Progress struct {
-	// Verdict is this host's own view. Acceptance is the same on every host of
-	// one release, so it holds for all that do not lag.
-	Verdict Verdict
-	// Lagging are the addresses of the members that lack changes up to the
-	// revision, or do not serve yet.
+	// Status is the status on this host. Validation gives the same result on
+	// every host of one release, so the status holds for all hosts that do not lag.
+	Status Status
+	// Lagging lists the addresses of the members that lack changes up to the
+	// revision, or that do not serve yet.
 	Lagging []string
 }
 
-// Complete reports whether the revision, or a newer one of its key, is in
-// force on this host and on every member given.
+// Complete reports whether the revision, or a newer one of its key, is current
+// on this host and on every member passed to Node.Progress.
 func (p Progress) Complete() bool {
-	return (p.Verdict == Current || p.Verdict == Superseded) && len(p.Lagging) == 0
+	return (p.Status == Current || p.Status == Superseded) && len(p.Lagging) == 0
 }
 
-// Progress reports on revision of key over members.
+// Progress reports the rollout of revision of key over members.
 func (n *Node) Progress(key string, revision uint64, members []MemberWatermark) Progress {
-	out := Progress{Verdict: n.state.verdict(key, revision)}
+	out := Progress{Status: n.state.status(key, revision)}
 	for _, m := range members {
 		if m.Frontier < revision || !m.Ready {
 			out.Lagging = append(out.Lagging, m.Address)
@@ -102,7 +101,7 @@
 	return out
 }
 
-func (s *State) verdict(key string, revision uint64) Verdict {
+func (s *State) status(key string, revision uint64) Status {
 	e := s.entries[key]
 	if e == nil {
 		return Unseen
