--- a/pkg/config/configuration.go
+++ b/pkg/config/configuration.go
@@ -2,31 +2,30 @@
 
 import "time"
 
-// Configuration is all that operators publish, under one version. It is put in
-// force whole.
+// Configuration is the full published configuration under one version. It is
+// applied as a whole.
 type Configuration struct {
-	// Version orders configurations; it rises in uneven steps.
-	Version uint64
-	// Services are the documents.
+	// Version orders configurations. It increases, but not by a constant step.
+	Version  uint64
 	Services []*Service
-	// Callers bounds what callers may send; nil keeps the host's own settings.
+	// Callers limits what callers may send; nil keeps the host's own settings.
 	Callers *CallerLimits
-	// Keyed is true where callers send a customer's key with each request, unless its
+	// Keyed requires callers to send a customer's key with each request, unless its
 	// service is public.
 	Keyed bool
-	// Customers are those whose keys are known.
+	// Customers are the customers whose keys are accepted.
 	Customers []Customer
 }
 
-// CallerLimits bounds what one caller may send.
+// CallerLimits limits what one caller may send.
 type CallerLimits struct {
-	// HeadBytes bounds a request head, in bytes.
+	// HeadBytes is the maximum size of a request head, in bytes.
 	HeadBytes int
-	// BodyBytes bounds a request body, in bytes.
+	// BodyBytes is the maximum size of a request body, in bytes.
 	BodyBytes int
-	// HeadTimeout bounds receiving a request head.
+	// HeadTimeout bounds the time to receive a request head.
 	HeadTimeout time.Duration
-	// IdleTimeout is how long a connection may rest between two requests.
+	// IdleTimeout is how long a connection may be idle between two requests.
 	IdleTimeout time.Duration
 }
 
--- a/pkg/config/customer.go
+++ b/pkg/config/customer.go
@@ -8,30 +8,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Customer is one of those whose callers the entry hosts serve.
+// Customer is a customer whose callers the entry hosts serve.
 type Customer struct {
-	// Name is what upstreams are told.
+	// Name identifies the customer to upstreams.
 	Name string `json:"name"`
 	// Keys are the digests of the keys that its callers send.
 	Keys []KeyDigest `json:"keys"`
-	// Priority orders its requests in place of the rule's. Default: empty, the rule's.
+	// Priority overrides the rule's priority. Default: empty, the rule's priority.
 	Priority Priority `json:"priority,omitempty"`
 	// RatePerSecond bounds its requests over all entry hosts, in requests a second.
 	// Default: 0, no bound.
 	RatePerSecond float64 `json:"rate_per_second,omitempty"`
-	// Burst is how many requests beyond the rate may come at once.
+	// Burst is the number of requests that may exceed the rate at once.
 	Burst float64 `json:"burst,omitempty"`
-	// Unserved says why all its requests are refused. Default: empty, they are served.
+	// Unserved is the reason why all its requests are refused. Default: empty, they
+	// are served.
 	Unserved string `json:"unserved,omitempty"`
 }
 
-// KeyDigest is the SHA-256 digest of a customer's key. The key itself is kept nowhere.
+// KeyDigest is the SHA-256 digest of a customer's key. The key itself is not stored.
 type KeyDigest [sha256.Size]byte
 
-// DigestKey returns the digest of a key.
+// DigestKey returns the digest of a customer's key.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// MarshalText implements encoding.TextMarshaler, in hexadecimal.
+// MarshalText implements encoding.TextMarshaler. The text is hexadecimal.
 func (d KeyDigest) MarshalText() ([]byte, error) { return hex.AppendEncode(nil, d[:]), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -70,7 +71,7 @@
 	return &FieldError{"priority", "is " + strconv.Quote(string(c.Priority)), "write \"high\", \"normal\" or \"low\", or leave it out"}
 }
 
-// validCustomerName reports whether a name can stand in a header by itself.
+// validCustomerName reports whether name is a valid header value without escaping.
 func validCustomerName(name string) bool {
 	if name == "" || len(name) > maxCustomerName {
 		return false
@@ -89,7 +90,7 @@
 	}
 	names := make(map[string]bool, len(c.Customers))
 	for i := range c.Customers {
-		field := index("customers", i)
+		field := elementPath("customers", i)
 		if err := c.Customers[i].Validate(); err != nil {
 			return errors.Wrap(err, field)
 		}
--- a/pkg/config/docs_test.go
+++ b/pkg/config/docs_test.go
@@ -12,9 +12,9 @@
 
 var jsonBlock = regexp.MustCompile("(?s)```json\n(.*?)```")
 
-// TestPageOfFields parses the examples of docs/CONFIGURATION.md and checks
-// that every field has its row.
-func TestPageOfFields(t *testing.T) {
+// TestDocumentedFields checks that the examples in docs/CONFIGURATION.md are valid
+// and that the page has a row for every field.
+func TestDocumentedFields(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/CONFIGURATION.md")
 	is.NoErr(err)
--- a/pkg/config/fuzz_test.go
+++ b/pkg/config/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzParse checks that Parse never panics and that a valid document, written
-// again, parses to an equal one.
+// FuzzParse checks that Parse never panics and that a valid document survives
+// encoding and parsing unchanged.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(valid))
 	f.Add([]byte(`{"name":"a","match":{"path_prefix":"/"},"groups":[{"name":"g","slow_start":"1s","probe":{"slot_time_percent":1.5}}],` +
@@ -23,7 +23,7 @@
 			t.Fatal(err)
 		}
 		if len(written) > MaxDocumentBytes {
-			return // defaults made it longer than the platform holds
+			return // the defaults made it longer than the maximum
 		}
 		again, err := Parse(written)
 		if err != nil {
--- a/pkg/config/parse.go
+++ b/pkg/config/parse.go
@@ -18,7 +18,7 @@
 // Defaults for optional fields.
 const (
 	DefaultPolicy = "spindle"
-	// DefaultRegisteredPolicy is that of groups whose members register themselves.
+	// DefaultRegisteredPolicy applies to groups whose members register themselves.
 	DefaultRegisteredPolicy = "probe-first"
 	DefaultSlots            = 3
 	DefaultMaxConnections   = 200
@@ -46,13 +46,13 @@
 	methodPattern     = regexp.MustCompile(`^[A-Z][A-Z-]{0,31}$`)
 )
 
-// FieldError names the field that is wrong and how to mend it.
+// FieldError reports an invalid field and how to correct it.
 type FieldError struct {
 	// Field is the path of the field, such as "rules[0].repeat".
 	Field string
-	// Problem says what is wrong.
+	// Problem describes what is wrong.
 	Problem string
-	// Fix says what to write instead.
+	// Fix describes how to correct it.
 	Fix string
 }
 
@@ -61,8 +61,8 @@
 	return e.Field + ": " + e.Problem + "; " + e.Fix
 }
 
-// Parse decodes, completes and validates one service document. The error is a
-// *FieldError, or a decoding error that names the offset.
+// Parse decodes one service document, sets its defaults and validates it. The error
+// is a *FieldError, or a decoding error with the offset.
 func Parse(b []byte) (*Service, error) {
 	if len(b) > MaxDocumentBytes {
 		return nil, &FieldError{"(document)", "is " + strconv.Itoa(len(b)) + " bytes", "keep it within 1 MiB"}
@@ -83,7 +83,7 @@
 	return s, nil
 }
 
-// SetDefaults fills optional fields that are zero.
+// SetDefaults sets optional fields that are zero to their defaults.
 func (s *Service) SetDefaults() {
 	for i := range s.Groups {
 		s.Groups[i].setDefaults()
@@ -113,8 +113,8 @@
 	}
 }
 
-// setDefaults is told whether upstreams of the service register themselves. Entry
-// hosts that take them from a store issue no tickets.
+// setDefaults sets the defaults of r. Registered is true if upstreams of the service
+// register themselves: entry hosts that read upstreams from a store issue no tickets.
 func (r *Rule) setDefaults(registered bool) {
 	r.Deadline = cmp.Or(r.Deadline, Duration(DefaultDeadline))
 	r.Priority = cmp.Or(r.Priority, PriorityNormal)
@@ -144,7 +144,7 @@
 	}
 	groups := make(map[string]bool, len(s.Groups))
 	for i := range s.Groups {
-		field := index("groups", i)
+		field := elementPath("groups", i)
 		if err := s.Groups[i].validate(field); err != nil {
 			return err
 		}
@@ -158,7 +158,7 @@
 	}
 	names := make(map[string]bool, len(s.Rules))
 	for i := range s.Rules {
-		field := index("rules", i)
+		field := elementPath("rules", i)
 		if err := s.Rules[i].validate(field, groups); err != nil {
 			return err
 		}
@@ -207,7 +207,7 @@
 	}
 	ids := make(map[string]bool, len(g.Upstreams))
 	for i := range g.Upstreams {
-		uf := index(field+".upstreams", i)
+		uf := elementPath(field+".upstreams", i)
 		if err := g.Upstreams[i].validate(uf); err != nil {
 			return err
 		}
@@ -285,7 +285,7 @@
 	}
 	for i, m := range r.Methods {
 		if !methodPattern.MatchString(m) {
-			return &FieldError{index(field+".methods", i), "is not an upper-case method", "write for example \"GET\""}
+			return &FieldError{elementPath(field+".methods", i), "is not an upper-case method", "write for example \"GET\""}
 		}
 	}
 	if r.PathPrefix != "" && !strings.HasPrefix(r.PathPrefix, "/") {
@@ -312,7 +312,7 @@
 	for i, share := range r.Shares() {
 		at := field
 		if len(r.Split) > 0 {
-			at = index(field+".split", i)
+			at = elementPath(field+".split", i)
 		}
 		if !groups[share.Group] {
 			return &FieldError{at + ".group", "names no group of this service", "add the group or correct the name"}
@@ -380,6 +380,6 @@
 	return &FieldError{field, strconv.Quote(name) + " is not a valid name", "use lower-case letters, digits and dashes, 63 at most"}
 }
 
-func index(field string, i int) string {
+func elementPath(field string, i int) string {
 	return field + "[" + strconv.Itoa(i) + "]"
 }
