--- a/pkg/plan/diff.go
+++ b/pkg/plan/diff.go
@@ -12,7 +12,6 @@
 // Operation is the kind of one difference.
 type Operation string
 
-// The kinds of difference.
 const (
 	Added   Operation = "added"
 	Removed Operation = "removed"
@@ -23,13 +22,14 @@
 type Difference struct {
 	// Operation is added, removed or changed.
 	Operation Operation
-	// Field is the path; members of lists are named, as in "groups[main].policy".
+	// Field is the path. List members are identified by name or ID, as in
+	// "groups[main].policy".
 	Field string
 	// Old and New are the values as JSON; empty when absent.
 	Old, New string
 }
 
-// String returns one line, as "~ field: old -> new".
+// String formats the difference as one line, such as "~ field: old -> new".
 func (d Difference) String() string {
 	switch d.Operation {
 	case Added:
@@ -41,7 +41,7 @@
 	}
 }
 
-// Diff lists the fields that differ, ordered by path. Either document may be nil.
+// Diff returns the fields that differ, ordered by path. Either document may be nil.
 func Diff(before, after *config.Service) []Difference {
 	old, current := flatten(before), flatten(after)
 	all := maps.Clone(old)
@@ -62,7 +62,7 @@
 	return out
 }
 
-// flatten maps the path of each leaf to its JSON text.
+// flatten maps the path of each leaf value to its JSON encoding.
 func flatten(s *config.Service) map[string]string {
 	out := make(map[string]string)
 	if s == nil {
@@ -105,7 +105,8 @@
 	}
 }
 
-// flattenList names the members that have a name or an id; other lists are leaves.
+// flattenList flattens a list whose members have a name or an ID. Other lists are
+// leaves.
 func flattenList(out map[string]string, path string, list []any) {
 	for _, m := range list {
 		object, ok := m.(map[string]any)
--- a/pkg/plan/edit.go
+++ b/pkg/plan/edit.go
@@ -6,17 +6,17 @@
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 )
 
-// Edit changes a copy of a service document. A nil document is one that does
-// not exist; returning nil deletes.
+// Edit is a change of a service document. It is applied to a copy. A nil document
+// does not exist; apply returns nil to delete the document.
 type Edit interface {
 	apply(s *config.Service) (*config.Service, error)
 }
 
-// PutService creates the document or replaces it whole.
+// PutService creates the document or replaces it as a whole.
 type PutService struct {
 	// Service is the new document.
 	Service *config.Service
-	// MustCreate refuses to replace a document that exists.
+	// MustCreate fails with an *ExistsError if the document exists.
 	MustCreate bool
 }
 
@@ -32,7 +32,7 @@
 
 func (DeleteService) apply(s *config.Service) (*config.Service, error) { return nil, nil }
 
-// PutGroup adds a group or replaces the one of the same name.
+// PutGroup adds a group or replaces the group with the same name.
 type PutGroup struct {
 	// Group is the new group.
 	Group config.Group
@@ -47,9 +47,9 @@
 	return s, nil
 }
 
-// DeleteGroup removes a group. Rules that name it make the plan invalid.
+// DeleteGroup removes a group. The plan is invalid if a rule refers to the group.
 type DeleteGroup struct {
-	// Group is the group's name.
+	// Group is the name of the group.
 	Group string
 }
 
@@ -62,11 +62,12 @@
 	return s, nil
 }
 
-// PutRule replaces the rule of the same name where it stands, or adds one.
+// PutRule adds a rule or replaces the rule with the same name.
 type PutRule struct {
 	// Rule is the new rule.
 	Rule config.Rule
-	// Before names the rule that the new one is put in front of; empty adds it last.
+	// Before names the rule in front of which the new one is inserted. If it is
+	// empty, a replaced rule keeps its position and an added one becomes the last.
 	Before string
 }
 
@@ -91,7 +92,7 @@
 
 // DeleteRule removes a rule.
 type DeleteRule struct {
-	// Rule is the rule's name.
+	// Rule is the name of the rule.
 	Rule string
 }
 
@@ -104,11 +105,11 @@
 	return s, nil
 }
 
-// SetUpstreamState drains or undrains an upstream, in every group that lists it.
+// SetUpstreamState drains or undrains an upstream in every group that lists it.
 type SetUpstreamState struct {
-	// Upstream is the upstream's id.
+	// Upstream is the ID of the upstream.
 	Upstream string
-	// State is the state wished for.
+	// State is the desired state.
 	State config.UpstreamState
 }
 
@@ -130,7 +131,7 @@
 
 // SetUpstreams replaces the members of a group.
 type SetUpstreams struct {
-	// Group is the group's name.
+	// Group is the name of the group.
 	Group string
 	// Upstreams are the new members.
 	Upstreams []config.Upstream
--- a/pkg/plan/errors.go
+++ b/pkg/plan/errors.go
@@ -4,11 +4,11 @@
 	"strconv"
 )
 
-// NotFoundError names what an edit refers to and the state lacks.
+// NotFoundError reports that an edit refers to an object that does not exist.
 type NotFoundError struct {
 	// Kind is "service", "group", "rule" or "upstream".
 	Kind string
-	// Name is the name asked for.
+	// Name is the requested name.
 	Name string
 }
 
@@ -17,11 +17,11 @@
 	return e.Kind + " " + strconv.Quote(e.Name) + " is not in force"
 }
 
-// ExistsError names what an edit would create and the state already has.
+// ExistsError reports that an edit would create an object that already exists.
 type ExistsError struct {
 	// Kind is "service".
 	Kind string
-	// Name is the name asked for.
+	// Name is the requested name.
 	Name string
 }
 
@@ -30,15 +30,16 @@
 	return e.Kind + " " + strconv.Quote(e.Name) + " already exists; describe it and change it from its revision"
 }
 
-// ConflictError means the document changed after the operator looked at it.
+// ConflictError reports that the document has changed since the version that the
+// operator expects.
 type ConflictError struct {
-	// Key is the document.
+	// Key is the platform key of the document.
 	Key string
-	// Expected is the base that the operator named, Actual the version in force.
+	// Expected is the version that the operator expects, Actual the current one.
 	Expected, Actual Base
-	// Changes lists what changed between the two, if the old version is known.
+	// Changes lists the differences between the two, if the old version is known.
 	Changes []Difference
-	// By names who computed the version in force, if this host knows.
+	// By names who planned the current version, if this host knows.
 	By string
 }
 
--- a/pkg/plan/plan.go
+++ b/pkg/plan/plan.go
@@ -12,22 +12,21 @@
 	Digest uint64
 }
 
-// Request asks for one plan.
+// Request is a request to compute a plan.
 type Request struct {
-	// Service is the document to change.
+	// Service names the service whose document changes.
 	Service string
-	// Edit is the change.
-	Edit Edit
-	// Expected, if not nil, is the version that the operator looked at. Another
-	// version in force is a *ConflictError.
+	Edit    Edit
+	// Expected, if not nil, is the version that the operator expects. If another
+	// version is current, the result is a *ConflictError.
 	Expected *Base
 }
 
-// Plan is the answer. Nothing has been changed.
+// Plan is a computed change, which has not been published.
 type Plan struct {
 	// Key is the platform key to publish under.
 	Key string
-	// Base is the version in force that the plan was computed from.
+	// Base is the current version, from which the plan was computed.
 	Base Base
 	// Delete is true when the key is to be deleted.
 	Delete bool
@@ -39,16 +38,16 @@
 	Digest uint64
 	// Differences lists each field that changes.
 	Differences []Difference
-	// Consequences says what the change does to requests.
+	// Consequences describe how the change affects requests.
 	Consequences []string
-	// Warnings says what is probably not meant.
+	// Warnings describe effects that are probably not intended.
 	Warnings []string
 }
 
 // Unchanged reports whether the plan changes nothing.
 func (p *Plan) Unchanged() bool { return len(p.Differences) == 0 }
 
-// Compute computes a plan against the state in force. The error is a
+// Compute computes a plan against the current state. The error is a
 // *ConflictError, *NotFoundError, *ExistsError or *config.FieldError.
 func Compute(state *State, req Request) (*Plan, error) {
 	doc := state.Find(req.Service)
@@ -79,7 +78,7 @@
 	return Base{Revision: doc.Revision, Digest: Digest(doc.Service)}
 }
 
-// edit applies the request's edit to a copy of the document in force.
+// edit applies the request's edit to a copy of the current document.
 func edit(doc *Document, req Request) (before, after *config.Service, err error) {
 	if doc != nil {
 		before = doc.Service
@@ -94,8 +93,8 @@
 	return nil, after, err
 }
 
-// encode completes, validates and writes the new document. The text is read
-// back by config.Parse, so that what is published is what an entry host takes.
+// encode sets the defaults of the new document, validates and encodes it. The text
+// is decoded again by config.Parse, which ensures that entry hosts accept it.
 func (p *Plan) encode(name string) error {
 	p.Service.SetDefaults()
 	if p.Service.Name != name {
--- a/pkg/plan/plan_test.go
+++ b/pkg/plan/plan_test.go
@@ -36,7 +36,7 @@
 	return config.Rule{Name: name, Methods: []string{"GET"}, Group: "main", Repeat: repeat}
 }
 
-func TestMakeExplains(t *testing.T) {
+func TestComputeExplains(t *testing.T) {
 	sameMatch := parse(t, ledger)
 	sameMatch.Match.PathPrefix = "/archive/"
 	tests := []struct {
@@ -52,7 +52,7 @@
 			`~ rules[look].repeat: "repeatable" -> "non-repeatable"`, "rule look becomes non-repeatable: its retries", ""},
 		{"repeatable", PutRule{rule("sale", config.Repeatable), ""},
 			`rules[sale].repeat`, "rule sale becomes repeatable", "make sure that running it twice does no harm"},
-		{"hidden rule", PutRule{rule("late", config.Repeatable), ""},
+		{"shadowed rule", PutRule{rule("late", config.Repeatable), ""},
 			`+ rules[late].name: "late"`, "rule late is new", "rule late never applies: rule look"},
 		{"rule order", PutRule{rule("look", config.Repeatable), "sale"},
 			`~ rules: ["sale","look"] -> ["look","sale"]`, "another order: look, sale", ""},
@@ -79,7 +79,7 @@
 			is.True(strings.Contains(strings.Join(p.Warnings, "\n"), tc.warn))
 			is.Equal(tc.warn == "", len(p.Warnings) == 0)
 			is.Equal(p.Base, Base{7, before})
-			is.Equal(Digest(state.Documents[0].Service), before) // the state in force is untouched
+			is.Equal(Digest(state.Documents[0].Service), before) // the current state is not modified
 			if !p.Delete {
 				is.Equal(Digest(parse(t, string(p.Document))), p.Digest)
 			}
@@ -96,7 +96,7 @@
 	is.Equal(p.Warnings, []string{"group main has no active upstream left: its requests are refused as no-upstream"})
 }
 
-func TestMakeRefuses(t *testing.T) {
+func TestComputeErrors(t *testing.T) {
 	var notFound *NotFoundError
 	var exists *ExistsError
 	var field *config.FieldError
--- a/pkg/plan/state.go
+++ b/pkg/plan/state.go
@@ -1,9 +1,9 @@
-// Package plan computes what a change of the configuration would do, without
-// doing it: nothing of the system can write. A plan holds the exact document
-// to publish, a readable difference, the consequences and the warnings, and
-// the revision that it was computed from.
+// Package plan computes the effect of a change of the configuration without
+// applying it: no part of the system can write to the platform. A plan contains the
+// exact document to publish, a readable diff, the consequences and warnings, and the
+// revision that it was computed from.
 //
-// The package is pure: the same state and edit give the same plan on every
+// The package is deterministic: the same state and edit give the same plan on every
 // entry host.
 package plan
 
@@ -18,13 +18,13 @@
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 )
 
-// KeyPrefix starts the platform key of every service document.
+// KeyPrefix is the prefix of the platform keys of service documents.
 const KeyPrefix = "services/"
 
 // Key returns the platform key of a service's document.
 func Key(service string) string { return KeyPrefix + service }
 
-// Document is one service document in force.
+// Document is the current version of a service document.
 type Document struct {
 	// Service is the validated document.
 	Service *config.Service
@@ -32,13 +32,13 @@
 	Revision uint64
 }
 
-// State is the configuration in force on one entry host.
+// State is the current configuration on one entry host.
 type State struct {
 	// Revision is the newest platform revision that the state reflects.
 	Revision uint64
-	// Digest tells apart two states with the same revision.
+	// Digest distinguishes states with the same revision.
 	Digest uint64
-	// Documents are the services in force, in any order.
+	// Documents are the current documents, in any order.
 	Documents []Document
 }
 
@@ -51,9 +51,9 @@
 	return &s.Documents[i]
 }
 
-// Digest identifies the content of a document. Two texts that mean the same,
-// with other spacing or with defaults left out, have the same digest. A nil
-// service, a deleted document, has digest 0.
+// Digest returns a hash of the content of a document. Equivalent texts, which differ
+// in white space or omit defaults, have the same digest. The digest of a nil service,
+// which is a deleted document, is 0.
 func Digest(s *config.Service) uint64 {
 	if s == nil {
 		return 0
@@ -67,7 +67,7 @@
 	return xxhash.Sum64(b)
 }
 
-// Encode writes the document to publish: indented JSON with defaults filled in.
+// Encode returns the document to publish, as indented JSON.
 func Encode(s *config.Service) ([]byte, error) {
 	var b bytes.Buffer
 	enc := json.NewEncoder(&b)
@@ -79,7 +79,7 @@
 	return b.Bytes(), nil
 }
 
-// clone copies s, so that edits leave the document in force untouched.
+// clone copies s, so that edits do not modify the current document.
 func clone(s *config.Service) *config.Service {
 	c := *s
 	c.Groups = slices.Clone(s.Groups)
--- a/pkg/plan/warn.go
+++ b/pkg/plan/warn.go
@@ -8,7 +8,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 )
 
-// warn names what is probably not meant in the document after the change.
+// warn returns warnings about effects of the change that are probably not intended.
 func warn(state *State, before, after *config.Service) []string {
 	if after == nil {
 		return warnDelete(state, before)
@@ -34,7 +34,8 @@
 	return nil
 }
 
-// warnSameMatch follows routing.Compile: the name that sorts first wins.
+// warnSameMatch warns about services with the same match. As in routing.Compile, the
+// name that sorts first wins.
 func warnSameMatch(state *State, after *config.Service) []string {
 	var out []string
 	for i := range state.Documents {
@@ -64,7 +65,7 @@
 		return nil
 	}
 	if was := activeCount(&before.Groups[i]); active*2 < was {
-		return []string{fmt.Sprintf("group %s falls from %d active upstreams to %d in one step", g.Name, was, active)}
+		return []string{fmt.Sprintf("group %s shrinks from %d active upstreams to %d in one step", g.Name, was, active)}
 	}
 	return nil
 }
@@ -79,7 +80,7 @@
 	return n
 }
 
-// warnRepeat names the rules whose requests could now run twice.
+// warnRepeat warns about rules whose requests may now be executed more than once.
 func warnRepeat(before, after *config.Service) []string {
 	if before == nil {
 		return nil
@@ -95,7 +96,7 @@
 	return out
 }
 
-// warnShadowed names the rules that an earlier rule hides.
+// warnShadowed warns about rules that an earlier rule shadows.
 func warnShadowed(s *config.Service) []string {
 	var out []string
 	for i := range s.Rules {
