--- a/pkg/routing/bench_test.go
+++ b/pkg/routing/bench_test.go
@@ -7,7 +7,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 )
 
-// The target's number of services, and smaller ones for the slope.
+// benchServices are numbers of services: that of the target deployment, and smaller
+// ones to show how the cost grows.
 var benchServices = []int{10, 100, 410}
 
 func prefixOf(i int) string { return fmt.Sprintf("/service-%03d/", i) }
--- a/pkg/routing/index.go
+++ b/pkg/routing/index.go
@@ -5,21 +5,22 @@
 	"unicode/utf8"
 )
 
-// index finds the first service in match order without trying them all. Its
-// work grows with the number of different prefix lengths, not with services.
+// index finds the first matching service in match order without a linear scan. The
+// cost of a lookup grows with the number of distinct prefix lengths, not with the
+// number of services.
 type index struct {
-	lengths  []int // of the path prefixes, longest first
+	lengths  []int // distinct lengths of the path prefixes, longest first
 	byPrefix map[string]*prefixMatch
 }
 
-// prefixMatch holds the services of one path prefix.
+// prefixMatch holds the services with the same path prefix.
 type prefixMatch struct {
 	services []*Service          // in match order
-	byHost   map[string]*Service // the first of each host, in lower case
-	ascii    bool                // byHost decides for hosts in ASCII
+	byHost   map[string]*Service // the first service of each host, in lower case
+	ascii    bool                // all hosts are ASCII, so that byHost is exact for ASCII hosts
 }
 
-// newIndex indexes services that are in match order.
+// newIndex builds the index of services, which must be in match order.
 func newIndex(services []*Service) index {
 	x := index{byPrefix: make(map[string]*prefixMatch)}
 	for _, s := range services {
@@ -61,8 +62,10 @@
 	return nil
 }
 
-// find prefers a service that names the host. Outside ASCII, equal under case
-// folding is more than equal in lower case; the services are tried in turn.
+// find returns the first service that matches the host, or nil. Services with a
+// host take precedence over those without. Outside ASCII, strings may be equal under
+// Unicode case folding although their lower-case forms differ, so that the services
+// are compared one by one.
 func (m *prefixMatch) find(host string) *Service {
 	if m.ascii && isASCII(host) {
 		if s := m.byHost[strings.ToLower(host)]; s != nil {
--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing compiles the documents in force into one immutable table
-// that traffic goroutines read without a lock.
+// Package routing compiles the current documents into an immutable routing table,
+// which the goroutines that serve requests read without locking.
 package routing
 
 import (
@@ -16,7 +16,7 @@
 type Table struct {
 	services []*Service // in match order
 	index    index
-	// Customers are those whose callers send keys; nil where none are asked for.
+	// Customers are the customers by key; nil if callers need no keys.
 	Customers *customers.Table
 	// Revision is the highest platform revision that the table reflects.
 	Revision uint64
@@ -29,48 +29,49 @@
 	rules  []*Rule
 }
 
-// Rule is a compiled rule with its group.
+// Rule is a compiled rule with its groups.
 type Rule struct {
-	// Config is the rule's document.
+	// Config is the rule as published.
 	Config *config.Rule
 	// Service is the service that the rule belongs to.
 	Service *config.Service
-	// Targets are the groups that share its requests, at least one unless the service is
-	// unserved.
+	// Targets are the groups among which its requests are distributed. There is at
+	// least one unless the service is unserved.
 	Targets []Target
 }
 
-// unserved is the rule of services that are not served. It repeats nothing.
+// unserved is the rule of services that are not served. It allows no retries.
 var unserved = config.Rule{Name: "unserved", Repeat: config.NonRepeatable, Deadline: config.Duration(config.DefaultDeadline)}
 
 // Target is one group's share of a rule's requests.
 type Target struct {
-	// Group is the group of upstreams.
 	Group *Group
-	// Weight is its share, relative to the rule's other targets.
+	// Weight is relative to the weights of the rule's other targets.
 	Weight int
 }
 
-// Group is a compiled group with the policy's current picker.
+// Group is a compiled group with the current picker of its balancer policy.
 type Group struct {
-	// Config is the group's document.
+	// Config is the group as published.
 	Config *config.Group
-	// Picker chooses among the members that take new requests.
+	// Picker selects among the members that accept new requests.
 	Picker balancer.Picker
-	// Upstreams are the members that Picker chooses among. The list must not be changed.
+	// Upstreams are the members that Picker selects from. The slice must not be
+	// modified.
 	Upstreams []*balancer.Upstream
 	// Lifecycle is the version of the upstreams' lifecycle that Picker reflects.
 	Lifecycle uint64
 }
 
-// Groups supplies the compiled group for a service's group document. The
-// caller keeps policies and upstream records over changes of configuration.
+// Groups provides the compiled groups. The implementation preserves policies and
+// upstream records across changes of the configuration.
 type Groups interface {
+	// Group returns the compiled group for a group of a service.
 	Group(s *config.Service, g *config.Group) *Group
 }
 
-// Compile builds a table. Where two services claim the same match, the one
-// whose name sorts first wins, so that every entry host decides alike.
+// Compile builds a table. If two services have the same match, the one whose name
+// sorts first wins, so that all entry hosts route alike.
 func Compile(revision uint64, services []*config.Service, groups Groups) *Table {
 	t := &Table{Revision: revision}
 	for _, s := range services {
@@ -108,8 +109,8 @@
 	return compiled
 }
 
-// Route returns the rule for a request, or nil if none matches. Host is the
-// Host header; a port in it is ignored.
+// Route returns the rule that matches a request, or nil. Host is the Host header;
+// its port, if any, is ignored.
 func (t *Table) Route(method, host, path string) *Rule {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// Rules returns the compiled rules in the order in which they are tried.
+// Rules returns the compiled rules in matching order.
 func (s *Service) Rules() []*Rule { return s.rules }
 
 // Services returns the compiled services in match order.
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// firstMatch is the definition of the match order: the services in turn.
+// firstMatch is the reference implementation of the match order: a linear scan.
 func firstMatch(t *Table, host, path string) *Service {
 	for _, s := range t.Services() {
 		m := s.Config.Match
@@ -70,10 +70,11 @@
 	return nil
 }
 
-// TestIndexFindsTheFirstMatch compares the index with trying all services, on
-// few prefixes and hosts, so that they overlap. U+212A folds to
-// k, and U+0130 is i in lower case without folding to it.
-func TestIndexFindsTheFirstMatch(t *testing.T) {
+// TestIndexMatchesLinearScan compares the index with firstMatch, on few prefixes and
+// hosts, so that they overlap. Two of the hosts make lower-casing and case folding
+// differ: U+212A folds to k, and the lower case of U+0130 is i, to which it does not
+// fold.
+func TestIndexMatchesLinearScan(t *testing.T) {
 	const tables, lookups = 300, 200
 	prefixes := []string{"", "/", "/a", "/a/", "/a/b", "/b/", "/ab"}
 	hosts := []string{"", "", "k", "K", "api", "API.example", "\u212a", "é", "i", "\u0130"}
