--- a/pkg/configsync/fleet_test.go
+++ b/pkg/configsync/fleet_test.go
@@ -32,8 +32,8 @@
 		`"rules":[{"name":"r","group":"main","repeat":"repeatable","deadline":"%dms"}]}`, name, name, n+1)
 }
 
-func newRealNode(w *simulation, m Member) subject {
-	return NewNode(w.now, Options{Self: m, Rand: rand.New(rand.NewPCG(w.rand.Uint64(), 2)), PeerTimeout: 2 * time.Second})
+func newRealNode(s *simulation, m Member) subject {
+	return NewNode(s.now, Options{Self: m, Rand: rand.New(rand.NewPCG(s.rand.Uint64(), 2)), PeerTimeout: 2 * time.Second})
 }
 
 // naive is a faulty node: it adopts whatever it last read from the platform or
@@ -42,8 +42,8 @@
 	*Node
 }
 
-func newNaiveNode(w *simulation, m Member) subject {
-	return naive{newRealNode(w, m).(*Node)}
+func newNaiveNode(s *simulation, m Member) subject {
+	return naive{newRealNode(s, m).(*Node)}
 }
 
 func (n naive) ReadDone(now time.Time, a ReadResult) Effects {
--- a/pkg/configsync/measure_test.go
+++ b/pkg/configsync/measure_test.go
@@ -156,7 +156,7 @@
 				h.subject = nil
 			}
 		}
-		t.Logf("%d hosts, all readers dead, list unchanged: %v", size, observe(w, 60))
+		t.Logf("%d hosts, all readers stopped, member list unchanged: %v", size, observe(w, 60))
 	}
 }
 
--- a/pkg/configsync/simulation_test.go
+++ b/pkg/configsync/simulation_test.go
@@ -250,7 +250,7 @@
 			s.after(tickInterval, try)
 			return
 		}
-		a, ok := s.platform.answer(r.After, s.rand)
+		a, ok := s.platform.respond(r.After, s.rand)
 		switch {
 		case !ok:
 			s.apply(h, h.ReadFailed(s.now, errDown))
@@ -279,7 +279,7 @@
 	return v
 }
 
-func (p *fakePlatform) answer(after uint64, r *rand.Rand) (ReadResult, bool) {
+func (p *fakePlatform) respond(after uint64, r *rand.Rand) (ReadResult, bool) {
 	if p.down {
 		return ReadResult{}, false
 	}
