--- a/internal/configfeed/encode.go
+++ b/internal/configfeed/encode.go
@@ -1,6 +1,6 @@
-// Package configfeed connects the configuration core to the world: it reads
-// and watches the platform, exchanges messages with peers over gRPC, and runs
-// the core on the control goroutine.
+// Package configfeed runs the configuration replication of package configsync on the
+// control goroutine: it reads and watches the platform and exchanges messages with
+// peers over gRPC.
 package configfeed
 
 import (
@@ -79,8 +79,8 @@
 	return out
 }
 
-// decode returns the message in an envelope, or nil if there is none that this
-// release knows. Content is not trusted: the core checks it.
+// decode returns the message in an envelope, or nil if this release does not know
+// its type. The content is untrusted: configsync validates it.
 func decode(env *pb.Envelope) configsync.Message {
 	switch m := env.GetMessage().(type) {
 	case *pb.Envelope_Summary:
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// maxAge bounds the age that a peer may state.
+// maxAge is the maximum accepted Summary.Age.
 const maxAge = 24 * time.Hour
 
 func decodeSummary(m *pb.Summary) configsync.Summary {
--- a/internal/configfeed/feed.go
+++ b/internal/configfeed/feed.go
@@ -15,65 +15,65 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// TickInterval is how often the core is told of the time.
+// TickInterval is the interval of configsync.Node.Tick.
 const TickInterval = 100 * time.Millisecond
 
-// membersEvery is how often the list of members is taken over.
-const membersEvery = time.Second
+// membersInterval is how often the member list is read from Config.Members.
+const membersInterval = time.Second
 
-// Config is what a Feed is made of. All fields but Options are required.
+// Config configures a Feed. All fields but Options are required.
 type Config struct {
-	// Host names this entry host in events, "IP:port".
+	// Host identifies this entry host in events, "IP:port".
 	Host string
-	// Options tune the core. Self is required; a nil Rand is seeded by the
-	// operating system.
+	// Options configure the replication. Self is required; a nil Rand is seeded by
+	// the operating system.
 	Options configsync.Options
 	// Loop is the control goroutine.
 	Loop *control.Loop
-	// Server takes messages from peers. It must not have been started.
+	// Server receives messages from peers. It must not have been started.
 	Server *peer.Server
-	// Pool connects to peers.
+	// Pool provides connections to peers.
 	Pool *peer.Pool
-	// Platform is the configuration service.
+	// Platform is the client of the platform's configuration service.
 	Platform *platform.Client
-	// Members returns the present entry hosts, and false while no list was read
+	// Members returns the current entry hosts, or false if no list has been read
 	// yet. It is called on the control goroutine and must not block.
 	Members func() ([]configsync.Member, bool)
-	// Events takes decisions.
+	// Events receives the events.
 	Events event.Sink
-	// OnChange is called on the control goroutine with the state after each
-	// change of the documents in force, of Ready or of Learning. It must not
-	// keep Snapshot.InForce's slice to change it.
+	// OnChange is called on the control goroutine after each change of the current
+	// documents, Ready or CatchingUp. It must not modify the slice Snapshot.InForce.
 	OnChange func(Snapshot)
 }
 
-// Snapshot is the configuration part of a host at one moment.
+// Snapshot is a snapshot of a host's configuration.
 type Snapshot struct {
-	// InForce are the documents in force, ordered by name.
+	// InForce are the current documents, ordered by name.
 	InForce []configsync.Document
-	// Frontier is the revision up to which no change is missing.
+	// Frontier is the revision up to which the host has every change.
 	Frontier uint64
 	// Ready is true when the host may serve.
 	Ready bool
-	// CatchingUp is true between waking from a pause and hearing from a peer.
+	// CatchingUp is true from the end of a pause until the state is confirmed with
+	// a peer.
 	CatchingUp bool
 }
 
-// Feed keeps the configuration of one entry host. Its methods may be called
-// from any goroutine, unless they say otherwise.
+// Feed maintains the configuration of one entry host. Its methods may be called
+// from any goroutine, unless stated otherwise.
 type Feed struct {
-	conf      Config
-	node      *configsync.Node
-	ctx       context.Context
-	sender    *sender
-	nextList  time.Time
-	watermark atomic.Pointer[configsync.Watermark]
-	learning  atomic.Bool
-	calls     atomic.Int64
+	conf        Config
+	node        *configsync.Node
+	ctx         context.Context
+	sender      *sender
+	nextMembers time.Time
+	watermark   atomic.Pointer[configsync.Watermark]
+	catchingUp  atomic.Bool
+	calls       atomic.Int64
 }
 
 // New registers a feed with conf.Loop and conf.Server, neither of which may be
-// running. The feed works until ctx ends.
+// running yet. The feed runs until ctx is done.
 func New(ctx context.Context, conf Config) *Feed {
 	if conf.Options.Rand == nil {
 		conf.Options.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -86,18 +86,18 @@
 	return f
 }
 
-// Watermark returns what this host publishes in its membership metadata.
+// Watermark returns the watermark for this host's membership metadata.
 func (f *Feed) Watermark() configsync.Watermark { return *f.watermark.Load() }
 
-// CatchingUp reports whether this host woke from a pause and has not yet heard
-// from a peer.
-func (f *Feed) CatchingUp() bool { return f.learning.Load() }
+// CatchingUp reports whether this host resumed after a pause and has not yet
+// confirmed its state with a peer.
+func (f *Feed) CatchingUp() bool { return f.catchingUp.Load() }
 
 // PlatformCalls returns the number of calls made to the platform's
 // configuration service.
 func (f *Feed) PlatformCalls() int64 { return f.calls.Load() }
 
-// Progress reports how far revision of key has come over members.
+// Progress reports the rollout of revision of key over members.
 func (f *Feed) Progress(ctx context.Context, key string, revision uint64, members []configsync.MemberWatermark) (configsync.Progress, error) {
 	var out configsync.Progress
 	err := f.conf.Loop.Call(ctx, func() { out = f.node.Progress(key, revision, members) })
@@ -110,8 +110,8 @@
 // tick runs on the control goroutine.
 func (f *Feed) tick(time.Time) {
 	now := clock.Now()
-	if !now.Before(f.nextList) {
-		f.nextList = now.Add(membersEvery)
+	if !now.Before(f.nextMembers) {
+		f.nextMembers = now.Add(membersInterval)
 		if members, ok := f.conf.Members(); ok {
 			f.apply(f.node.SetMembers(now, members))
 		}
@@ -144,7 +144,7 @@
 func (f *Feed) publish() {
 	w := f.node.Watermark()
 	f.watermark.Store(&w)
-	f.learning.Store(f.node.CatchingUp())
+	f.catchingUp.Store(f.node.CatchingUp())
 }
 
 func (f *Feed) emit(ev event.Event) {
@@ -153,18 +153,18 @@
 	f.conf.Events.Emit(ev)
 }
 
-// answerSlack is added to the wait of a watch before the call is given up.
-const answerSlack = 5 * time.Second
+// responseMargin is added to the wait of a watch to get the timeout of the call.
+const responseMargin = 5 * time.Second
 
-// read makes one call of the platform and hands the outcome to the core.
+// read makes one call of the platform and passes the outcome to the node.
 func (f *Feed) read(r configsync.Read) {
 	f.calls.Add(1)
-	ctx, cancel := context.WithTimeout(f.ctx, r.Wait+answerSlack)
+	ctx, cancel := context.WithTimeout(f.ctx, r.Wait+responseMargin)
 	defer cancel()
 	changes, err := f.conf.Platform.Watch(ctx, r.After, r.Wait)
-	var answer configsync.ReadResult
+	var result configsync.ReadResult
 	if err == nil {
-		answer = answerOf(changes)
+		result = readResult(changes)
 	}
 	_ = f.conf.Loop.Call(f.ctx, func() {
 		now := clock.Now()
@@ -172,11 +172,11 @@
 			f.apply(f.node.ReadFailed(now, err))
 			return
 		}
-		f.apply(f.node.ReadDone(now, answer))
+		f.apply(f.node.ReadDone(now, result))
 	})
 }
 
-func answerOf(c *platform.Changes) configsync.ReadResult {
+func readResult(c *platform.Changes) configsync.ReadResult {
 	out := configsync.ReadResult{Revision: c.Revision}
 	for _, ch := range c.Changes {
 		out.Versions = append(out.Versions, configsync.NewVersion(ch.Key, ch.Revision, ch.Deleted, ch.Value))
--- a/internal/configfeed/feed_test.go
+++ b/internal/configfeed/feed_test.go
@@ -19,7 +19,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// member is one entry host's configuration part on loopback.
+// member is the feed of one entry host on loopback.
 type member struct {
 	configsync.Member
 	*Feed
@@ -34,7 +34,7 @@
 	base     string
 	list     []configsync.Member
 	hosts    []*member
-	bytes    *atomic.Int64 // counts traffic between peers if set
+	bytes    *atomic.Int64 // counts the traffic between peers, if not nil
 }
 
 func newFleet(t testing.TB, size int) *fleet {
@@ -114,7 +114,7 @@
 	f.hosts[i] = nil
 }
 
-// revision returns the revision of a service in force, and whether m serves.
+// revision returns the current revision of a service, and whether m is ready.
 func (m *member) revision(name string) (uint64, bool) {
 	s := m.snapshot.Load()
 	if s == nil || !s.Ready {
@@ -139,7 +139,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatalf("revision %d of %s is not in force everywhere", revision, name)
+	t.Fatalf("revision %d of %s did not become current on every host within 30 s", revision, name)
 	return 0
 }
 
@@ -172,9 +172,10 @@
 	f.platform.Publish("services/a", []byte(`{"name":"a"}`))
 	third := f.platform.Publish("services/b", document("b", 3))
 	f.await(t, "b", third)
-	f.await(t, "a", second) // the bad value left the one in force
+	f.await(t, "a", second) // the invalid document did not replace the current one
 
-	// Stale platform: a host that restarts gets the newest from its peers.
+	// While the platform is stale, a host that restarts gets the newest version from
+	// its peers.
 	f.platform.SetFaults(standin.Faults{Stale: true, StaleAt: first})
 	f.kill(1)
 	f.start(t, 1)
@@ -182,13 +183,13 @@
 	got, _ := f.hosts[1].revision("a")
 	is.Equal(got, second)
 
-	// Platform down: likewise.
+	// The same holds while the platform is down.
 	f.platform.SetFaults(standin.Faults{Down: true})
 	f.kill(2)
 	f.start(t, 2)
 	f.await(t, "b", third)
 
-	// It comes back with changes.
+	// The platform recovers with new changes.
 	last := f.platform.Publish("services/a", document("a", 4))
 	f.platform.SetFaults(standin.Faults{})
 	f.await(t, "a", last)
@@ -201,7 +202,9 @@
 	is.Equal(p.Status, configsync.Superseded)
 }
 
-func TestAloneServesAfterTheBound(t *testing.T) {
+// TestSoloStartServesAfterTimeout starts one host of two: the listed peer never
+// responds, and the host must serve after SoloStartTimeout.
+func TestSoloStartServesAfterTimeout(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2)
 	revision := f.platform.Publish("services/a", document("a", 1))
--- a/internal/configfeed/fuzz_test.go
+++ b/internal/configfeed/fuzz_test.go
@@ -13,8 +13,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// FuzzDeliver hands arbitrary bytes to a node as a peer would. The node must
-// not panic, and what it has in force must not fall back.
+// FuzzDeliver passes arbitrary bytes to a node as a message of a peer. The node must
+// not panic, and its current versions must not regress.
 func FuzzDeliver(f *testing.F) {
 	known := configsync.Version{Key: "services/a", ID: configsync.ID{Revision: 5, Digest: 7}}
 	seeds := []configsync.Message{
@@ -51,17 +51,17 @@
 		for range 2 {
 			for _, e := range n.Receive(now, "peer", m).Events {
 				if e.Code == event.ConfigFellBack {
-					t.Fatal("fell back")
+					t.Fatal("node reported that a current version regressed")
 				}
 			}
 		}
 		if n.State().InForceID("services/a").Compare(before) < 0 {
-			t.Fatal("below the version in force before")
+			t.Fatal("the current version is older than before")
 		}
 	})
 }
 
-// TestEncodeDecode checks that each kind of message survives the wire.
+// TestEncodeDecode checks that each type of message survives encoding and decoding.
 func TestEncodeDecode(t *testing.T) {
 	id := configsync.ID{Revision: 5, Digest: 7}
 	r := configsync.Range{Base: 1, To: 5}
--- a/internal/configfeed/measure_test.go
+++ b/internal/configfeed/measure_test.go
@@ -65,8 +65,8 @@
 		`"rules":[{"name":"r","group":"main","repeat":"repeatable"}]}`, name, name, strings.Join(list, ","))
 }
 
-// TestMeasureFeeds measures real feeds over loopback with the documents of the
-// target.
+// TestMeasureFeeds measures real feeds over loopback with documents of the target
+// size.
 func TestMeasureFeeds(t *testing.T) {
 	if os.Getenv("CONFIG_MEASURE") == "" {
 		t.Skip("set CONFIG_MEASURE=1")
@@ -146,7 +146,7 @@
 	return &routing.Group{Config: g, Picker: balancer.Picker(nil)}
 }
 
-// BenchmarkCompile compiles the table of the target.
+// BenchmarkCompile compiles the routing table of the target deployment.
 func BenchmarkCompile(b *testing.B) {
 	var services []*config.Service
 	for i := range targetServices {
--- a/internal/configfeed/transport.go
+++ b/internal/configfeed/transport.go
@@ -20,19 +20,19 @@
 const (
 	// sendTimeout bounds one delivery.
 	sendTimeout = 5 * time.Second
-	// maxSending bounds the deliveries under way; more are dropped.
-	maxSending = 256
-	// compressFrom is the size from which a message is compressed, in bytes.
-	compressFrom = 1 << 10
+	// maxInFlight bounds the deliveries in flight; further messages are dropped.
+	maxInFlight = 256
+	// compressMinBytes is the minimum size of a message that is compressed.
+	compressMinBytes = 1 << 10
 )
 
-// service takes messages from peers.
+// service is the gRPC service that receives messages from peers.
 type service struct {
 	pb.UnimplementedConfigSyncServer
 	feed *Feed
 }
 
-// Deliver implements the published protocol.
+// Deliver implements pb.ConfigSyncServer.
 func (s *service) Deliver(ctx context.Context, env *pb.Envelope) (*pb.DeliverResponse, error) {
 	m := decode(env)
 	if m == nil || env.GetFrom() == "" {
@@ -48,24 +48,25 @@
 
 // sender delivers messages in the background.
 type sender struct {
-	feed    *Feed
-	sending atomic.Int64
-	dropped atomic.Int64
+	feed     *Feed
+	inFlight atomic.Int64
+	dropped  atomic.Int64
 }
 
 func newSender(f *Feed) *sender { return &sender{feed: f} }
 
-// send never blocks. Beyond maxSending it drops and counts.
+// send sends a message without blocking. Beyond maxInFlight it drops the message and
+// reports the number dropped so far.
 func (s *sender) send(out configsync.Outgoing) {
-	if s.sending.Add(1) > maxSending {
-		s.sending.Add(-1)
+	if s.inFlight.Add(1) > maxInFlight {
+		s.inFlight.Add(-1)
 		s.feed.emit(event.Event{Code: event.ConfigSendDropped, Value: s.dropped.Add(1)})
 		return
 	}
 	go func() {
-		defer s.sending.Add(-1)
+		defer s.inFlight.Add(-1)
 		if err := s.deliver(out); err != nil {
-			s.failed(out.To)
+			s.reportFailure(out.To)
 		}
 	}()
 }
@@ -80,14 +81,14 @@
 	defer cancel()
 	env := encode(f.conf.Options.Self.Address, out.Message)
 	var opts []grpc.CallOption
-	if proto.Size(env) >= compressFrom {
+	if proto.Size(env) >= compressMinBytes {
 		opts = append(opts, grpc.UseCompressor(gzip.Name))
 	}
 	_, err = pb.NewConfigSyncClient(conn).Deliver(ctx, env, opts...)
 	return err
 }
 
-func (s *sender) failed(address string) {
+func (s *sender) reportFailure(address string) {
 	f := s.feed
 	_ = f.conf.Loop.Call(f.ctx, func() { f.apply(f.node.PeerFailed(clock.Now(), address)) })
 }
