--- a/pkg/event/catalogue.go
+++ b/pkg/event/catalogue.go
@@ -5,19 +5,20 @@
 	"strconv"
 )
 
-// Entry describes one code.
+// Entry describes an event code.
 type Entry struct {
-	// Name is the stable name in logs.
+	// Name is the event's stable name in logs and metrics.
 	Name string
-	// Level is the log level.
+	// Level is the severity.
 	Level Level
-	// Meaning is one sentence for operators.
+	// Meaning describes the event for operators.
 	Meaning string
 	// Unit is the unit of Event.Value; empty if unused.
 	Unit string
 }
 
-// Catalogue describes every code. Each subsystem has its own range and file.
+// Catalogue describes every event code. Each subsystem has its own range of codes and its
+// own file.
 var Catalogue = merge(
 	processEvents,
 	configEvents,
@@ -32,14 +33,14 @@
 	lifecycleInvariantEvents,
 )
 
-// merge joins the subsystems' entries. Two entries for one code are a
-// programming error, found at start.
+// merge combines the subsystems' entries. It panics if a code is defined twice, so that
+// the programming error shows at start-up.
 func merge(parts ...map[Code]Entry) map[Code]Entry {
 	all := make(map[Code]Entry)
 	for _, p := range parts {
 		for c := range p {
-			if _, twice := all[c]; twice {
-				panic("event code " + strconv.Itoa(int(c)) + " stands twice")
+			if _, exists := all[c]; exists {
+				panic("event code " + strconv.Itoa(int(c)) + " is defined twice")
 			}
 		}
 		maps.Copy(all, p)
@@ -47,7 +48,7 @@
 	return all
 }
 
-// String returns the stable name of c, or its number if it is not catalogued.
+// String returns the stable name of c, or its number if c is not in Catalogue.
 func (c Code) String() string {
 	if e, ok := Catalogue[c]; ok {
 		return e.Name
--- a/pkg/event/catalogue_test.go
+++ b/pkg/event/catalogue_test.go
@@ -16,7 +16,7 @@
 
 const docsPath = "../../docs/EVENTS.md"
 
-// subsystems are the ranges of codes by their thousands.
+// subsystems names the subsystem of each range of codes, indexed by code / codesPerSubsystem.
 var subsystems = []string{
 	1: "The process", 2: "Configuration", 3: "Requests", 4: "Retries and hedging", 5: "Limits and overload",
 	6: "Membership of entry hosts", 7: "Measuring of upstreams", 8: "Lifecycle of upstreams and drain",
@@ -27,7 +27,7 @@
 
 var levelNames = [...]string{Debug: "debug", Info: "info", Warn: "warn", Error: "error"}
 
-// TestDocs compares docs/EVENTS.md with Catalogue; -update rewrites it.
+// TestDocs checks docs/EVENTS.md against Catalogue; -update rewrites the page.
 func TestDocs(t *testing.T) {
 	is := is.New(t)
 	want := docs()
@@ -39,16 +39,16 @@
 	is.Equal(string(got), want) // run go test ./pkg/event -update
 }
 
-func TestEveryEntryIsWhole(t *testing.T) {
+func TestEveryEntryIsComplete(t *testing.T) {
 	is := is.New(t)
 	names := make(map[string]Code)
 	for code, e := range Catalogue {
 		is.True(e.Name != "")                                    // no name
 		is.True(strings.HasSuffix(e.Meaning, "."))               // the meaning is a sentence
-		is.Equal(names[e.Name], Code(0))                         // a name stands twice
+		is.Equal(names[e.Name], Code(0))                         // the name is used twice
 		is.True(int(code)/codesPerSubsystem < len(subsystems))   // a code outside the ranges
 		is.True(code >= codesPerSubsystem)                       // a code outside the ranges
-		is.True(e.Level <= Error)                                // no such level
+		is.True(e.Level <= Error)                                // unknown level
 		is.True(!strings.Contains(e.Name+e.Meaning+e.Unit, "|")) // would break the table
 		names[e.Name] = code
 	}
--- a/pkg/event/drain_events.go
+++ b/pkg/event/drain_events.go
@@ -1,6 +1,6 @@
 package event
 
-// Codes 8xxx: lifecycle of upstreams and drain.
+// Codes 8xxx: lifecycle of upstreams, draining and graceful shutdown.
 const (
 	UpstreamLeaving     Code = 8001
 	UpstreamDrained     Code = 8002
@@ -14,7 +14,7 @@
 	HostCut             Code = 8012
 )
 
-// drainEvents describes the codes 8xxx: lifecycle of upstreams and drain.
+// drainEvents describes the codes 8xxx: lifecycle of upstreams, draining and graceful shutdown.
 var drainEvents = map[Code]Entry{
 	UpstreamLeaving:     {"upstream-leaving", Info, "An upstream takes no new requests; the reason is the source of the news.", "document revision"},
 	UpstreamDrained:     {"upstream-drained", Info, "A leaving upstream has no request of this entry host in flight.", ""},
--- a/pkg/event/execution_events.go
+++ b/pkg/event/execution_events.go
@@ -1,6 +1,6 @@
 package event
 
-// Codes 9xxx: single execution.
+// Codes 9xxx: at-most-once execution.
 const (
 	TicketIssued      Code = 9001
 	TicketRefused     Code = 9002
@@ -17,7 +17,7 @@
 	TicketDenied      Code = 9013
 )
 
-// executionEvents describes the codes 9xxx: single execution of non-repeatable requests.
+// executionEvents describes the codes 9xxx: at-most-once execution of non-repeatable requests.
 var executionEvents = map[Code]Entry{
 	TicketIssued:      {"ticket-issued", Debug, "A ticket was offered to a caller.", "sequence number"},
 	TicketRefused:     {"ticket-refused", Warn, "No ticket could be issued; the reason names the bound.", ""},
--- a/pkg/event/invariant_events.go
+++ b/pkg/event/invariant_events.go
@@ -1,6 +1,6 @@
 package event
 
-// Codes 10xxx: broken invariants. 109xx: single execution.
+// Codes 10900-10999: violated invariants of at-most-once execution.
 const (
 	InvariantTicketNeverIssued Code = 10901
 	InvariantSecondSend        Code = 10902
@@ -8,7 +8,7 @@
 	InvariantFalseNotRun       Code = 10904
 )
 
-// Codes 10600-10699: broken invariants of membership.
+// Codes 10600-10699: violated invariants of membership.
 const (
 	InvariantIncarnationBack Code = 10600
 	InvariantSelfOverwritten Code = 10601
@@ -16,17 +16,18 @@
 	InvariantWakingJudged    Code = 10603
 )
 
-// Codes 10200-10299: broken invariants of configuration.
+// Codes 10200-10299: violated invariants of configuration.
 const (
 	ConfigFellBack Code = 10201
 )
 
-// Codes 104xx: broken invariants of the request path.
+// Codes 10400-10499: violated invariants of the request path.
 const (
 	NonRepeatableResend Code = 10401
 )
 
-// invariantEvents describes the codes 10xxx: broken invariants; each stops the request concerned, not the process.
+// invariantEvents describes the codes 10xxx: violated invariants. A violation stops the
+// request concerned, not the process.
 var invariantEvents = map[Code]Entry{
 	InvariantTicketNeverIssued: {"invariant-ticket-never-issued", Error, "A verified ticket carries a number that this process never issued; it is not run.", "sequence number"},
 	InvariantSecondSend:        {"invariant-second-send", Error, "A second send was asked for while the first may have run; it is not sent.", "sequence number"},
--- a/pkg/event/lifecycle_invariant_events.go
+++ b/pkg/event/lifecycle_invariant_events.go
@@ -1,6 +1,6 @@
 package event
 
-// Codes 10700 to 10899: broken invariants of measuring and drain.
+// Codes 10700-10899: violated invariants of probing (107xx) and draining (108xx).
 const (
 	ProbeOverBudget  Code = 10700
 	GrantNotOpen     Code = 10701
@@ -8,7 +8,8 @@
 	ChartStepMissing Code = 10801
 )
 
-// lifecycleInvariantEvents describes the codes 10700 to 10899.
+// lifecycleInvariantEvents describes the codes 10700-10899: violated invariants of probing
+// and draining.
 var lifecycleInvariantEvents = map[Code]Entry{
 	ProbeOverBudget:  {"probe-over-budget", Error, "A probe was due sooner than this host's share allows; it was not sent.", "ns too early"},
 	GrantNotOpen:     {"grant-not-open", Error, "A probe ended that the budget did not know.", ""},
--- a/pkg/event/limit_events.go
+++ b/pkg/event/limit_events.go
@@ -1,6 +1,6 @@
 package event
 
-// Codes 5xxx: limits, queues and shedding.
+// Codes 5xxx: limits, queues and load shedding.
 const (
 	RequestQueued Code = 5001
 	QueueLeft     Code = 5002
@@ -10,7 +10,7 @@
 	CustomerOver  Code = 5006
 )
 
-// limitEvents describes the codes 5xxx: limits, queues and shedding.
+// limitEvents describes the codes 5xxx: limits, queues and load shedding.
 var limitEvents = map[Code]Entry{
 	RequestQueued: {"request-queued", Debug, "A request waits on this entry host for a slot; the reason says what was full.", "requests waiting"},
 	QueueLeft:     {"queue-left", Debug, "A request that waited is sent.", "time waited, microseconds"},
--- a/pkg/event/measure_events.go
+++ b/pkg/event/measure_events.go
@@ -1,6 +1,6 @@
 package event
 
-// Codes 7xxx: measuring upstreams. 7000 to 7099 are probes and their budget.
+// Codes 7xxx: load measurement of upstreams. Codes 7000-7099 are for probes and their budget.
 const (
 	ProbeSent      Code = 7001
 	ProbeAnswered  Code = 7002
@@ -9,7 +9,7 @@
 	BudgetRejected Code = 7005
 )
 
-// measureEvents describes the codes 7xxx: measuring upstreams.
+// measureEvents describes the codes 7xxx: load measurement of upstreams.
 var measureEvents = map[Code]Entry{
 	ProbeSent:      {"probe-sent", Debug, "A probe is sent; its slot time is charged to this host's share.", "ns of slot time"},
 	ProbeAnswered:  {"probe-answered", Debug, "A probe brought a report of load.", "requests active there"},
