--- a/internal/events/fanout.go
+++ b/internal/events/fanout.go
@@ -2,7 +2,7 @@
 
 import "github.com/dapplespindle/dapplespindle/pkg/event"
 
-// Fanout passes each event to several sinks in order.
+// Fanout forwards each event to several sinks in order.
 type Fanout []event.Sink
 
 // Emit implements event.Sink.
--- a/internal/events/filter.go
+++ b/internal/events/filter.go
@@ -2,15 +2,15 @@
 
 import "github.com/dapplespindle/dapplespindle/pkg/event"
 
-// Filter selects events. A zero field selects all.
+// Filter selects events. A zero field matches any value.
 type Filter struct {
-	// Request is a caller's request id.
+	// Request is a caller's request ID.
 	Request string
-	// Service, Rule and Upstream are compared exactly.
+	// Service, Rule and Upstream must match exactly.
 	Service, Rule, Upstream string
-	// MinCode and MaxCode bound the event's code; MaxCode 0 means no bound.
+	// MinCode and MaxCode bound the event's code; a MaxCode of 0 means no upper bound.
 	MinCode, MaxCode event.Code
-	// MinLevel is the lowest level.
+	// MinLevel is the lowest level selected.
 	MinLevel event.Level
 }
 
@@ -20,19 +20,19 @@
 		return false
 	}
 	return levelOf(e.Code) >= f.MinLevel &&
-		same(f.Request, e.Request) &&
-		same(f.Service, e.Service) &&
-		same(f.Rule, e.Rule) &&
-		same(f.Upstream, e.Upstream)
+		matches(f.Request, e.Request) &&
+		matches(f.Service, e.Service) &&
+		matches(f.Rule, e.Rule) &&
+		matches(f.Upstream, e.Upstream)
 }
 
-func same(want, got string) bool { return want == "" || want == got }
+func matches(want, got string) bool { return want == "" || want == got }
 
 // numCodes is the number of values of event.Code.
 const numCodes = 1 << 16
 
-// levels is the catalogue's level of each code, as an array: a map look-up on
-// the call path costs several times as much.
+// levels maps each code to its level in event.Catalogue. It is an array because a map
+// lookup on the request path costs several times as much.
 var levels = func() [numCodes]event.Level {
 	var t [numCodes]event.Level
 	for c, entry := range event.Catalogue {
--- a/internal/events/ring.go
+++ b/internal/events/ring.go
@@ -1,9 +1,9 @@
-// Package events keeps an entry host's recent decision events in bounded
-// memory and passes them to live watchers.
+// Package events keeps an entry host's recent decision events in bounded memory and
+// streams them to live watchers.
 //
-// Ring is an event.Sink for traffic goroutines: Emit never waits. What is not
-// kept is counted, by cause, in Stats. Events of one request stand in one
-// shard, so that a look-up by request id reads a small part of the ring.
+// Ring is an event.Sink for the goroutines that serve requests: Emit never blocks. Events
+// that are not kept are counted by cause in Stats. All events of a request are in the same
+// shard, so that a lookup by request ID reads only a small part of the ring.
 package events
 
 import (
@@ -25,12 +25,12 @@
 	defaultSubscriberBuffer = 1024
 )
 
-// Config bounds a Ring.
+// Config sets the limits of a Ring.
 type Config struct {
-	// Capacity is the number of events kept; 168 bytes each, and their texts. Default: 32768.
+	// Capacity is the number of events kept, at 168 bytes each plus their texts. Default: 32768.
 	Capacity int
-	// DebugPerSecond is the number of Debug events kept in a second before
-	// sampling begins. Events of a higher level are always kept. Default: 20000.
+	// DebugPerSecond is the number of Debug events kept per second before sampling
+	// starts. Events of a higher level are not sampled. Default: 20000.
 	DebugPerSecond int
 }
 
@@ -38,11 +38,12 @@
 type Stats struct {
 	// Kept counts the events written to the ring.
 	Kept uint64
-	// SampledOut counts the Debug events over the budget.
+	// SampledOut counts the Debug events beyond the budget that sampling dropped.
 	SampledOut uint64
-	// DroppedBusy counts the events lost because the ring was being read.
+	// DroppedBusy counts the events that were dropped because their shard stayed locked
+	// while it was being read.
 	DroppedBusy uint64
-	// DroppedWatchers counts the events that a slow watcher missed.
+	// DroppedWatchers counts the events that slow watchers missed.
 	DroppedWatchers uint64
 	// Watchers is the number of live watchers.
 	Watchers int
@@ -96,8 +97,8 @@
 	}
 }
 
-// notify passes e to the watchers. A watcher of one request sees all of its
-// events; the others see what the ring kept.
+// notify offers e to the watchers. A watcher of one request gets all of its events; other
+// watchers get only the events that the ring kept.
 func (r *Ring) notify(subs []*Subscription, e *event.Event, kept bool) {
 	for _, s := range subs {
 		if !kept && s.filter.Request == "" {
@@ -120,7 +121,7 @@
 	return out
 }
 
-// Recent returns the newest kept events that f selects, oldest first, limit at most.
+// Recent returns at most limit of the newest kept events that f selects, oldest first.
 func (r *Ring) Recent(f Filter, limit int) []event.Event {
 	var out []event.Event
 	for i := range r.shards {
@@ -134,7 +135,7 @@
 	slices.SortStableFunc(events, func(a, b event.Event) int { return a.At.Compare(b.At) })
 }
 
-// Stats returns the counts.
+// Stats returns the current counts.
 func (r *Ring) Stats() Stats {
 	st := Stats{
 		SampledOut:      r.sampledOut.Load(),
--- a/internal/events/ring_test.go
+++ b/internal/events/ring_test.go
@@ -15,9 +15,9 @@
 
 func TestLookupFindsTheEventsOfOneRequest(t *testing.T) {
 	is := is.New(t)
-	const sends = 20 // both requests may stand in one shard
-	r := NewRing(Config{Capacity: numShards * sends})
-	for i := range sends {
+	const attempts = 20 // both requests may be in the same shard
+	r := NewRing(Config{Capacity: numShards * attempts})
+	for i := range attempts {
 		id := strconv.Itoa(i % 2)
 		r.Emit(event.Event{Code: event.UpstreamChosen, Request: id, At: start, Attempt: i})
 	}
@@ -39,7 +39,7 @@
 	is.Equal(got[3].Attempt, 99)
 }
 
-func TestOverBudgetKeepsRefusalsAndCountsTheRest(t *testing.T) {
+func TestOverBudgetKeepsHigherLevelsAndCountsSampledOut(t *testing.T) {
 	is := is.New(t)
 	r := NewRing(Config{Capacity: 1 << 14, DebugPerSecond: numShards})
 	const n = 1000
@@ -53,7 +53,7 @@
 	is.Equal(len(r.Recent(Filter{MinLevel: event.Info}, 4*n)), 3*n)
 	st := r.Stats()
 	is.Equal(st.Kept+st.SampledOut, uint64(4*n))
-	is.True(st.Kept <= 3*n+hardLimit*numShards)
+	is.True(st.Kept <= 3*n+hardLimitFactor*numShards)
 	r.Emit(event.Event{Code: event.RequestAnswered, Request: "later", At: start.Add(time.Second)})
 	is.Equal(len(r.Lookup("later")), 1) // the budget is per second
 }
@@ -97,7 +97,7 @@
 	}
 }
 
-// TestConcurrentUse lets the race detector see writers, readers and watchers.
+// TestConcurrentUse runs writers, readers and watchers concurrently, for the race detector.
 func TestConcurrentUse(t *testing.T) {
 	is := is.New(t)
 	r := NewRing(Config{Capacity: 256})
--- a/internal/events/shard.go
+++ b/internal/events/shard.go
@@ -8,32 +8,35 @@
 )
 
 const (
-	// debugAttempts is how often a writer tries a shard's lock before it drops a
-	// Debug event.
+	// debugAttempts is the number of times that a writer tries to lock a shard before it
+	// drops a Debug event.
 	debugAttempts = 64
-	// keepAttempts is the same for a higher level; the writer yields between tries.
-	keepAttempts = 4096
-	// scanChunk is the number of slots that a reader visits under one lock, so
-	// that a writer meets a held lock for microseconds at most.
+	// yieldAttempts is the number of further attempts for an event of a higher level; the
+	// writer yields before each of them.
+	yieldAttempts = 4096
+	// scanChunk is the number of slots that a reader scans before it releases the lock, so
+	// that it holds the lock for microseconds at most.
 	scanChunk = 32
-	// sampleMask keeps one request in 16 whole once a shard's budget is spent.
+	// sampleMask selects one request in 16, whose events are kept once a shard's budget is
+	// spent.
 	sampleMask = 15
-	// hardLimit times the budget, not even sampled Debug events are kept.
-	hardLimit = 2
+	// hardLimitFactor times the budget is the limit beyond which sampled Debug events are
+	// dropped too.
+	hardLimitFactor = 2
 )
 
-// shard is one part of the ring: a fixed array that is written round and round.
+// shard is one part of the ring: a circular buffer of fixed size.
 type shard struct {
 	mu     sync.Mutex
 	slots  []event.Event
 	next   uint64
 	second int64
 	spent  int
-	_      [64]byte // keeps neighbours' locks off this cache line
+	_      [64]byte // padding against false sharing between adjacent shards
 }
 
-// lock tries for the shard's lock for a bounded time, longer for events that
-// should always be kept.
+// lock tries a bounded number of times to lock the shard, more often for events of a level
+// above Debug, which should always be kept.
 func (s *shard) lock(level event.Level) bool {
 	for range debugAttempts {
 		if s.mu.TryLock() {
@@ -43,7 +46,7 @@
 	if level == event.Debug {
 		return false
 	}
-	for range keepAttempts {
+	for range yieldAttempts {
 		runtime.Gosched()
 		if s.mu.TryLock() {
 			return true
@@ -52,8 +55,9 @@
 	return false
 }
 
-// admit decides, under the lock, whether a Debug event is within the budget of
-// its second. Over it, one request in 16 is kept whole.
+// admit reports whether a Debug event is to be kept: it is within the budget of its second,
+// or belongs to the one request in 16 whose events are kept beyond the budget, up to the
+// hard limit. s.mu must be held.
 func (s *shard) admit(e *event.Event, hash uint64, budget int) bool {
 	if now := e.At.Unix(); now != s.second {
 		s.second = now
@@ -63,21 +67,21 @@
 		s.spent++
 		return true
 	}
-	if s.spent >= hardLimit*budget || (hash>>32)&sampleMask != 0 {
+	if s.spent >= hardLimitFactor*budget || (hash>>32)&sampleMask != 0 {
 		return false
 	}
 	s.spent++
 	return true
 }
 
-// put stores e over the oldest event.
+// put overwrites the oldest event with e. s.mu must be held.
 func (s *shard) put(e *event.Event) {
 	s.slots[s.next%uint64(len(s.slots))] = *e
 	s.next++
 }
 
-// scan appends the stored events that f selects, oldest first. Events that are
-// overwritten while it runs are passed over.
+// scan appends the stored events that f selects to out, oldest first. Events that are
+// overwritten during the scan are skipped.
 func (s *shard) scan(f *Filter, out []event.Event) []event.Event {
 	size := uint64(len(s.slots))
 	s.mu.Lock()
--- a/internal/events/subscription.go
+++ b/internal/events/subscription.go
@@ -7,9 +7,9 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// Subscription is one live watcher. Its owner reads C and calls Close.
+// Subscription is a live watcher. Its owner receives from C and calls Close.
 type Subscription struct {
-	// C carries the selected events. It is never closed.
+	// C delivers the selected events. It is never closed.
 	C       <-chan event.Event
 	out     chan event.Event
 	filter  Filter
@@ -17,8 +17,8 @@
 	ring    *Ring
 }
 
-// Subscribe adds a watcher of the events that f selects. It buffers the given
-// number of events (default 1024); when the buffer is full, events are dropped
+// Subscribe adds a watcher of the events that f selects, with a buffer for the given number
+// of events (1024 if buffer is less than 1). When the buffer is full, events are dropped
 // and counted.
 func (r *Ring) Subscribe(f Filter, buffer int) *Subscription {
 	if buffer < 1 {
@@ -50,7 +50,8 @@
 	}
 }
 
-// updateSubs replaces the list of watchers; readers hold the old one or the new one.
+// updateSubs replaces the list of watchers with a changed copy, so that concurrent readers
+// see either the old list or the new one.
 func (r *Ring) updateSubs(change func([]*Subscription) []*Subscription) {
 	r.subMu.Lock()
 	defer r.subMu.Unlock()
