--- a/internal/logging/library.go
+++ b/internal/logging/library.go
@@ -10,20 +10,20 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// library passes the event loop's own messages on as numbered events. Its
-// debug and info lines are dropped.
+// library forwards the event loop library's own messages as numbered events. Its debug and
+// info messages are dropped.
 type library struct {
 	events event.Sink
 }
 
-// CaptureLibrary sends the event loop library's warnings and errors to events
-// instead of standard output. It changes a variable of the library, so it is
-// called once, before any engine is made.
+// CaptureLibrary sends the event loop library's warnings and errors to events instead of
+// standard output. It sets a global variable of the library, so it is called once, before
+// any engine is created.
 func CaptureLibrary(events event.Sink) {
 	nbiolog.SetLogger(library{events})
 }
 
-// SetLevel does nothing: levels are ours.
+// SetLevel does nothing: event.Catalogue determines the levels.
 func (library) SetLevel(int) {}
 
 // Debug drops the message.
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -16,8 +16,8 @@
 	event.Error: zerolog.ErrorLevel,
 }
 
-// timeFormat is RFC 3339 with milliseconds, so that lines of several hosts can be
-// put in order.
+// timeFormat is RFC 3339 with milliseconds, so that lines of several hosts can be ordered
+// by time.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 // Sink writes events to a zerolog logger.
@@ -38,7 +38,7 @@
 	}
 }
 
-// Write writes an event whatever its level.
+// Write writes an event regardless of its level.
 func (s *Sink) Write(e event.Event) {
 	entry := event.Catalogue[e.Code]
 	line := s.log.Log().Str(zerolog.LevelFieldName, levels[entry.Level].String())
--- a/internal/logging/trails_test.go
+++ b/internal/logging/request_logger_test.go
@@ -13,7 +13,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-func trailAt(at time.Time, lines int) []event.Event {
+// refusedRequest returns the events of a request that was refused at the given time.
+func refusedRequest(at time.Time, lines int) []event.Event {
 	out := make([]event.Event, lines)
 	for i := range out {
 		out[i] = event.Event{Code: event.RequestRefused, At: at, Request: "r"}
@@ -24,38 +25,40 @@
 func TestTrailsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	trails := NewRequestLogger(New(&out, zerolog.InfoLevel))
+	logger := NewRequestLogger(New(&out, zerolog.InfoLevel))
 	start := time.Unix(1000, 0)
 	for i := range 10_000 { // in one second
-		trails.Ended(trailAt(start.Add(time.Duration(i)*100*time.Microsecond), 4), true)
+		logger.Ended(refusedRequest(start.Add(time.Duration(i)*100*time.Microsecond), 4), true)
 	}
 	lines := bytes.Count(out.Bytes(), []byte("\n"))
 	is.True(lines <= LineBurst+LinesPerSecond)
 	is.True(lines >= LineBurst)
-	is.Equal(int64(10_000-lines/4), trails.Dropped())
+	is.Equal(int64(10_000-lines/4), logger.Dropped())
 }
 
-// TestFailedRequestsGoFirst: ordinary requests can't use up the bound.
-func TestFailedRequestsGoFirst(t *testing.T) {
+// TestNotableRequestsTakePrecedence checks that ordinary requests can't use up the burst
+// that is reserved for notable ones.
+func TestNotableRequestsTakePrecedence(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	trails := NewRequestLogger(New(&out, zerolog.InfoLevel))
+	logger := NewRequestLogger(New(&out, zerolog.InfoLevel))
 	at := time.Unix(1000, 0)
 	for range 100 * OrdinarySampling {
-		trails.Ended(trailAt(at, 100), false)
+		logger.Ended(refusedRequest(at, 100), false)
 	}
 	ordinary := bytes.Count(out.Bytes(), []byte("\n"))
 	is.True(ordinary > 0 && ordinary <= LineBurst-OrdinaryReserve)
-	trails.Ended(trailAt(at, OrdinaryReserve), true)
+	logger.Ended(refusedRequest(at, OrdinaryReserve), true)
 	is.Equal(bytes.Count(out.Bytes(), []byte("\n")), ordinary+OrdinaryReserve)
 }
 
-// stuck is a reader of the output that stopped reading.
-type stuck struct {
+// stalledWriter blocks each Write while its mutex is locked, like an output whose reader
+// stopped reading.
+type stalledWriter struct {
 	mu sync.Mutex
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *stalledWriter) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(b), nil
@@ -63,9 +66,9 @@
 
 func TestSlowReaderDoesNotBlock(t *testing.T) {
 	is := is.New(t)
-	reader := new(stuck)
-	reader.mu.Lock()
-	w := NonBlocking(reader)
+	output := new(stalledWriter)
+	output.mu.Lock()
+	w := NonBlocking(output)
 	log := New(w, zerolog.InfoLevel)
 	done := make(chan struct{})
 	go func() {
@@ -77,14 +80,14 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a writer waits for the reader")
+		t.Fatal("writing log lines blocked on a stalled output for 10 s")
 	}
-	reader.mu.Unlock()
+	output.mu.Unlock()
 	is.NoErr(w.Close())
 	is.True(w.Dropped() > 0)
 }
 
-func TestOnlyEventsWithoutRequestPass(t *testing.T) {
+func TestProcessLoggerSkipsEventsOfRequests(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	sink := NewProcessLogger(New(&out, zerolog.InfoLevel))
@@ -94,7 +97,7 @@
 	is.True(out.Len() > 0)
 }
 
-func TestOtherLinesAreBounded(t *testing.T) {
+func TestLinesWithoutRequestAreBounded(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	sink := NewProcessLogger(New(&out, zerolog.InfoLevel))
