--- a/internal/tracing/hop.go
+++ b/internal/tracing/hop.go
@@ -13,8 +13,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// Hop is one request on this entry host. Its methods may be called by several
-// goroutines, as hedged attempts do.
+// Hop traces a request on this entry host. Its methods are safe for concurrent use, which
+// hedged attempts rely on.
 type Hop struct {
 	tracer    *Tracer
 	ctx       context.Context
@@ -26,7 +26,7 @@
 	attempts []attempt
 }
 
-// attempt is one send with its client span.
+// attempt is one attempt to send the request, with its client span.
 type attempt struct {
 	number int
 	ctx    context.Context
@@ -34,9 +34,9 @@
 	ended  bool
 }
 
-// Emit turns a decision on this request into spans. It implements event.Sink.
-// A request that isn't sampled has no client spans: its sends carry the server
-// span's context, which tells the upstream that it isn't sampled.
+// Emit records a decision about this request in its spans. It implements event.Sink.
+// A request that isn't sampled has no client spans: its attempts carry the server span's
+// context, which tells the upstream that the request isn't sampled.
 func (h *Hop) Emit(e event.Event) {
 	if h == nil || !h.recording {
 		return
@@ -69,7 +69,8 @@
 	span.SetAttributes(attributes(e)...)
 }
 
-// endAttempt ends the newest open attempt with the event's number.
+// endAttempt ends the newest open attempt with the event's attempt number. If there is
+// none, the event is added to the server span.
 func (h *Hop) endAttempt(e *event.Event, status codes.Code) {
 	for i := len(h.attempts) - 1; i >= 0; i-- {
 		a := &h.attempts[i]
@@ -85,7 +86,7 @@
 	h.note(e)
 }
 
-// finish ends the server span with the answer to the caller.
+// finish ends the server span with the response to the caller.
 func (h *Hop) finish(e *event.Event) {
 	h.server.SetAttributes(attributes(e)...)
 	h.server.SetAttributes(attribute.Int64("http.response.status_code", e.Value))
@@ -95,13 +96,13 @@
 	h.server.End(trace.WithTimestamp(e.At))
 }
 
-// note adds a decision that is neither a start nor an end to the server span.
+// note adds the event to the server span as a span event.
 func (h *Hop) note(e *event.Event) {
 	h.server.AddEvent(e.Code.String(), trace.WithTimestamp(e.At), trace.WithAttributes(attributes(e)...))
 }
 
-// Inject sets the traceparent header of a send to its client span. It is
-// called after the attempt's UpstreamChosen event.
+// Inject sets the traceparent header of an attempt to its client span. It is called after
+// the attempt's UpstreamChosen event.
 func (h *Hop) Inject(number int, header http.Header) {
 	if h == nil {
 		return
@@ -120,8 +121,8 @@
 	}
 }
 
-// End ends the spans that are still open, such as those of a hedge that lost
-// or of a caller that went away. It may be called more than once.
+// End ends the spans that are still open, such as that of a hedged attempt that lost or
+// those of a request whose caller disconnected. It may be called more than once.
 func (h *Hop) End() {
 	if h == nil {
 		return
@@ -140,7 +141,7 @@
 	h.server.End()
 }
 
-// attributes are the fields of an event that are set.
+// attributes returns the non-empty fields of an event as span attributes.
 func attributes(e *event.Event) []attribute.KeyValue {
 	out := make([]attribute.KeyValue, 0, 6)
 	add := func(key, value string) {
--- a/internal/tracing/queue.go
+++ b/internal/tracing/queue.go
@@ -10,19 +10,18 @@
 )
 
 const (
-	// queueLength is the number of ended spans that may wait for export.
+	// queueLength is the maximum number of ended spans that wait for export.
 	queueLength = 8192
-	// batchSize is the number of spans in one export.
+	// batchSize is the maximum number of spans in one export.
 	batchSize = 512
-	// exportEvery is the longest time that a span waits for its batch.
-	exportEvery = time.Second
+	// exportInterval is the longest time that a span waits for its batch to fill.
+	exportInterval = time.Second
 	// exportTimeout bounds one export.
 	exportTimeout = 5 * time.Second
 )
 
-// queue is a span processor that never blocks a request: a span that finds the
-// queue full is dropped and counted, which the library's own processor does
-// not tell.
+// queue is a span processor that never blocks a request: when the queue is full, spans are
+// dropped and counted. The library's own batch processor does not report how many it drops.
 type queue struct {
 	exporter sdktrace.SpanExporter
 	spans    chan sdktrace.ReadOnlySpan
@@ -60,10 +59,10 @@
 	}
 }
 
-// run exports batches until the queue is stopped, and then what is left.
+// run exports batches until the queue is stopped, and then exports the remaining spans.
 func (q *queue) run() {
 	defer close(q.stopped)
-	ticker := time.NewTicker(exportEvery)
+	ticker := time.NewTicker(exportInterval)
 	defer ticker.Stop()
 	batch := make([]sdktrace.ReadOnlySpan, 0, batchSize)
 	for {
@@ -86,7 +85,7 @@
 	}
 }
 
-// drain exports the batch and everything that waits.
+// drain exports the batch and all queued spans.
 func (q *queue) drain(batch []sdktrace.ReadOnlySpan) []sdktrace.ReadOnlySpan {
 	for {
 		select {
--- a/internal/tracing/tracer.go
+++ b/internal/tracing/tracer.go
@@ -1,10 +1,10 @@
-// Package tracing makes a span for each hop of a request from its decision
-// events: a server span on the entry host, and a client span for each send to
-// an upstream. Spans are exported by OTLP over gRPC; tracing is off by default.
+// Package tracing creates the spans of a request from its decision events: a server span
+// for the entry host, and a client span for each attempt to send the request to an
+// upstream. Spans are exported by OTLP over gRPC; tracing is off by default.
 //
-// A nil *Tracer and the nil *Hop that it begins are valid and do nothing, so
-// that the call path needs no branch of its own. With tracing off a caller's
-// traceparent header passes through unchanged.
+// A nil *Tracer and the nil *Hop that it returns are valid and do nothing, so that the
+// request path needs no special case. If tracing is off, a caller's traceparent header is
+// passed through unchanged.
 package tracing
 
 import (
@@ -24,20 +24,21 @@
 
 const scopeName = "github.com/dapplespindle/dapplespindle/internal/tracing"
 
-// Config selects where spans go.
+// Config configures a Tracer.
 type Config struct {
-	// Endpoint is the collector's "host:port" for OTLP over gRPC; empty is off.
+	// Endpoint is the collector's "host:port" for OTLP over gRPC. Tracing is off if it is
+	// empty.
 	Endpoint string
-	// Credentials secure the connection to the collector; nil connects without TLS.
+	// Credentials secure the connection to the collector. If nil, TLS is not used.
 	Credentials credentials.TransportCredentials
-	// Ratio is the share of requests traced, from 0 to 1, when the caller's
-	// traceparent doesn't decide.
+	// Ratio is the fraction of requests that are sampled, from 0 to 1, if the caller's
+	// traceparent header doesn't decide.
 	Ratio float64
-	// Host, FailureDomain and Build describe this process on its spans.
+	// Host, FailureDomain and Build identify this process on its spans.
 	Host, FailureDomain, Build string
 }
 
-// Tracer begins hops.
+// Tracer creates and exports the spans of requests.
 type Tracer struct {
 	provider   *sdktrace.TracerProvider
 	tracer     trace.Tracer
@@ -45,8 +46,8 @@
 	queue      *queue
 }
 
-// New returns a tracer that exports to c.Endpoint, or nil if that is empty. It
-// does not wait for the collector.
+// New returns a tracer that exports to c.Endpoint, or nil if c.Endpoint is empty. It does
+// not wait for a connection to the collector.
 func New(ctx context.Context, c Config) (*Tracer, error) {
 	if c.Endpoint == "" {
 		return nil, nil
@@ -81,8 +82,8 @@
 	return &Tracer{provider: provider, tracer: provider.Tracer(scopeName), queue: q}
 }
 
-// Begin starts the server span of a request that arrived at the given time,
-// below the span in the caller's traceparent header.
+// Begin starts the server span of a request that arrived at the given time, as a child of
+// the span in the caller's traceparent header, if any.
 func (t *Tracer) Begin(request string, h http.Header, arrived time.Time) *Hop {
 	if t == nil {
 		return nil
@@ -98,8 +99,8 @@
 	return hop
 }
 
-// Dropped returns the number of spans that found the export queue full or
-// that the collector did not take.
+// Dropped returns the number of spans that were dropped because the export queue was full
+// or the export failed.
 func (t *Tracer) Dropped() uint64 {
 	if t == nil {
 		return 0
@@ -107,7 +108,8 @@
 	return t.queue.dropped.Load()
 }
 
-// Stop exports what is queued, until ctx ends.
+// Stop exports the queued spans and shuts the exporter down. It waits until ctx is done at
+// most.
 func (t *Tracer) Stop(ctx context.Context) error {
 	if t == nil {
 		return nil
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -27,8 +27,9 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// play is a request whose first attempt fails and whose second is answered.
-func play(hop *Hop, header http.Header) {
+// emitRetriedRequest emits the events of a request whose first attempt fails and whose
+// second attempt is answered.
+func emitRetriedRequest(hop *Hop, header http.Header) {
 	hop.Emit(event.Event{Code: event.RequestReceived, At: start, Service: "catalogue"})
 	hop.Emit(event.Event{Code: event.UpstreamChosen, At: start, Upstream: "c-1", Attempt: 1})
 	hop.Inject(1, header)
@@ -45,7 +46,7 @@
 	out := tracetest.NewInMemoryExporter()
 	tracer := newTracer(Config{}, out)
 	header := http.Header{"Traceparent": {traceparent}}
-	play(tracer.Begin("r-1", header, start), header)
+	emitRetriedRequest(tracer.Begin("r-1", header, start), header)
 	is.NoErr(tracer.provider.ForceFlush(context.Background()))
 	spans := out.GetSpans()
 	is.Equal(len(spans), 3)
@@ -69,26 +70,26 @@
 	out := tracetest.NewInMemoryExporter()
 	tracer := newTracer(Config{Ratio: 1}, out)
 	header := http.Header{"Traceparent": {strings.TrimSuffix(traceparent, "1") + "0"}}
-	play(tracer.Begin("r-1", header, start), header)
+	emitRetriedRequest(tracer.Begin("r-1", header, start), header)
 	is.NoErr(tracer.provider.ForceFlush(context.Background()))
 	is.Equal(len(out.GetSpans()), 0)
 	is.True(strings.HasPrefix(header.Get("traceparent"), "00-"+traceID))
 }
 
-func TestOffPassesTheHeaderOn(t *testing.T) {
+func TestHeaderIsUnchangedIfTracingIsOff(t *testing.T) {
 	is := is.New(t)
 	tracer, err := New(context.Background(), Config{})
 	is.NoErr(err)
 	is.True(tracer == nil)
 	header := http.Header{"Traceparent": {traceparent}}
-	play(tracer.Begin("r-1", header, start), header)
+	emitRetriedRequest(tracer.Begin("r-1", header, start), header)
 	is.Equal(header.Get("traceparent"), traceparent)
 	is.NoErr(tracer.Stop(context.Background()))
 	_, err = New(context.Background(), Config{Endpoint: "127.0.0.1:1", Ratio: 2})
 	is.True(err != nil)
 }
 
-// TestHedgedAttempts lets the race detector see two attempts of one request.
+// TestHedgedAttempts runs two attempts of one request concurrently, for the race detector.
 func TestHedgedAttempts(t *testing.T) {
 	is := is.New(t)
 	out := tracetest.NewInMemoryExporter()
@@ -110,32 +111,32 @@
 	hop.End()
 	hop.End()
 	is.NoErr(tracer.provider.ForceFlush(context.Background()))
-	is.Equal(len(out.GetSpans()), 3) // the loser's span is ended too
+	is.Equal(len(out.GetSpans()), 3) // the span of the attempt that lost is ended too
 }
 
-// failing is an exporter whose collector takes nothing.
-type failing struct{ sdktrace.SpanExporter }
+// failingExporter is an exporter whose exports all fail.
+type failingExporter struct{ sdktrace.SpanExporter }
 
-func (failing) ExportSpans(context.Context, []sdktrace.ReadOnlySpan) error {
-	return errors.New("collector is away")
+func (failingExporter) ExportSpans(context.Context, []sdktrace.ReadOnlySpan) error {
+	return errors.New("collector is unavailable")
 }
-func (failing) Shutdown(context.Context) error { return nil }
+func (failingExporter) Shutdown(context.Context) error { return nil }
 
-func TestSpansNotTakenAreCounted(t *testing.T) {
+func TestSpansOfFailedExportsAreCounted(t *testing.T) {
 	is := is.New(t)
-	tracer := newTracer(Config{Ratio: 1}, failing{})
-	play(tracer.Begin("r-1", http.Header{}, start), http.Header{})
+	tracer := newTracer(Config{Ratio: 1}, failingExporter{})
+	emitRetriedRequest(tracer.Begin("r-1", http.Header{}, start), http.Header{})
 	is.NoErr(tracer.Stop(context.Background()))
 	is.Equal(tracer.Dropped(), uint64(3))
 }
 
-// sink is a collector that counts spans.
-type sink struct {
+// countingCollector is a collector that reports the number of spans of each export.
+type countingCollector struct {
 	collector.UnimplementedTraceServiceServer
 	spans chan int
 }
 
-func (s *sink) Export(_ context.Context, req *collector.ExportTraceServiceRequest) (*collector.ExportTraceServiceResponse, error) {
+func (s *countingCollector) Export(_ context.Context, req *collector.ExportTraceServiceRequest) (*collector.ExportTraceServiceResponse, error) {
 	s.spans <- len(req.GetResourceSpans()[0].GetScopeSpans()[0].GetSpans())
 	return &collector.ExportTraceServiceResponse{}, nil
 }
@@ -144,23 +145,23 @@
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	s := &sink{spans: make(chan int, 1)}
+	s := &countingCollector{spans: make(chan int, 1)}
 	server := grpc.NewServer()
 	collector.RegisterTraceServiceServer(server, s)
 	go func() { _ = server.Serve(ln) }()
 	defer server.Stop()
 	tracer, err := New(context.Background(), Config{Endpoint: ln.Addr().String(), Ratio: 1})
 	is.NoErr(err)
-	play(tracer.Begin("r-1", http.Header{}, start), http.Header{})
+	emitRetriedRequest(tracer.Begin("r-1", http.Header{}, start), http.Header{})
 	is.NoErr(tracer.Stop(context.Background()))
 	is.Equal(<-s.spans, 3)
 }
 
-// discard is an exporter for benchmarks.
-type discard struct{}
+// discardExporter is an exporter that discards all spans, for benchmarks.
+type discardExporter struct{}
 
-func (discard) ExportSpans(context.Context, []sdktrace.ReadOnlySpan) error { return nil }
-func (discard) Shutdown(context.Context) error                             { return nil }
+func (discardExporter) ExportSpans(context.Context, []sdktrace.ReadOnlySpan) error { return nil }
+func (discardExporter) Shutdown(context.Context) error                             { return nil }
 
 func benchmarkHop(b *testing.B, tracer *Tracer) {
 	b.ReportAllocs()
@@ -176,5 +177,7 @@
 }
 
 func BenchmarkHopOff(b *testing.B)       { benchmarkHop(b, nil) }
-func BenchmarkHopUnsampled(b *testing.B) { benchmarkHop(b, newTracer(Config{}, discard{})) }
-func BenchmarkHopSampled(b *testing.B)   { benchmarkHop(b, newTracer(Config{Ratio: 1}, discard{})) }
+func BenchmarkHopUnsampled(b *testing.B) { benchmarkHop(b, newTracer(Config{}, discardExporter{})) }
+func BenchmarkHopSampled(b *testing.B) {
+	benchmarkHop(b, newTracer(Config{Ratio: 1}, discardExporter{}))
+}
