--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -1,38 +1,36 @@
-// Package metrics counts what the decision events tell and serves the numbers
-// as text and JSON.
+// Package metrics derives metrics from decision events and serves them as text and JSON.
 //
-// Sink is an event.Sink for traffic goroutines: it counts in atomics and takes
-// no lock of its own. Every name is described in Catalogue, from which
-// docs/METRICS.md is generated.
+// Sink is an event.Sink for the goroutines that serve requests: it uses atomic counters and
+// takes no lock of its own. Catalogue describes every metric; docs/METRICS.md is generated
+// from it.
 package metrics
 
-// Kind says how a metric moves.
+// Kind is the type of a metric.
 type Kind string
 
 // The kinds of metric.
 const (
-	// CounterKind only grows while the process runs.
+	// CounterKind is a value that only increases while the process runs.
 	CounterKind Kind = "counter"
-	// GaugeKind is the value of now.
+	// GaugeKind is a current value.
 	GaugeKind Kind = "gauge"
-	// HistogramKind is a sample of values with quantiles.
+	// HistogramKind is a distribution of recent values.
 	HistogramKind Kind = "histogram"
 )
 
-// Definition describes a metric, or a family of them whose names differ in
-// the part in angle brackets.
+// Definition describes a metric, or a family of metrics whose names differ in the part in
+// angle brackets.
 type Definition struct {
 	// Name is the name, such as "requests.refused.<kind>".
 	Name string
-	// Kind says how it moves.
 	Kind Kind
 	// Unit is the unit of the value.
 	Unit string
-	// Meaning is one sentence for operators.
+	// Meaning describes the metric for operators.
 	Meaning string
 }
 
-// The names, without the variable part.
+// The names of the metrics, without the variable part.
 const (
 	nameReceived      = "requests.received"
 	nameOutcome       = "requests.outcome."
--- a/internal/metrics/handler.go
+++ b/internal/metrics/handler.go
@@ -12,14 +12,14 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// quantiles are what a histogram shows, in this order.
+// quantiles are the quantiles of a Distribution, in the order of its fields.
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999}
 
-// Distribution is a histogram as JSON shows it.
+// Distribution is the summary of a histogram that Handler serves.
 type Distribution struct {
 	// Count is the number of values since the start of the process.
 	Count int64 `json:"count"`
-	// Min, Mean and Max are over the newest values.
+	// Min, Mean and Max cover the newest values.
 	Min  int64   `json:"min"`
 	Mean float64 `json:"mean"`
 	Max  int64   `json:"max"`
@@ -30,7 +30,7 @@
 	P999 float64 `json:"p999"`
 }
 
-// Handler serves the registry: text, or JSON for "?format=json".
+// Handler serves the metrics of a registry as text, or as JSON for "?format=json".
 func Handler(r gometrics.Registry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		values := read(r)
@@ -47,7 +47,7 @@
 	})
 }
 
-// read returns each metric's value: an int64 or a Distribution.
+// read returns the value of each metric by name: an int64 or a Distribution.
 func read(r gometrics.Registry) map[string]any {
 	values := make(map[string]any)
 	r.Each(func(name string, m any) {
@@ -71,7 +71,7 @@
 	}
 }
 
-// writeText writes one metric a line, with its unit.
+// writeText writes one metric with its unit per line, sorted by name.
 func writeText(w io.Writer, values map[string]any) {
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		unit := unitOf(name)
@@ -85,7 +85,7 @@
 	}
 }
 
-// find returns the definition of a metric's name, or nil.
+// find returns the definition of the metric with the given name, or nil.
 func find(name string) *Definition {
 	for i := range Catalogue {
 		prefix, _, family := strings.Cut(Catalogue[i].Name, "<")
--- a/internal/metrics/memory_test.go
+++ b/internal/metrics/memory_test.go
@@ -9,7 +9,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// BenchmarkMemory is the heap of the metrics when every service has answered.
+// BenchmarkMemory measures the heap that the metrics use once every service has a latency
+// histogram.
 func BenchmarkMemory(b *testing.B) {
 	for _, services := range []int{10, 100, 410} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -23,8 +23,9 @@
 
 const docsPath = "../../docs/METRICS.md"
 
-// filled is a sink that has seen one event of each kind.
-func filled() *Sink {
+// sinkWithEvents returns a sink that has received events of several requests and
+// configurations.
+func sinkWithEvents() *Sink {
 	s := New()
 	s.AddRing(events.NewRing(events.Config{}).Stats)
 	for _, e := range []event.Event{
@@ -47,7 +48,7 @@
 
 func TestSinkCounts(t *testing.T) {
 	is := is.New(t)
-	got := read(filled().Registry())
+	got := read(sinkWithEvents().Registry())
 	want := map[string]int64{
 		"requests.received": 1, "attempts.sent": 2, "attempts.failed.connect-failed": 1, "retries.sent": 1,
 		"requests.outcome.ran": 1, "requests.outcome.not-run": 1, "requests.outcome.unknown": 2,
@@ -55,14 +56,14 @@
 		"config.revision": 7, "events.count.upstream-chosen": 2, "retries.denied": 0,
 	}
 	for name, v := range want {
-		is.Equal(got[name], v) // the value of a name
+		is.Equal(got[name], v) // wrong value of a metric
 	}
 	is.Equal(got["latency.service.catalogue"].(Distribution).P99, 1500.0)
 }
 
 func TestEveryMetricIsDescribed(t *testing.T) {
 	is := is.New(t)
-	r := filled().Registry()
+	r := sinkWithEvents().Registry()
 	kinds := map[Kind]bool{}
 	r.Each(func(name string, m any) {
 		d := find(name)
@@ -82,7 +83,7 @@
 
 func TestHandler(t *testing.T) {
 	is := is.New(t)
-	h := Handler(filled().Registry())
+	h := Handler(sinkWithEvents().Registry())
 	get := func(url string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, url, nil))
@@ -109,7 +110,7 @@
 	is.Equal(w.Max(), int64(3*sampleSize-1))
 }
 
-// TestDocs compares docs/METRICS.md with Catalogue; -update rewrites it.
+// TestDocs checks docs/METRICS.md against Catalogue; -update rewrites the page.
 func TestDocs(t *testing.T) {
 	is := is.New(t)
 	want := docs()
--- a/internal/metrics/sink.go
+++ b/internal/metrics/sink.go
@@ -14,13 +14,14 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// sampleSize is the number of newest latencies kept for a service.
+// sampleSize is the number of newest latencies kept per service.
 const sampleSize = 2048
 
-const numClasses = 6
+// numStatusClasses is one more than the highest class of HTTP status, 5xx.
+const numStatusClasses = 6
 
-// Sink implements event.Sink. Its counters are made at the start, so that a
-// metric that never moved reads 0 and is not missing.
+// Sink implements event.Sink. Its counters are registered at the start, so that a metric
+// without events reads 0 instead of being absent.
 type Sink struct {
 	registry gometrics.Registry
 
@@ -30,7 +31,7 @@
 	retriesDenied gometrics.Counter
 	revision      gometrics.Gauge
 	outcomes      [errkind.Unknown + 1]gometrics.Counter
-	classes       [numClasses]gometrics.Counter
+	statusClasses [numStatusClasses]gometrics.Counter
 	refused       map[string]gometrics.Counter
 	unknown       map[string]gometrics.Counter
 	failed        map[string]gometrics.Counter
@@ -57,8 +58,8 @@
 	for o := range s.outcomes {
 		s.outcomes[o] = gometrics.NewRegisteredCounter(nameOutcome+errkind.Outcome(o).String(), r)
 	}
-	for class := 1; class < numClasses; class++ {
-		s.classes[class] = gometrics.NewRegisteredCounter(nameStatus+strconv.Itoa(class)+"xx", r)
+	for class := 1; class < numStatusClasses; class++ {
+		s.statusClasses[class] = gometrics.NewRegisteredCounter(nameStatus+strconv.Itoa(class)+"xx", r)
 	}
 	for code, entry := range event.Catalogue {
 		s.events[code] = gometrics.NewRegisteredCounter(nameEvents+entry.Name, r)
@@ -79,11 +80,11 @@
 	return counters
 }
 
-// Registry returns the registry, for metrics of other parts. Their names
-// belong into Catalogue too.
+// Registry returns the registry, so that other packages can register metrics. These must
+// be in Catalogue too.
 func (s *Sink) Registry() gometrics.Registry { return s.registry }
 
-// AddRing registers the counts of an event ring.
+// AddRing registers the statistics of an event ring.
 func (s *Sink) AddRing(stats func() events.Stats) {
 	gauge := func(name string, value func(events.Stats) int64) {
 		gometrics.NewRegisteredFunctionalGauge(name, s.registry, func() int64 { return value(stats()) })
@@ -124,7 +125,8 @@
 	}
 }
 
-// increase counts, unless the name is not one of the closed list.
+// increase increments c. It does nothing if c is nil, which is the counter of an unknown
+// error kind or event code.
 func increase(c gometrics.Counter) {
 	if c != nil {
 		c.Inc(1)
@@ -133,15 +135,15 @@
 
 func (s *Sink) answered(e *event.Event) {
 	s.outcomes[errkind.Ran].Inc(1)
-	if class := e.Value / 100; class > 0 && class < numClasses {
-		s.classes[class].Inc(1)
+	if class := e.Value / 100; class > 0 && class < numStatusClasses {
+		s.statusClasses[class].Inc(1)
 	}
 	s.latency(e.Service).Update(e.Elapsed.Microseconds())
 	s.buckets[bucketOf(e.Elapsed)].Inc(1)
 }
 
-// bucketBounds are the upper bounds of the latency buckets. They are the same
-// on every host, so that the counts of several can be added.
+// bucketBounds are the upper bounds of the latency buckets. They are the same on every
+// host, so that the counts of several hosts can be added up.
 var bucketBounds = []time.Duration{
 	5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, 500 * time.Millisecond,
@@ -149,19 +151,19 @@
 }
 
 func bucketOf(d time.Duration) int {
-	at, _ := slices.BinarySearch(bucketBounds, d)
-	return at
+	index, _ := slices.BinarySearch(bucketBounds, d)
+	return index
 }
 
-// AddLog registers what the log left out: lines that its reader was too slow
-// for, and requests over the bound on lines.
+// AddLog registers what the log dropped: lines, because the reader of the output was too
+// slow or because of their rate limit, and requests, because of the rate limit on lines.
 func (s *Sink) AddLog(lines, requests func() int64) {
 	gometrics.NewRegisteredFunctionalGauge(nameLogLines, s.registry, lines)
 	gometrics.NewRegisteredFunctionalGauge(nameLogRequests, s.registry, requests)
 }
 
-// latency returns the service's histogram. Names come from published
-// documents, so their number is bounded.
+// latency returns the latency histogram of a service. Service names come from published
+// documents, so the number of histograms is bounded.
 func (s *Sink) latency(service string) gometrics.Histogram {
 	if h, ok := s.latencies.Load(service); ok {
 		return h.(gometrics.Histogram)
@@ -175,7 +177,7 @@
 
 func newSample() gometrics.Sample { return new(window) }
 
-// registerProcess adds the process's own numbers.
+// registerProcess registers the metrics of the Go runtime.
 func registerProcess(r gometrics.Registry) {
 	register := func(name, source string) {
 		gometrics.NewRegisteredFunctionalGauge(name, r, func() int64 { return readRuntime(source) })
--- a/internal/metrics/window.go
+++ b/internal/metrics/window.go
@@ -6,18 +6,18 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// window is a gometrics.Sample of the newest values. The library's own samples
-// take a lock at each update, and its uniform one covers the whole life of the
-// process, in which a spike of now is lost.
+// window is a gometrics.Sample of the newest sampleSize values. The library's own samples
+// take a lock on each update, and its uniform sample covers the whole lifetime of the
+// process, which hides a current spike.
 type window struct {
 	count  atomic.Int64
 	values [sampleSize]atomic.Int64
 }
 
-// Update adds a value over the oldest one.
+// Update adds a value and overwrites the oldest one.
 func (w *window) Update(v int64) {
-	at := w.count.Add(1) - 1
-	w.values[at%sampleSize].Store(v)
+	index := w.count.Add(1) - 1
+	w.values[index%sampleSize].Store(v)
 }
 
 // Values returns a copy of the values held.
@@ -29,15 +29,15 @@
 	return out
 }
 
-// Snapshot returns the values of now.
+// Snapshot returns a snapshot of the current values.
 func (w *window) Snapshot() gometrics.Sample {
 	return gometrics.NewSampleSnapshot(w.count.Load(), w.Values())
 }
 
-// Clear forgets every value.
+// Clear discards all values.
 func (w *window) Clear() { w.count.Store(0) }
 
-// Count returns the number of values since the start.
+// Count returns the number of values added since the start.
 func (w *window) Count() int64 { return w.count.Load() }
 
 // Size returns the number of values held.
