--- a/internal/operator/convert.go
+++ b/internal/operator/convert.go
@@ -20,11 +20,11 @@
 	plan.Changed: operatorv1.Difference_OPERATION_CHANGED,
 }
 
-func base(b plan.Base) *operatorv1.Version {
+func versionMessage(b plan.Base) *operatorv1.Version {
 	return &operatorv1.Version{Revision: b.Revision, Digest: b.Digest}
 }
 
-func differences(list []plan.Difference) []*operatorv1.Difference {
+func differenceMessages(list []plan.Difference) []*operatorv1.Difference {
 	out := make([]*operatorv1.Difference, 0, len(list))
 	for _, d := range list {
 		out = append(out, &operatorv1.Difference{Operation: operations[d.Operation], Field: d.Field, Old: d.Old, New: d.New})
@@ -35,17 +35,18 @@
 func planMessage(p *plan.Plan) *operatorv1.Plan {
 	return &operatorv1.Plan{
 		Key:          p.Key,
-		Base:         base(p.Base),
+		Base:         versionMessage(p.Base),
 		Delete:       p.Delete,
 		Document:     p.Document,
 		Digest:       p.Digest,
-		Differences:  differences(p.Differences),
+		Differences:  differenceMessages(p.Differences),
 		Consequences: p.Consequences,
 		Warnings:     p.Warnings,
 	}
 }
 
-// eventMessage writes an event for the wire, with the catalogue's texts.
+// eventMessage converts an event to its protobuf message, with the name, level and unit
+// from event.Catalogue.
 func eventMessage(e *event.Event) *operatorv1.Event {
 	entry := event.Catalogue[e.Code]
 	return &operatorv1.Event{
@@ -75,8 +76,8 @@
 	return out
 }
 
-// filter reads a filter from the wire.
-func filter(f *operatorv1.Filter) (events.Filter, error) {
+// parseFilter converts and validates a filter from its protobuf message.
+func parseFilter(f *operatorv1.Filter) (events.Filter, error) {
 	level, err := parseLevel(f.GetMinLevel())
 	if err != nil {
 		return events.Filter{}, err
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -11,7 +11,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/plan"
 )
 
-// toStatus maps the errors of package plan to gRPC codes with typed details.
+// toStatus maps errors of package plan to gRPC status errors, with typed details for
+// conflicts and field errors.
 func toStatus(err error) error {
 	var (
 		conflict *plan.ConflictError
@@ -46,9 +47,9 @@
 func conflictDetail(e *plan.ConflictError) *operatorv1.Conflict {
 	return &operatorv1.Conflict{
 		Key:       e.Key,
-		Expected:  base(e.Expected),
-		Actual:    base(e.Actual),
-		Changes:   differences(e.Changes),
+		Expected:  versionMessage(e.Expected),
+		Actual:    versionMessage(e.Actual),
+		Changes:   differenceMessages(e.Changes),
 		PlannedBy: e.By,
 	}
 }
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -12,21 +12,22 @@
 	operatorv1 "github.com/dapplespindle/dapplespindle/api/operator/v1"
 )
 
-// maxAsking bounds how many peers are asked at the same time.
-const maxAsking = 16
+// maxConcurrentQueries is the maximum number of peers that are queried concurrently.
+const maxConcurrentQueries = 16
 
 // Status implements operatorv1.OperatorServer.
 func (s *Server) Status(ctx context.Context, _ *operatorv1.StatusRequest) (*operatorv1.StatusResponse, error) {
 	members := s.conf.Fleet.Members()
 	out := make([]*operatorv1.HostStatus, len(members))
-	s.askAll(ctx, members, func(ctx context.Context, i int, m Member) {
+	s.queryAll(ctx, members, func(ctx context.Context, i int, m Member) {
 		out[i] = s.hostStatus(ctx, m)
 	})
 	slices.SortFunc(out, func(a, b *operatorv1.HostStatus) int { return strings.Compare(a.GetHost(), b.GetHost()) })
 	return &operatorv1.StatusResponse{Hosts: out}, nil
 }
 
-// hostStatus asks a host, or says what the membership knows of it.
+// hostStatus queries a host for its status. If that fails, it returns what the membership
+// knows about the host.
 func (s *Server) hostStatus(ctx context.Context, m Member) *operatorv1.HostStatus {
 	if m.Self {
 		return s.ownStatus(m)
@@ -75,7 +76,7 @@
 	}
 	out := &operatorv1.ExplainResponse{}
 	var mu sync.Mutex
-	s.askAll(ctx, s.conf.Fleet.Members(), func(ctx context.Context, _ int, m Member) {
+	s.queryAll(ctx, s.conf.Fleet.Members(), func(ctx context.Context, _ int, m Member) {
 		list, err := s.hostEvents(ctx, m, req.GetRequest())
 		mu.Lock()
 		defer mu.Unlock()
@@ -100,23 +101,24 @@
 	return s.conf.Peers.Events(ctx, m, request)
 }
 
-// askAll runs ask for each member, several at once, each bounded in time.
-func (s *Server) askAll(ctx context.Context, members []Member, ask func(ctx context.Context, i int, m Member)) {
+// queryAll calls query for each member, up to maxConcurrentQueries at a time, each with a
+// timeout of PeerTimeout.
+func (s *Server) queryAll(ctx context.Context, members []Member, query func(ctx context.Context, i int, m Member)) {
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, maxAsking)
+	slots := make(chan struct{}, maxConcurrentQueries)
 	for i, m := range members {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
 			bounded, cancel := context.WithTimeout(ctx, s.conf.PeerTimeout)
 			defer cancel()
-			ask(bounded, i, m)
+			query(bounded, i, m)
 		})
 	}
 	wg.Wait()
 }
 
-// reason is the text of an error without the code's prefix.
+// reason returns the text of an error without the prefix of its gRPC code.
 func reason(err error) string {
 	if status.Code(err) == codes.DeadlineExceeded {
 		return "no answer in time"
--- a/internal/operator/follow.go
+++ b/internal/operator/follow.go
@@ -16,10 +16,10 @@
 	"github.com/dapplespindle/dapplespindle/pkg/plan"
 )
 
-// Follow implements operatorv1.OperatorServer. It looks at the fleet each
-// PollEvery and sends an update when something changed.
+// Follow implements operatorv1.OperatorServer. It checks the fleet every PollInterval and
+// sends an update when something has changed.
 func (s *Server) Follow(req *operatorv1.FollowRequest, stream grpc.ServerStreamingServer[operatorv1.FollowUpdate]) error {
-	f, err := s.newFollower(req)
+	r, err := s.newRollout(req)
 	if err != nil {
 		return err
 	}
@@ -31,7 +31,7 @@
 		if err != nil {
 			return err
 		}
-		update := f.step(state, s.conf.Fleet.Members())
+		update := r.check(state, s.conf.Fleet.Members())
 		if update.GetState() == operatorv1.FollowUpdate_STATE_SUPERSEDED {
 			update.PlannedBy = plannedBy(s.issuedPlans(stream.Context(), req.GetKey()).plans, update.GetCurrent().GetDigest())
 		}
@@ -52,7 +52,8 @@
 	}
 }
 
-// send adds the time to a copy, so that updates can be compared without it.
+// send sends a copy of the update with the current time. The time is not set on the
+// original, so that updates can be compared without it.
 func send(stream grpc.ServerStreamingServer[operatorv1.FollowUpdate], update *operatorv1.FollowUpdate) error {
 	timed := proto.CloneOf(update)
 	timed.At = timestamppb.Now()
@@ -63,20 +64,22 @@
 	return s == operatorv1.FollowUpdate_STATE_IN_FORCE || s == operatorv1.FollowUpdate_STATE_SUPERSEDED
 }
 
-// follower tells how far one document has come.
-type follower struct {
+// rollout tracks the progress of one document version over the fleet.
+type rollout struct {
 	service  string
 	digest   uint64
 	revision uint64
 	base     uint64
-	// target is the revision that brought the document into force here; 0 until then.
+	// target is the revision with which the document came into force on this host; 0 until
+	// then.
 	target uint64
-	// cached spares computing a digest at each look.
+	// cached is the document that cachedDigest belongs to, so that the digest isn't computed
+	// on each check.
 	cached       *config.Service
 	cachedDigest uint64
 }
 
-func (s *Server) newFollower(req *operatorv1.FollowRequest) (*follower, error) {
+func (s *Server) newRollout(req *operatorv1.FollowRequest) (*rollout, error) {
 	service, ok := strings.CutPrefix(req.GetKey(), plan.KeyPrefix)
 	if !ok {
 		return nil, status.Errorf(codes.InvalidArgument, "key: %q does not start with %s", req.GetKey(), plan.KeyPrefix)
@@ -85,84 +88,86 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &follower{service: service, digest: req.GetDigest(), revision: req.GetRevision()}
+	r := &rollout{service: service, digest: req.GetDigest(), revision: req.GetRevision()}
 	switch doc := state.Find(service); {
 	case req.BaseRevision != nil:
-		f.base = req.GetBaseRevision()
+		r.base = req.GetBaseRevision()
 	case doc != nil:
-		f.base = doc.Revision
+		r.base = doc.Revision
 	}
-	return f, nil
+	return r, nil
 }
 
-// step looks once.
-func (f *follower) step(state *plan.State, members []Member) *operatorv1.FollowUpdate {
-	doc := state.Find(f.service)
+// check compares the document version with the given state and returns its progress.
+func (r *rollout) check(state *plan.State, members []Member) *operatorv1.FollowUpdate {
+	doc := state.Find(r.service)
 	update := &operatorv1.FollowUpdate{
 		State:   operatorv1.FollowUpdate_STATE_AWAITED,
-		Current: f.current(doc),
+		Current: r.current(doc),
 	}
 	switch {
-	case f.reached(state, doc):
-		f.spread(update, state, members)
-	case f.superseded(state, doc):
+	case r.reached(state, doc):
+		r.countHosts(update, state, members)
+	case r.superseded(state, doc):
 		update.State = operatorv1.FollowUpdate_STATE_SUPERSEDED
 	default:
-		f.behind(update, members)
+		r.listAllAsLagging(update, members)
 	}
 	return update
 }
 
-func (f *follower) current(doc *plan.Document) *operatorv1.Version {
+func (r *rollout) current(doc *plan.Document) *operatorv1.Version {
 	if doc == nil {
 		return &operatorv1.Version{}
 	}
-	if f.cached != doc.Service {
-		f.cached = doc.Service
-		f.cachedDigest = plan.Digest(doc.Service)
+	if r.cached != doc.Service {
+		r.cached = doc.Service
+		r.cachedDigest = plan.Digest(doc.Service)
 	}
-	return &operatorv1.Version{Revision: doc.Revision, Digest: f.cachedDigest}
+	return &operatorv1.Version{Revision: doc.Revision, Digest: r.cachedDigest}
 }
 
-// reached reports whether the document is in force on this host, and notes the
-// revision that other hosts must reach.
-func (f *follower) reached(state *plan.State, doc *plan.Document) bool {
+// reached reports whether the document version is in force on this host, and sets target
+// to the revision that the other hosts must reach.
+func (r *rollout) reached(state *plan.State, doc *plan.Document) bool {
 	switch {
-	case f.digest != 0:
-		if doc == nil || f.cachedDigest != f.digest || doc.Revision < f.base {
+	case r.digest != 0:
+		if doc == nil || r.cachedDigest != r.digest || doc.Revision < r.base {
 			return false
 		}
-		f.target = doc.Revision
+		r.target = doc.Revision
 		return true
-	case f.revision != 0:
-		f.target = f.revision
-		return state.Revision >= f.revision && (doc == nil || doc.Revision <= f.revision)
+	case r.revision != 0:
+		r.target = r.revision
+		return state.Revision >= r.revision && (doc == nil || doc.Revision <= r.revision)
 	default:
-		if doc != nil || state.Revision <= f.base {
+		if doc != nil || state.Revision <= r.base {
 			return false
 		}
-		if f.target == 0 {
-			f.target = state.Revision
+		if r.target == 0 {
+			r.target = state.Revision
 		}
 		return true
 	}
 }
 
-// superseded reports whether another version than the awaited one won.
-func (f *follower) superseded(state *plan.State, doc *plan.Document) bool {
-	if f.revision != 0 && f.digest == 0 {
-		return doc != nil && doc.Revision > f.revision
+// superseded reports whether a different version came into force instead of the expected
+// one.
+func (r *rollout) superseded(state *plan.State, doc *plan.Document) bool {
+	if r.revision != 0 && r.digest == 0 {
+		return doc != nil && doc.Revision > r.revision
 	}
 	if doc != nil {
-		return doc.Revision > max(f.base, f.target)
+		return doc.Revision > max(r.base, r.target)
 	}
-	return f.base != 0 && state.Revision > f.base
+	return r.base != 0 && state.Revision > r.base
 }
 
-// spread counts the entry hosts that have the document and names the others.
-func (f *follower) spread(update *operatorv1.FollowUpdate, state *plan.State, members []Member) {
+// countHosts counts the entry hosts that have the document in force and lists the others
+// as lagging.
+func (r *rollout) countHosts(update *operatorv1.FollowUpdate, state *plan.State, members []Member) {
 	for _, m := range members {
-		reason := f.lagReason(state, m)
+		reason := r.lagReason(state, m)
 		switch {
 		case m.State == Dead:
 		case reason == "":
@@ -177,17 +182,18 @@
 	}
 }
 
-// lagReason says why a host does not count as having the document in force.
-func (f *follower) lagReason(state *plan.State, m Member) string {
+// lagReason returns why a host does not count as having the document in force, or "" if it
+// does.
+func (r *rollout) lagReason(state *plan.State, m Member) string {
 	switch {
 	case m.Self:
 		return ""
 	case m.State == Unheard:
-		return "on the platform's list, never heard of"
-	case m.Revision < f.target && m.State == Suspect:
-		return fmt.Sprintf("not heard of; last at revision %d, before %d", m.Revision, f.target)
-	case m.Revision < f.target:
-		return fmt.Sprintf("at revision %d, before %d", m.Revision, f.target)
+		return "listed by the platform, but not known to the membership"
+	case m.Revision < r.target && m.State == Suspect:
+		return fmt.Sprintf("not heard of; last at revision %d, before %d", m.Revision, r.target)
+	case m.Revision < r.target:
+		return fmt.Sprintf("at revision %d, before %d", m.Revision, r.target)
 	case m.Revision == state.Revision && m.Digest != state.Digest:
 		return "at the same revision with other content"
 	default:
@@ -195,11 +201,12 @@
 	}
 }
 
-// behind names every live host while the document isn't in force even here.
-func (f *follower) behind(update *operatorv1.FollowUpdate, members []Member) {
+// listAllAsLagging lists every host that is not dead as lagging, because the document is
+// not in force on this host either.
+func (r *rollout) listAllAsLagging(update *operatorv1.FollowUpdate, members []Member) {
 	for _, m := range members {
 		if m.State != Dead {
-			update.Lagging = append(update.Lagging, lagging(m, "not in force on the answering host either"))
+			update.Lagging = append(update.Lagging, lagging(m, "not in force on the responding host either"))
 		}
 	}
 }
--- a/internal/operator/history.go
+++ b/internal/operator/history.go
@@ -9,33 +9,35 @@
 )
 
 const (
-	// maxVersions bounds the old versions that a host remembers over all
-	// documents, so that a conflict can name what changed.
+	// maxVersions is the maximum number of old versions that a host keeps for all documents
+	// together, so that a conflict can state what changed.
 	maxVersions = 64
-	// maxIssued bounds the plans that a host remembers.
+	// maxIssued is the maximum number of issued plans that a host keeps.
 	maxIssued = 256
-	// pendingFor is how long a plan that isn't in force counts as pending.
-	pendingFor = 10 * time.Minute
+	// pendingPeriod is how long after its issue a plan that isn't in force counts as pending.
+	pendingPeriod = 10 * time.Minute
 )
 
-// seenVersion is a version of a document that was in force here.
+// seenVersion is a version of a document that is or was in force on this host.
 type seenVersion struct {
 	key     string
 	base    plan.Base
 	service *config.Service
 }
 
-// issuedPlan is a plan that this host answered with.
+// issuedPlan is a plan that this host or a peer returned to an operator.
 type issuedPlan struct {
 	key    string
 	base   plan.Base
 	digest uint64
-	by     string
-	at     time.Time
+	// operator is the name of the operator who requested the plan; it may be empty.
+	operator string
+	at       time.Time
 }
 
-// history remembers, in bounded memory, what this host has seen and answered.
-// It only makes answers more telling; nothing is decided by it.
+// history keeps, in bounded memory, the document versions that were in force on this host
+// and the plans that it issued. It only adds information to responses; no decision depends
+// on it.
 type history struct {
 	mu       sync.Mutex
 	latest   map[string]*config.Service
@@ -45,7 +47,7 @@
 
 func newHistory() *history { return &history{latest: make(map[string]*config.Service)} }
 
-// observe remembers the versions of state that are new to it.
+// observe adds the document versions in state that are not in the history yet.
 func (h *history) observe(state *plan.State) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -65,14 +67,14 @@
 	}
 }
 
-// record remembers a plan.
+// record adds an issued plan.
 func (h *history) record(p issuedPlan) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.issued = newest(append(h.issued, p), maxIssued)
 }
 
-// plans returns the remembered plans of a document, oldest first.
+// plans returns the issued plans of a document, oldest first.
 func (h *history) plans(key string) []issuedPlan {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -85,7 +87,8 @@
 	return out
 }
 
-// find returns a version that was in force here, or nil.
+// find returns a document version that is or was in force on this host, or nil if it is
+// not in the history.
 func (h *history) find(key string, b plan.Base) *config.Service {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -97,6 +100,8 @@
 	return nil
 }
 
+// newest returns the last limit elements of list. A shortened list is copied, so that the
+// memory of the dropped elements can be freed.
 func newest[T any](list []T, limit int) []T {
 	if len(list) <= limit {
 		return list
--- a/internal/operator/issued.go
+++ b/internal/operator/issued.go
@@ -17,18 +17,18 @@
 // issuedPlans are the recent plans of one document, oldest first.
 type issuedPlans struct {
 	plans []issuedPlan
-	// unasked are the hosts that gave no answer, by name.
+	// unasked lists the hosts that could not be queried, sorted by host.
 	unasked []unaskedHost
 }
 
-// unaskedHost is a host that could not be asked, and why.
+// unaskedHost is a host that could not be queried, with the reason.
 type unaskedHost struct {
 	host, reason string
 }
 
-// issuedPlans returns the recent plans of a document on this host and on all others,
-// those included that only the platform's list names. Where a host is held for dead,
-// operators may reach it all the same.
+// issuedPlans returns the recent plans of a document from this host and all others,
+// including those that only the platform lists. Hosts that are considered dead are listed
+// as not queried: operators may still be able to reach them and plan there.
 func (s *Server) issuedPlans(ctx context.Context, key string) issuedPlans {
 	out := issuedPlans{plans: s.history.plans(key)}
 	var peers []Member
@@ -38,7 +38,7 @@
 		}
 	}
 	var mu sync.Mutex
-	s.askAll(ctx, peers, func(ctx context.Context, _ int, m Member) {
+	s.queryAll(ctx, peers, func(ctx context.Context, _ int, m Member) {
 		list, err := s.conf.Peers.Plans(ctx, m, key)
 		mu.Lock()
 		defer mu.Unlock()
@@ -55,11 +55,11 @@
 	return out
 }
 
-// maxUnaskedNamed bounds the hosts that one warning names.
+// maxUnaskedNamed is the maximum number of hosts that a warning names.
 const maxUnaskedNamed = 4
 
-// unaskedWarning says which hosts may know of plans that nobody told of; it is empty
-// if all were asked.
+// unaskedWarning returns a warning that names the hosts that could not be queried and may
+// have issued other plans. It is empty if all hosts were queried.
 func (p *issuedPlans) unaskedWarning() string {
 	if len(p.unasked) == 0 {
 		return ""
@@ -75,11 +75,11 @@
 func issuedFrom(key string, p *operatorv1.IssuedPlan) issuedPlan {
 	b := p.GetBase()
 	return issuedPlan{
-		key:    key,
-		base:   plan.Base{Revision: b.GetRevision(), Digest: b.GetDigest()},
-		digest: p.GetDigest(),
-		by:     p.GetOperator(),
-		at:     p.GetAt().AsTime(),
+		key:      key,
+		base:     plan.Base{Revision: b.GetRevision(), Digest: b.GetDigest()},
+		digest:   p.GetDigest(),
+		operator: p.GetOperator(),
+		at:       p.GetAt().AsTime(),
 	}
 }
 
@@ -87,20 +87,22 @@
 func (s *Server) LookupPlans(_ context.Context, req *operatorv1.LookupPlansRequest) (*operatorv1.LookupPlansResponse, error) {
 	out := &operatorv1.LookupPlansResponse{}
 	for _, p := range s.history.plans(req.GetKey()) {
-		out.Plans = append(out.Plans, &operatorv1.IssuedPlan{Base: base(p.base), Digest: p.digest, Operator: p.by, At: timestamppb.New(p.at)})
+		out.Plans = append(out.Plans, &operatorv1.IssuedPlan{Base: versionMessage(p.base), Digest: p.digest, Operator: p.operator, At: timestamppb.New(p.at)})
 	}
 	return out, nil
 }
 
-// pending returns the plans of others from the same version that differ from mine.
-func pending(list []issuedPlan, mine issuedPlan) []issuedPlan {
+// conflicting returns the pending plans of other operators that have the same base as p
+// and a different result.
+func conflicting(list []issuedPlan, p issuedPlan) []issuedPlan {
 	return slices.DeleteFunc(slices.Clone(list), func(o issuedPlan) bool {
-		return o.base != mine.base || o.digest == mine.digest || o.by == mine.by || mine.at.Sub(o.at) >= pendingFor
+		return o.base != p.base || o.digest == p.digest || o.operator == p.operator || p.at.Sub(o.at) >= pendingPeriod
 	})
 }
 
-// plannedBy names those who planned the version; any of them may have
-// published it. It is empty if nobody on the list did.
+// plannedBy returns the names of the operators who planned the version with the given
+// digest; any of them may have published it. It is empty if no plan on the list has that
+// digest.
 func plannedBy(list []issuedPlan, digest uint64) string {
 	var names []string
 	known := false
@@ -109,8 +111,8 @@
 			continue
 		}
 		known = true
-		if p.by != "" && !slices.Contains(names, p.by) {
-			names = append(names, p.by)
+		if p.operator != "" && !slices.Contains(names, p.operator) {
+			names = append(names, p.operator)
 		}
 	}
 	if known && len(names) == 0 {
--- a/internal/operator/local.go
+++ b/internal/operator/local.go
@@ -11,12 +11,13 @@
 	"github.com/dapplespindle/dapplespindle/pkg/plan"
 )
 
-// Published is a ConfigSource that the control goroutine stores snapshots in.
+// Published is a ConfigSource that returns the snapshot that the control goroutine stored
+// last.
 type Published struct {
 	state atomic.Pointer[plan.State]
 }
 
-// Store publishes a snapshot, which must not be changed afterwards.
+// Store replaces the snapshot, which must not be changed afterwards.
 func (p *Published) Store(s *plan.State) { p.state.Store(s) }
 
 // InForce implements ConfigSource.
@@ -26,7 +27,7 @@
 type SingleHost struct {
 	// Member is this host; its revision and digest are read from Source.
 	Member Member
-	// Source is the configuration in force here.
+	// Source provides this host's current configuration.
 	Source ConfigSource
 }
 
@@ -41,7 +42,7 @@
 	return []Member{m}
 }
 
-// NoPeers is a Peers that reaches nobody.
+// NoPeers is a Peers without connections: every call fails.
 type NoPeers struct{}
 
 var errNoPeers = errors.New("this entry host has no connection to its peers")
@@ -61,11 +62,11 @@
 	return nil, errNoPeers
 }
 
-// ConfiguredUpstreams is an UpstreamView of what is published alone.
+// ConfiguredUpstreams is an UpstreamView of the upstreams in the current configuration.
 type ConfiguredUpstreams struct {
-	// Source is the configuration in force.
+	// Source provides the current configuration.
 	Source ConfigSource
-	// Observe, if not nil, adds what this host knows of an upstream.
+	// Observe, if not nil, adds what this host has observed about an upstream.
 	Observe func(service, group string, out *operatorv1.UpstreamStatus)
 }
 
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -28,7 +28,7 @@
     {"id": "ledger-2", "address": "10.0.0.2:80", "failure_domain": "petrolina"}]}],
   "rules": [{"name": "sale", "group": "main", "repeat": "non-repeatable"}]}`
 
-// fleet is a FleetView that a test changes.
+// fleet is a FleetView that tests can change.
 type fleet struct {
 	mu      sync.Mutex
 	members []Member
@@ -46,11 +46,12 @@
 	change(&f.members[i])
 }
 
-type noRequests struct{}
+// idleHost is a HostView without requests in flight.
+type idleHost struct{}
 
-func (noRequests) InFlight() int64 { return 0 }
+func (idleHost) InFlight() int64 { return 0 }
 
-// host is one entry host's operator service over loopback.
+// host is an entry host's operator service on a loopback address.
 type host struct {
 	published Published
 	fleet     fleet
@@ -64,7 +65,7 @@
 	is := is.New(t)
 	h := &host{ring: events.NewRing(events.Config{})}
 	s := New(Config{
-		Host: name, Build: "test", Source: &h.published, Fleet: &h.fleet, Local: noRequests{},
+		Host: name, Build: "test", Source: &h.published, Fleet: &h.fleet, Local: idleHost{},
 		Upstreams: ConfiguredUpstreams{Source: &h.published}, Events: h.ring, Peers: peers,
 		PollInterval: time.Millisecond,
 	})
@@ -84,7 +85,7 @@
 	return h
 }
 
-// publish puts a document into force on h.
+// publish makes a document the current configuration of h.
 func (h *host) publish(t *testing.T, revision uint64, document []byte) {
 	t.Helper()
 	s, err := config.Parse(document)
@@ -99,7 +100,7 @@
 	})
 }
 
-func TestSecondOperatorIsToldOfTheConflict(t *testing.T) {
+func TestConflictNamesTheOtherOperator(t *testing.T) {
 	is := is.New(t)
 	h := startHost(t, "10.1.0.1", NoPeers{})
 	h.publish(t, 7, []byte(ledger))
@@ -126,7 +127,7 @@
 	is.Equal(conflict.GetChanges()[0].GetField(), "groups[main].upstreams[ledger-1].state")
 }
 
-func TestOperatorsOnTwoHostsAreToldOfEachOther(t *testing.T) {
+func TestPlanWarnsOfPlansOnOtherHosts(t *testing.T) {
 	is := is.New(t)
 	pool := peer.NewPool(nil)
 	defer pool.Close()
@@ -145,9 +146,9 @@
 	is.Equal(status.Convert(err).Details()[0].(*operatorv1.Conflict).GetPlannedBy(), "ana")
 }
 
-// TestOnlyOneOfTwoRacingOperatorsWins plays the platform: the first plan to
-// come in is published, and the other operator's Follow says who won.
-func TestOnlyOneOfTwoRacingOperatorsWins(t *testing.T) {
+// TestOnlyOneOfTwoConcurrentPlansWins publishes the first of two concurrent plans. Follow
+// for the other plan must report that it was superseded, and by whose plan.
+func TestOnlyOneOfTwoConcurrentPlansWins(t *testing.T) {
 	is := is.New(t)
 	h := startHost(t, "10.1.0.1", NoPeers{})
 	h.publish(t, 7, []byte(ledger))
@@ -172,7 +173,7 @@
 	return &operatorv1.FollowRequest{Key: p.GetKey(), Digest: p.GetDigest(), BaseRevision: &revision}
 }
 
-// last follows to the end and returns the final update.
+// last reads the updates of a Follow call and returns the final one.
 func last(t *testing.T, h *host, req *operatorv1.FollowRequest) *operatorv1.FollowUpdate {
 	t.Helper()
 	is := is.New(t)
@@ -187,7 +188,7 @@
 	}
 }
 
-func TestFollowNamesTheLaggard(t *testing.T) {
+func TestFollowNamesLaggingHosts(t *testing.T) {
 	is := is.New(t)
 	h := startHost(t, "10.1.0.1", NoPeers{})
 	h.publish(t, 7, []byte(ledger))
@@ -233,33 +234,33 @@
 	none := &plan.State{Revision: 9}
 	tests := []struct {
 		name  string
-		f     follower
+		r     rollout
 		state *plan.State
 		want  operatorv1.FollowUpdate_State
 	}{
-		{"digest in force", follower{digest: digest, base: 7}, with(8), operatorv1.FollowUpdate_STATE_IN_FORCE},
-		{"other version", follower{digest: 1, base: 7}, with(8), operatorv1.FollowUpdate_STATE_SUPERSEDED},
-		{"not yet", follower{digest: 1, base: 8}, with(8), operatorv1.FollowUpdate_STATE_AWAITED},
-		{"created by another", follower{digest: 1}, with(8), operatorv1.FollowUpdate_STATE_SUPERSEDED},
-		{"not yet created", follower{digest: 1}, none, operatorv1.FollowUpdate_STATE_AWAITED},
-		{"deleted by another", follower{digest: 1, base: 7}, none, operatorv1.FollowUpdate_STATE_SUPERSEDED},
-		{"deleted", follower{base: 8}, none, operatorv1.FollowUpdate_STATE_IN_FORCE},
-		{"not yet deleted", follower{base: 8}, with(8), operatorv1.FollowUpdate_STATE_AWAITED},
-		{"changed, not deleted", follower{base: 7}, with(8), operatorv1.FollowUpdate_STATE_SUPERSEDED},
-		{"revision", follower{revision: 9, base: 7}, with(9), operatorv1.FollowUpdate_STATE_IN_FORCE},
-		{"revision not yet", follower{revision: 10, base: 7}, with(9), operatorv1.FollowUpdate_STATE_AWAITED},
-		{"revision passed", follower{revision: 8, base: 7}, with(9), operatorv1.FollowUpdate_STATE_SUPERSEDED},
+		{"digest in force", rollout{digest: digest, base: 7}, with(8), operatorv1.FollowUpdate_STATE_IN_FORCE},
+		{"other version", rollout{digest: 1, base: 7}, with(8), operatorv1.FollowUpdate_STATE_SUPERSEDED},
+		{"not yet", rollout{digest: 1, base: 8}, with(8), operatorv1.FollowUpdate_STATE_AWAITED},
+		{"created by another", rollout{digest: 1}, with(8), operatorv1.FollowUpdate_STATE_SUPERSEDED},
+		{"not yet created", rollout{digest: 1}, none, operatorv1.FollowUpdate_STATE_AWAITED},
+		{"deleted by another", rollout{digest: 1, base: 7}, none, operatorv1.FollowUpdate_STATE_SUPERSEDED},
+		{"deleted", rollout{base: 8}, none, operatorv1.FollowUpdate_STATE_IN_FORCE},
+		{"not yet deleted", rollout{base: 8}, with(8), operatorv1.FollowUpdate_STATE_AWAITED},
+		{"changed, not deleted", rollout{base: 7}, with(8), operatorv1.FollowUpdate_STATE_SUPERSEDED},
+		{"revision", rollout{revision: 9, base: 7}, with(9), operatorv1.FollowUpdate_STATE_IN_FORCE},
+		{"revision not yet", rollout{revision: 10, base: 7}, with(9), operatorv1.FollowUpdate_STATE_AWAITED},
+		{"revision passed", rollout{revision: 8, base: 7}, with(9), operatorv1.FollowUpdate_STATE_SUPERSEDED},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			tc.f.service = "ledger"
-			got := tc.f.step(tc.state, []Member{{Host: "a", State: Alive, Self: true}})
+			tc.r.service = "ledger"
+			got := tc.r.check(tc.state, []Member{{Host: "a", State: Alive, Self: true}})
 			is.New(t).Equal(got.GetState(), tc.want)
 		})
 	}
 }
 
-func TestExplainCrossesHostsAndNamesTheUnasked(t *testing.T) {
+func TestExplainQueriesAllHostsAndNamesFailures(t *testing.T) {
 	is := is.New(t)
 	pool := peer.NewPool(nil)
 	defer pool.Close()
@@ -285,7 +286,7 @@
 	hosts, err := a.client.Status(context.Background(), &operatorv1.StatusRequest{})
 	is.NoErr(err)
 	is.Equal(len(hosts.GetHosts()), 4)
-	is.Equal(hosts.GetHosts()[1].GetBuild(), "test") // asked over gRPC
+	is.Equal(hosts.GetHosts()[1].GetBuild(), "test") // queried over gRPC
 	is.True(hosts.GetHosts()[2].GetUnreachable() != "")
 }
 
@@ -330,9 +331,10 @@
 	is.Equal(status.Code(err), codes.InvalidArgument)
 }
 
-// TestPlanAsksHostsThatOnlyThePlatformLists: while a fleet starts, a host may be ready
-// seconds before it hears of another one, and an operator may have planned there.
-func TestPlanAsksHostsThatOnlyThePlatformLists(t *testing.T) {
+// TestPlanQueriesHostsThatOnlyThePlatformLists checks that a plan takes hosts into account
+// that are not in the membership yet. While a fleet starts, a host may be ready seconds
+// before it learns of another one, and an operator may have planned there.
+func TestPlanQueriesHostsThatOnlyThePlatformLists(t *testing.T) {
 	is := is.New(t)
 	pool := peer.NewPool(nil)
 	defer pool.Close()
@@ -349,8 +351,9 @@
 	is.True(strings.Contains(second.GetWarnings()[0], "ana planned another change"))
 }
 
-// TestPlanNamesHostsThatGaveNoAnswer, so that silence is not taken for "nobody else".
-func TestPlanNamesHostsThatGaveNoAnswer(t *testing.T) {
+// TestPlanWarnsOfUnreachableHosts checks that a plan names the hosts that could not be
+// queried, so that a missing response is not mistaken for the absence of other plans.
+func TestPlanWarnsOfUnreachableHosts(t *testing.T) {
 	for _, state := range []MemberState{Alive, Suspect, Leaving, Unheard, Dead} {
 		t.Run(string(state), func(t *testing.T) {
 			is := is.New(t)
--- a/internal/operator/peers.go
+++ b/internal/operator/peers.go
@@ -9,14 +9,13 @@
 	operatorv1 "github.com/dapplespindle/dapplespindle/api/operator/v1"
 )
 
-// Connections gives the gRPC connection to a peer. *peer.Pool is one.
+// Connections provides the gRPC connections to peers. *peer.Pool implements it.
 type Connections interface {
 	Conn(address string) (*grpc.ClientConn, error)
 }
 
-// PeerClient is the Peers that asks over gRPC.
+// PeerClient implements Peers over gRPC.
 type PeerClient struct {
-	// Connections reaches the peers.
 	Connections Connections
 }
 
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -17,7 +17,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/plan"
 )
 
-// anonymous stands for the name of an operator who gives none.
+// anonymous is used in messages for an operator without a name.
 const anonymous = "an unnamed operator"
 
 // PlanService implements operatorv1.OperatorServer.
@@ -86,7 +86,7 @@
 
 var errNoChange = errors.New("change: is empty; set put or delete")
 
-// decode reads a part of a document, refusing unknown fields.
+// decode decodes a part of a document and rejects unknown fields.
 func decode(field string, b []byte, out any) error {
 	dec := json.NewDecoder(bytes.NewReader(b))
 	dec.DisallowUnknownFields()
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// plan computes a plan and remembers who asked for it.
+// plan computes a plan and, if it changes anything, records it with its operator.
 func (s *Server) plan(ctx context.Context, service string, edit plan.Edit, opts *operatorv1.PlanOptions) (*operatorv1.Plan, error) {
 	state, err := s.state()
 	if err != nil {
@@ -108,7 +108,7 @@
 	}
 	p, err := plan.Compute(state, req)
 	if err != nil {
-		return nil, toStatus(s.tellConflict(ctx, state, err))
+		return nil, toStatus(s.describeConflict(ctx, state, err))
 	}
 	if !p.Unchanged() {
 		s.warnPending(ctx, p, operatorName(ctx, opts))
@@ -116,8 +116,9 @@
 	return planMessage(p), nil
 }
 
-// tellConflict adds to a conflict what changed and who planned it.
-func (s *Server) tellConflict(ctx context.Context, state *plan.State, err error) error {
+// describeConflict adds to a conflict error what changed and who planned the change. It
+// returns other errors unchanged.
+func (s *Server) describeConflict(ctx context.Context, state *plan.State, err error) error {
 	var conflict *plan.ConflictError
 	if !errors.As(err, &conflict) {
 		return err
@@ -135,25 +136,25 @@
 	return conflict
 }
 
-// warnPending remembers a plan and warns of other plans from the same version.
-// It remembers first: of two operators at the same time on two hosts, at least
-// one then sees the other's.
-func (s *Server) warnPending(ctx context.Context, p *plan.Plan, by string) {
-	mine := issuedPlan{key: p.Key, base: p.Base, digest: p.Digest, by: by, at: time.Now()}
-	s.history.record(mine)
+// warnPending records a plan and adds warnings about other operators' pending plans with
+// the same base. It records the plan first: if two operators plan concurrently on two
+// hosts, at least one of them then sees the other's plan.
+func (s *Server) warnPending(ctx context.Context, p *plan.Plan, operator string) {
+	own := issuedPlan{key: p.Key, base: p.Base, digest: p.Digest, operator: operator, at: time.Now()}
+	s.history.record(own)
 	issued := s.issuedPlans(ctx, p.Key)
-	for _, o := range pending(issued.plans, mine) {
+	for _, o := range conflicting(issued.plans, own) {
 		p.Warnings = append(p.Warnings, fmt.Sprintf(
 			"%s planned another change of %s from the same revision %d at %s; whichever is published last replaces the other",
-			cmp.Or(o.by, anonymous), p.Key, p.Base.Revision, o.at.UTC().Format(time.TimeOnly)))
+			cmp.Or(o.operator, anonymous), p.Key, p.Base.Revision, o.at.UTC().Format(time.TimeOnly)))
 	}
 	if warning := issued.unaskedWarning(); warning != "" {
 		p.Warnings = append(p.Warnings, warning)
 	}
 }
 
-// operatorName is the name in the client's certificate, or the name given; it
-// may be empty.
+// operatorName returns the common name in the client's certificate, or else the name in
+// the options, which may be empty.
 func operatorName(ctx context.Context, opts *operatorv1.PlanOptions) string {
 	if p, ok := peer.FromContext(ctx); ok {
 		if info, ok := p.AuthInfo.(credentials.TLSInfo); ok && len(info.State.PeerCertificates) > 0 {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -21,27 +21,27 @@
 	DefaultPeerTimeout  = time.Second
 )
 
-// Config is what the service needs. Every interface is required.
+// Config configures a Server. Every interface is required.
 type Config struct {
 	// Host identifies this entry host, as in its events.
 	Host string
 	// Build is the version of the program.
 	Build string
-	// Source gives the configuration in force.
+	// Source provides the current configuration.
 	Source ConfigSource
-	// Fleet gives the entry hosts.
+	// Fleet provides the entry hosts.
 	Fleet FleetView
-	// Local gives this process's numbers.
+	// Local provides the metrics of this process.
 	Local HostView
-	// Upstreams gives the upstreams.
+	// Upstreams provides the upstreams.
 	Upstreams UpstreamView
-	// Events gives the decision events.
+	// Events provides the decision events.
 	Events EventStore
-	// Peers asks the other entry hosts.
+	// Peers queries the other entry hosts.
 	Peers Peers
-	// PollInterval is how often Follow looks at the fleet. Default: 100ms.
+	// PollInterval is the interval at which Follow checks the fleet. Default: 100ms.
 	PollInterval time.Duration
-	// PeerTimeout bounds asking one peer. Default: 1s.
+	// PeerTimeout is the timeout for querying a peer. Default: 1s.
 	PeerTimeout time.Duration
 }
 
@@ -64,13 +64,13 @@
 	return &Server{conf: c, history: newHistory()}
 }
 
-// Register adds the operators' service to the listener for operators.
+// Register registers the Operator service on the gRPC server for operators.
 func (s *Server) Register(r grpc.ServiceRegistrar) { operatorv1.RegisterOperatorServer(r, s) }
 
-// RegisterPeer adds what peers may ask to the listener for peers.
+// RegisterPeer registers the Peer service on the gRPC server for peers.
 func (s *Server) RegisterPeer(r grpc.ServiceRegistrar) { operatorv1.RegisterPeerServer(r, s) }
 
-// state returns the configuration in force and remembers its versions.
+// state returns the current configuration and adds its versions to the history.
 func (s *Server) state() (*plan.State, error) {
 	state := s.conf.Source.InForce()
 	if state == nil {
--- a/internal/operator/sources.go
+++ b/internal/operator/sources.go
@@ -1,9 +1,9 @@
-// Package operator serves the operators' RPC interface on an entry host.
+// Package operator implements the operators' gRPC interface of an entry host.
 //
-// It changes nothing: plans are computed against the configuration in force,
-// which it reads through ConfigSource. What it needs of the daemon it takes
-// as narrow interfaces; their methods are called from gRPC goroutines and must
-// be safe for use by several at once.
+// The interface is read-only: plans are computed from the current configuration, which is
+// read through ConfigSource, and are not applied. The package depends on the daemon through
+// narrow interfaces only; their methods are called from gRPC goroutines and must be safe
+// for concurrent use.
 package operator
 
 import (
@@ -15,13 +15,14 @@
 	"github.com/dapplespindle/dapplespindle/pkg/plan"
 )
 
-// ConfigSource gives the configuration in force.
+// ConfigSource provides the current configuration.
 type ConfigSource interface {
-	// InForce returns an immutable snapshot, or nil while there is none.
+	// InForce returns an immutable snapshot of the current configuration, or nil while there
+	// is none.
 	InForce() *plan.State
 }
 
-// MemberState is what the membership says of an entry host.
+// MemberState is the state of an entry host in the membership.
 type MemberState string
 
 // The states of a member.
@@ -30,46 +31,47 @@
 	Suspect MemberState = "suspect"
 	Leaving MemberState = "leaving"
 	Dead    MemberState = "dead"
-	// Unheard is a host that the platform lists and the membership knows nothing of.
+	// Unheard is the state of a host that the platform lists and that is not known to the
+	// membership.
 	Unheard MemberState = "unheard"
 )
 
-// Member is one entry host as the membership sees it.
+// Member is an entry host as this host's membership view shows it.
 type Member struct {
-	// Host identifies the entry host, by the IP that its events carry.
+	// Host is the entry host's IP address, as in its events.
 	Host string
-	// PeerAddress is where its peers reach it, "IP:port".
+	// PeerAddress is the address for its peers, "IP:port".
 	PeerAddress string
-	// FailureDomain is where it runs.
+	// FailureDomain is the failure domain that it runs in.
 	FailureDomain string
-	// State is what the membership says.
+	// State is its state in the membership.
 	State MemberState
-	// Incarnation grows with each start of the host's process.
+	// Incarnation increases with each start of the host's process.
 	Incarnation uint64
-	// Revision and Digest are the configuration in force there, as last heard.
+	// Revision and Digest identify the host's current configuration as last received from it.
 	Revision, Digest uint64
-	// Self is true for the host that answers.
+	// Self is true for the host that answers the call.
 	Self bool
 }
 
-// FleetView gives the entry hosts, the answering one included.
+// FleetView provides the entry hosts, including this one.
 type FleetView interface {
 	Members() []Member
 }
 
-// HostView gives this process's own numbers.
+// HostView provides metrics of this process.
 type HostView interface {
 	// InFlight is the number of callers' requests in flight.
 	InFlight() int64
 }
 
-// UpstreamView gives the upstreams as this host sees them.
+// UpstreamView provides the upstreams as this host sees them.
 type UpstreamView interface {
-	// Upstreams returns those of one service, or of all for an empty name.
+	// Upstreams returns the upstreams of a service, or of all services if the name is empty.
 	Upstreams(service string) []*operatorv1.UpstreamStatus
 }
 
-// EventStore gives the decision events of this host. *events.Ring is one.
+// EventStore provides the decision events of this host. *events.Ring implements it.
 type EventStore interface {
 	Lookup(request string) []event.Event
 	Recent(f events.Filter, limit int) []event.Event
@@ -77,12 +79,12 @@
 	Stats() events.Stats
 }
 
-// Peers asks another entry host.
+// Peers queries other entry hosts.
 type Peers interface {
-	// Events returns the kept events of a request there.
+	// Events returns the events of a request that the host has kept.
 	Events(ctx context.Context, m Member, request string) ([]*operatorv1.Event, error)
-	// Plans returns the recent plans of a document that the host answered.
+	// Plans returns the recent plans of a document that the host issued.
 	Plans(ctx context.Context, m Member, key string) ([]*operatorv1.IssuedPlan, error)
-	// Status returns the host's own state.
+	// Status returns the host's status as it reports it.
 	Status(ctx context.Context, m Member) (*operatorv1.HostStatus, error)
 }
--- a/internal/operator/watch.go
+++ b/internal/operator/watch.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// maxRecent bounds the past events that a watch begins with.
+	// maxRecent is the maximum number of past events that a watch starts with.
 	maxRecent = 1000
-	// watchBuffer is the number of events that a watcher may fall behind.
+	// watchBuffer is the number of events that are buffered for a slow watcher.
 	watchBuffer = 4096
 )
 
 // Watch implements operatorv1.OperatorServer.
 func (s *Server) Watch(req *operatorv1.WatchRequest, stream grpc.ServerStreamingServer[operatorv1.WatchResponse]) error {
-	f, err := filter(req.GetFilter())
+	f, err := parseFilter(req.GetFilter())
 	if err != nil {
 		return err
 	}
