--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -30,18 +30,19 @@
     {"id": "ledger-2", "address": "10.0.0.2:80", "failure_domain": "petrolina"}]}],
   "rules": [{"name": "sale", "methods": ["POST"], "group": "main", "repeat": "non-repeatable"}]}`
 
-type noRequests struct{}
+// idleHost is a HostView without requests in flight.
+type idleHost struct{}
 
-func (noRequests) InFlight() int64 { return 0 }
+func (idleHost) InFlight() int64 { return 0 }
 
-// laggard is a fleet of the answering host and one that never catches up.
-type laggard struct{ operator.SingleHost }
+// fleetWithLaggingHost is a fleet of the called host and one that never catches up.
+type fleetWithLaggingHost struct{ operator.SingleHost }
 
-func (l laggard) Members() []operator.Member {
-	return append(l.SingleHost.Members(), operator.Member{Host: "10.1.0.2", State: operator.Alive, Revision: 1})
+func (f fleetWithLaggingHost) Members() []operator.Member {
+	return append(f.SingleHost.Members(), operator.Member{Host: "10.1.0.2", State: operator.Alive, Revision: 1})
 }
 
-// fixture is an entry host's operator service with one service in force.
+// fixture is an entry host's operator service whose configuration has one service.
 type fixture struct {
 	address   string
 	published operator.Published
@@ -56,7 +57,7 @@
 	f.publish(t, 7, document)
 	single := operator.SingleHost{Member: operator.Member{Host: "10.1.0.1", State: operator.Alive}, Source: &f.published}
 	s := operator.New(operator.Config{
-		Host: "10.1.0.1", Build: "test", Source: &f.published, Fleet: laggard{single}, Local: noRequests{},
+		Host: "10.1.0.1", Build: "test", Source: &f.published, Fleet: fleetWithLaggingHost{single}, Local: idleHost{},
 		Upstreams: operator.ConfiguredUpstreams{Source: &f.published}, Events: f.ring, Peers: operator.NoPeers{},
 		PollInterval: time.Millisecond,
 	})
@@ -153,7 +154,7 @@
 			is := is.New(t)
 			code, stdout, stderr := f.run(strings.Fields(tc.args)...)
 			is.Equal(code, tc.want)
-			is.True(strings.Contains(stdout+stderr, tc.text)) // the output tells
+			is.True(strings.Contains(stdout+stderr, tc.text)) // the output lacks the text
 		})
 	}
 }
@@ -168,7 +169,7 @@
 	is.True(strings.Contains(errs.String(), "DAPPLESPINDLE_SEVER"))
 }
 
-func TestOutHoldsTheExactDocument(t *testing.T) {
+func TestOutFileIsTheExactDocument(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
 	out := filepath.Join(f.files, "out.json")
@@ -185,7 +186,7 @@
 	is.True(strings.HasPrefix(view.Base, "7@0x"))
 }
 
-func TestYAMLHoldsWhatJSONHolds(t *testing.T) {
+func TestYAMLAndJSONOutputAreEqual(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
 	_, asJSON, _ := f.run("service", "describe", "ledger", "-o", "json")
@@ -239,8 +240,8 @@
 	is.True(!strings.Contains(eventLine(e, false), "\x1b"))
 }
 
-// TestDocsHoldTheExitCodes compares the table in the docs with the code.
-func TestDocsHoldTheExitCodes(t *testing.T) {
+// TestDocsListTheExitCodes checks the table in docs/SPINDLECTL.md against codeMeanings.
+func TestDocsListTheExitCodes(t *testing.T) {
 	is := is.New(t)
 	b, err := os.ReadFile("../../docs/SPINDLECTL.md")
 	is.NoErr(err)
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -8,32 +8,34 @@
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 )
 
-// Code is the exit code of the command. docs/SPINDLECTL.md holds the table.
+// Code is an exit code of spindlectl. docs/SPINDLECTL.md documents them.
 type Code int
 
 // The exit codes.
 const (
-	// OK means that the call did what was asked.
+	// OK means that the command succeeded.
 	OK Code = iota
 	// Failure is any failure without a code of its own.
 	Failure
-	// Usage is a wrong command line or environment variable.
+	// Usage is an invalid command line or environment variable.
 	Usage
-	// InvalidDocument is a document, group, rule or field that is refused.
+	// InvalidDocument is an invalid document, group, rule or field.
 	InvalidDocument
-	// Conflict means that another version is in force than the one expected.
+	// Conflict means that a different version than the expected one is in force.
 	Conflict
-	// NotInForce means that the time to wait ended first.
+	// NotInForce means that the document was not in force on every entry host within the time
+	// to wait.
 	NotInForce
-	// Unreachable means that the entry host gave no answer, or refused the key.
+	// Unreachable means that the entry host did not respond, has no configuration yet or
+	// refused the client's certificate.
 	Unreachable
-	// NotFound means that what was named is not in force.
+	// NotFound means that the named object does not exist.
 	NotFound
-	// AlreadyExists means that what was to be created is in force.
+	// AlreadyExists means that the service to create exists already.
 	AlreadyExists
 )
 
-// codeMeanings is the table of the exit codes for --help and the docs.
+// codeMeanings describes the exit codes, for --help and docs/SPINDLECTL.md.
 var codeMeanings = []string{
 	OK:              "done",
 	Failure:         "failed for another reason",
@@ -60,7 +62,7 @@
 
 func withCode(code Code, err error) error { return &exitError{code, err} }
 
-// codeOf returns the exit code of an error from a call.
+// codeOf returns the exit code for an error.
 func codeOf(err error) Code {
 	var (
 		own   *exitError
@@ -90,7 +92,7 @@
 	}
 }
 
-// message is the text of an error for a person.
+// message returns the text of an error to show to the user, without a gRPC prefix.
 func message(err error) string {
 	if st, ok := status.FromError(err); ok && st.Code() != codes.Unknown {
 		return st.Message()
--- a/internal/ctl/follow.go
+++ b/internal/ctl/follow.go
@@ -53,7 +53,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// A plan to delete shows digest 0, so that its follow line can be pasted.
+	// An explicit --digest 0 is accepted: the follow command that is printed for a planned
+	// deletion has digest 0.
 	if digest == 0 && f.revision == 0 && f.digest == "" && !f.deleted {
 		return nil, errors.New("follow needs --digest, --revision or --deleted")
 	}
@@ -70,8 +71,8 @@
 func (a *app) follow(ctx context.Context, c operatorv1.OperatorClient, req *operatorv1.FollowRequest, wait time.Duration) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// The wait ends here and not by a deadline of the call, which the server
-	// would see first and answer with an error that reads like its own.
+	// The wait is not a deadline of the call: the server would see that deadline first and
+	// return an error that looks like an error of its own.
 	var expired atomic.Bool
 	timer := time.AfterFunc(wait, func() {
 		expired.Store(true)
@@ -86,7 +87,7 @@
 	for {
 		update, err := stream.Recv()
 		if err != nil {
-			return followEnd(err, last, expired.Load(), wait)
+			return followError(err, last, expired.Load(), wait)
 		}
 		last = update
 		if err := a.printUpdate(update); err != nil {
@@ -101,13 +102,14 @@
 	}
 }
 
-// followEnd tells a wait that ended from a host that went away.
-func followEnd(err error, last *operatorv1.FollowUpdate, expired bool, wait time.Duration) error {
+// followError returns the error for a stream that ended: that the wait expired, or else
+// err.
+func followError(err error, last *operatorv1.FollowUpdate, expired bool, wait time.Duration) error {
 	if !expired {
 		return err
 	}
 	if last == nil {
-		return withCode(Unreachable, errors.Newf("no answer within %s", wait))
+		return withCode(Unreachable, errors.Newf("no response within %s", wait))
 	}
 	return withCode(NotInForce, errors.Newf("not in force on every entry host after %s: %s", wait, laggingText(last)))
 }
@@ -119,7 +121,7 @@
 	return ", planned by " + name
 }
 
-// printUpdate writes one line an update; JSON is one object a line.
+// printUpdate writes an update as one line of text or JSON, or as a YAML document.
 func (a *app) printUpdate(u *operatorv1.FollowUpdate) error {
 	if a.output != "table" {
 		return a.printLine(u)
--- a/internal/ctl/parts.go
+++ b/internal/ctl/group_rule.go
@@ -19,7 +19,7 @@
 	var flags planFlags
 	cmd := &cobra.Command{
 		Use:   "plan SERVICE FILE",
-		Short: "Plan adding or replacing a group from a file that holds it as JSON",
+		Short: "Plan adding or replacing a group from a JSON file",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			group, err := a.readFile(args[1])
@@ -39,7 +39,7 @@
 	var flags planFlags
 	cmd := &cobra.Command{
 		Use:   "delete SERVICE GROUP",
-		Short: "Plan the deletion of a group that no rule names",
+		Short: "Plan the deletion of a group that no rule refers to",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return a.planGroup(cmd, &flags, &operatorv1.PlanGroupRequest{
@@ -72,7 +72,7 @@
 	)
 	cmd := &cobra.Command{
 		Use:   "plan SERVICE FILE",
-		Short: "Plan adding, replacing or moving a rule from a file that holds it as JSON",
+		Short: "Plan adding, replacing or moving a rule from a JSON file",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			rule, err := a.readFile(args[1])
@@ -85,7 +85,7 @@
 		},
 	}
 	flags.register(cmd)
-	cmd.Flags().StringVar(&before, "before", "", "rule to stand in front of (default keep the place, or add last)")
+	cmd.Flags().StringVar(&before, "before", "", "rule to place this rule in front of (default keep its position, or append it)")
 	return cmd
 }
 
--- a/internal/ctl/line.go
+++ b/internal/ctl/line.go
@@ -12,7 +12,7 @@
 
 const timeFormat = "15:04:05.000"
 
-// Colours of the levels, as terminal escapes.
+// Colours of the levels, as terminal escape sequences.
 const (
 	colourReset  = "\x1b[0m"
 	colourDim    = "\x1b[2m"
@@ -22,8 +22,8 @@
 
 var levelColours = map[string]string{"debug": colourDim, "warn": colourYellow, "error": colourRed}
 
-// eventLine writes one decision for a person: when, where, which request,
-// what, why, and after how long.
+// eventLine formats a decision event as a line of text: the time, the host, the event's
+// name, the request, the upstream, the reason and the time since the request arrived.
 func eventLine(e *operatorv1.Event, colour bool) string {
 	name := fmt.Sprintf("%-17s", e.GetName())
 	if c := levelColours[e.GetLevel()]; colour && c != "" {
@@ -51,11 +51,11 @@
 }
 
 func requestText(e *operatorv1.Event) string {
-	place := e.GetService()
+	route := e.GetService()
 	if e.GetRule() != "" {
-		place += "/" + e.GetRule()
+		route += "/" + e.GetRule()
 	}
-	return strings.TrimSpace(e.GetRequest() + " " + place)
+	return strings.TrimSpace(e.GetRequest() + " " + route)
 }
 
 func upstreamText(e *operatorv1.Event) string {
@@ -69,10 +69,10 @@
 	return s
 }
 
-// reasonText joins the reason, the detail and the quantity that decided.
+// reasonText joins the reason, the detail and the value of an event.
 func reasonText(e *operatorv1.Event) string {
 	s := e.GetReason()
-	// The detail of an error often begins with the reason, its kind.
+	// The detail of an error often begins with the reason, which is the error kind.
 	if detail := strings.TrimPrefix(e.GetDetail(), s+": "); detail != "" && detail != s {
 		s = strings.TrimPrefix(s+": "+detail, ": ")
 	}
@@ -82,7 +82,7 @@
 	return strings.TrimSpace(fmt.Sprintf("%s [%s: %d]", s, e.GetUnit(), e.GetValue()))
 }
 
-// isTerminal reports whether w is a terminal.
+// isTerminal reports whether w is a terminal and NO_COLOR is not set.
 func isTerminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	if !ok || os.Getenv("NO_COLOR") != "" {
--- a/internal/ctl/logplot.go
+++ b/internal/ctl/logplot.go
@@ -16,17 +16,17 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// Size of the picture of logsPlotCommand.
+// Dimensions of the image that logsPlotCommand draws.
 const (
 	plotWidth  = 11 * vg.Inch
 	plotHeight = 9 * vg.Inch
-	// plotPanels are one above another: latency, ends, upstreams.
+	// plotPanels is the number of panels, from top to bottom: latency, failures, upstreams.
 	plotPanels = 3
 	// plotPadding is the space between panels.
 	plotPadding = vg.Inch / 6
 )
 
-// plotted are the decisions that a plot shows.
+// plotted is the set of events that a plot shows.
 var plotted = map[event.Code]bool{
 	event.RequestAnswered: true, event.RequestRefused: true, event.RequestUnknown: true,
 	event.UpstreamRegistered: true, event.UpstreamRemoved: true,
@@ -36,27 +36,28 @@
 	var out string
 	cmd := &cobra.Command{
 		Use:   "plot --out FILE.png [FILE...]",
-		Short: "Draw latency, refusals and upstreams over time; - or none is standard input",
+		Short: "Plot latency, refusals and upstreams over time; - or no file is the standard input",
 		RunE: func(_ *cobra.Command, args []string) error {
 			lines, err := a.readLogs(args, func(l *logLine) bool { return plotted[l.Code] })
 			if err != nil {
 				return err
 			}
 			if len(lines) == 0 {
-				return withCode(NotFound, errors.New("no line that can be drawn"))
+				return withCode(NotFound, errors.New("no log line that can be plotted"))
 			}
 			return drawLogs(lines, out)
 		},
 	}
-	cmd.Flags().StringVar(&out, "out", "", "the picture to write, as PNG")
-	_ = cmd.MarkFlagRequired("out") // the flag is there
+	cmd.Flags().StringVar(&out, "out", "", "path of the PNG image to write")
+	_ = cmd.MarkFlagRequired("out") // fails only if the flag does not exist
 	return cmd
 }
 
-// drawLogs writes the picture. The axis is seconds after the first line.
+// drawLogs draws the log lines to a PNG file. The horizontal axis is the time in seconds
+// since the first line.
 func drawLogs(lines []logLine, path string) error {
 	start := lines[0].Time
-	panels := []func([]logLine, time.Time) (*plot.Plot, error){plotLatency, plotEnds, plotUpstreams}
+	panels := []func([]logLine, time.Time) (*plot.Plot, error){plotLatency, plotFailures, plotUpstreams}
 	canvas := vgimg.New(plotWidth, plotHeight)
 	tiles := draw.Tiles{Rows: plotPanels, Cols: 1, PadY: plotPadding, PadTop: plotPadding, PadBottom: plotPadding, PadRight: plotPadding}
 	whole := draw.New(canvas)
@@ -85,15 +86,15 @@
 
 func seconds(t, start time.Time) float64 { return t.Sub(start).Seconds() }
 
-// Colours of what is drawn.
+// Colours of the plotted data.
 var (
 	plotGood = color.RGBA{0x1f, 0x77, 0xb4, 0xff}
 	plotBad  = color.RGBA{0xd6, 0x27, 0x28, 0xff}
 	plotSlow = color.RGBA{0xff, 0x7f, 0x0e, 0xff}
 )
 
-// plotLatency shows each answered request that was written: those that were late,
-// sent more than once, and a sample of the others.
+// plotLatency plots the latency of each answered request in the logs: those that were late
+// or sent more than once, and a sample of the others.
 func plotLatency(lines []logLine, start time.Time) (*plot.Plot, error) {
 	var points plotter.XYs
 	for _, l := range lines {
@@ -118,12 +119,12 @@
 	return p, nil
 }
 
-// plotEnds counts the requests that were refused, and those whose outcome is not
-// known, in each second.
-func plotEnds(lines []logLine, start time.Time) (*plot.Plot, error) {
+// plotFailures plots, per second, the number of requests that were refused and of those
+// whose outcome is unknown.
+func plotFailures(lines []logLine, start time.Time) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = "requests without the upstream's answer"
-	p.Y.Label.Text = "requests a second"
+	p.Title.Text = "requests without a response from an upstream"
+	p.Y.Label.Text = "requests per second"
 	p.Add(plotter.NewGrid())
 	p.Legend.Top = true
 	length := int(seconds(lines[len(lines)-1].Time, start)) + 1
@@ -148,10 +149,10 @@
 	return p, nil
 }
 
-// plotUpstreams shows how many upstreams take requests and how many are draining,
-// as one host was told: the one with the most to tell.
+// plotUpstreams plots how many upstreams accept requests and how many are draining, from
+// the log of the host with the most lines about upstreams.
 func plotUpstreams(lines []logLine, start time.Time) (*plot.Plot, error) {
-	host := busiestHost(lines)
+	host := hostWithMostUpstreamLines(lines)
 	ready, draining := make(map[string]bool), make(map[string]bool)
 	var readyLine, drainingLine plotter.XYs
 	for _, l := range lines {
@@ -178,7 +179,7 @@
 	readyLine = append(readyLine, plotter.XY{X: end, Y: float64(len(ready))})
 	drainingLine = append(drainingLine, plotter.XY{X: end, Y: float64(len(draining))})
 	p := plot.New()
-	p.Title.Text = "upstreams that host " + host + " was told of since its first line"
+	p.Title.Text = "upstreams that host " + host + " has logged since its first line"
 	p.Y.Label.Text = "upstreams"
 	p.Add(plotter.NewGrid())
 	p.Legend.Top = true
@@ -188,8 +189,8 @@
 	return p, addSteps(p, "draining", plotSlow, drainingLine)
 }
 
-// busiestHost returns the host with the most lines about upstreams.
-func busiestHost(lines []logLine) string {
+// hostWithMostUpstreamLines returns the host with the most lines about upstreams.
+func hostWithMostUpstreamLines(lines []logLine) string {
 	counts := make(map[string]int)
 	best := lines[0].Host
 	for _, l := range lines {
@@ -204,7 +205,7 @@
 	return best
 }
 
-// addSteps draws a line that keeps each value until the next.
+// addSteps adds a step line, which keeps each value until the next point.
 func addSteps(p *plot.Plot, name string, c color.Color, points plotter.XYs) error {
 	if len(points) == 0 {
 		return nil
--- a/internal/ctl/logs.go
+++ b/internal/ctl/logs.go
@@ -17,7 +17,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// logLine is one line of an entry host's log, as internal/logging writes it.
+// logLine is a line of an entry host's log, in the format of internal/logging.
 type logLine struct {
 	Time     time.Time  `json:"time"`
 	Code     event.Code `json:"event"`
@@ -39,13 +39,13 @@
 	Age      int64      `json:"load_age_us,omitempty"`
 }
 
-// maxLogLine bounds one line, in bytes.
+// maxLogLine is the maximum length of a line in bytes.
 const maxLogLine = 1 << 20
 
 func (a *app) logsCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "logs",
-		Short: "Read log files of entry hosts; no entry host is asked",
+		Short: "Read log files of entry hosts, without calling an entry host",
 	}
 	needSubcommand(cmd)
 	cmd.AddCommand(a.logsRequestCommand(), a.logsSummaryCommand(), a.logsPlotCommand())
@@ -55,7 +55,7 @@
 func (a *app) logsRequestCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "request ID [FILE...]",
-		Short: "Show the way of a request over all hosts whose logs are given; - or none is standard input",
+		Short: "Show all decisions on a request from the logs of several hosts; - or no file is the standard input",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			lines, err := a.readLogs(args[1:], func(l *logLine) bool { return l.Request == args[0] })
@@ -63,25 +63,26 @@
 				return err
 			}
 			if len(lines) == 0 {
-				return withCode(NotFound, errors.Newf("request %s: no line; ordinary requests are written one in %s", args[0], "256"))
+				return withCode(NotFound, errors.Newf("request %s: no log line found; only one in %s ordinary requests is logged", args[0], "256"))
 			}
-			return a.printValue(lines, func(w io.Writer) { writeWay(w, lines) })
+			return a.printValue(lines, func(w io.Writer) { decisionTable(w, lines) })
 		},
 	}
 }
 
-// writeWay writes one decision a line.
-func writeWay(w io.Writer, lines []logLine) {
+// decisionTable writes a table with one decision per row.
+func decisionTable(w io.Writer, lines []logLine) {
 	row(w, "TIME", "HOST", "DECISION", "SEND", "UPSTREAM", "REASON", "LOAD", "CONFIG", "AFTER")
 	for _, l := range lines {
 		row(w, l.Time.Format("15:04:05"), l.Host, l.Name, dash(l.Attempt), cmp.Or(l.Upstream, "-"),
-			cmp.Or(l.Reason, "-"), l.load(), dash(int(l.Version)),
+			cmp.Or(l.Reason, "-"), l.loadText(), dash(int(l.Version)),
 			(time.Duration(l.Elapsed) * time.Microsecond).String())
 	}
 }
 
-// load says what was known of the upstream: "2/3 x5 3ms old".
-func (l *logLine) load() string {
+// loadText formats the upstream's load report as requests in flight, slots, slowdown and
+// age, such as "2/3 x5 3ms old".
+func (l *logLine) loadText() string {
 	if l.InFlight == nil {
 		return "-"
 	}
@@ -97,16 +98,15 @@
 	return strconv.Itoa(n)
 }
 
-// summaryRow counts one kind of end.
+// summaryRow counts the lines with the same decision, reason, upstream and configuration.
 type summaryRow struct {
-	// Decision and Reason are those of the lines counted.
 	Decision string `json:"decision"`
 	Reason   string `json:"reason"`
-	// Upstream is the one concerned, if any.
+	// Upstream is the upstream concerned, if any.
 	Upstream string `json:"upstream"`
-	// Version is that of the configuration which decided.
+	// Version is the version of the configuration that the decision was based on.
 	Version uint64 `json:"config_version"`
-	// Count is the number of lines, and First the request of the first.
+	// Count is the number of lines, and First is the request ID of the first one.
 	Count int    `json:"count"`
 	First string `json:"first_request"`
 }
@@ -114,7 +114,7 @@
 func (a *app) logsSummaryCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "summary [FILE...]",
-		Short: "Count what failed and why, by upstream and configuration; - or none is standard input",
+		Short: "Count failures by reason, upstream and configuration; - or no file is the standard input",
 		RunE: func(_ *cobra.Command, args []string) error {
 			lines, err := a.readLogs(args, func(l *logLine) bool { return failures[l.Code] })
 			if err != nil {
@@ -131,14 +131,14 @@
 	}
 }
 
-// failures are the decisions that a summary counts.
+// failures is the set of events that a summary counts.
 var failures = map[event.Code]bool{
 	event.RequestRefused: true, event.RequestUnknown: true, event.AttemptFailed: true,
 	event.RetryDenied: true, event.RequestShed: true, event.StoreLost: true,
 	event.StoreItemRejected: true, event.SettingsRejected: true, event.UpstreamUnreachable: true,
 }
 
-// summarize counts equal ends, most frequent first.
+// summarize groups equal failures and counts them, most frequent first.
 func summarize(lines []logLine) []summaryRow {
 	type key struct {
 		decision, reason, upstream string
@@ -164,7 +164,7 @@
 	return out
 }
 
-// readLogs returns the lines of all files that keep selects, by time.
+// readLogs returns the lines of all files for which keep returns true, ordered by time.
 func (a *app) readLogs(files []string, keep func(*logLine) bool) ([]logLine, error) {
 	if len(files) == 0 {
 		files = []string{"-"}
@@ -183,8 +183,8 @@
 	return out, nil
 }
 
-// readLog reads one file. Lines that are no log lines are passed over: other
-// programs may write to the same place.
+// readLog reads a log file. Lines in another format are skipped, because other programs may
+// write to the same file.
 func (a *app) readLog(path string, keep func(*logLine) bool) ([]logLine, error) {
 	in := a.env.Stdin
 	if path != "-" {
--- a/internal/ctl/logs_test.go
+++ b/internal/ctl/logs_test.go
@@ -62,7 +62,7 @@
 	})
 }
 
-// TestLogsPlot draws refusals, an answer and upstreams of two hosts.
+// TestLogsPlot checks that refusals, a response and the states of an upstream are drawn.
 func TestLogsPlot(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
@@ -89,7 +89,7 @@
 		}
 	}
 	for _, want := range []color.Color{plotGood, plotSlow} {
-		is.True(colours[color.NRGBAModel.Convert(want)] || colours[want]) // nothing was drawn in it
+		is.True(colours[color.NRGBAModel.Convert(want)] || colours[want]) // nothing was drawn in this colour
 	}
 	is.Equal(run("logs", "plot", "--out", out, "-"), NotFound) // no lines
 	is.True(run("logs", "plot", log) != OK)                    // no --out
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -24,19 +24,19 @@
 	}
 	b, err := protojson.MarshalOptions{UseProtoNames: true, EmitDefaultValues: true}.Marshal(m)
 	if err != nil {
-		return errors.Wrap(err, "encode answer")
+		return errors.Wrap(err, "encode response")
 	}
 	return a.printJSON(b)
 }
 
-// printValue is print for a value of our own.
+// printValue is like print, for a value that is not a protobuf message.
 func (a *app) printValue(v any, table func(w io.Writer)) error {
 	if a.output == "table" {
 		return a.table(table)
 	}
 	b, err := json.Marshal(v)
 	if err != nil {
-		return errors.Wrap(err, "encode answer")
+		return errors.Wrap(err, "encode output")
 	}
 	return a.printJSON(b)
 }
@@ -53,30 +53,30 @@
 	}
 	var out bytes.Buffer
 	if err := json.Indent(&out, b, "", "  "); err != nil {
-		return errors.Wrap(err, "indent answer")
+		return errors.Wrap(err, "indent JSON")
 	}
 	out.WriteByte('\n')
 	_, err := out.WriteTo(a.env.Stdout)
 	return err
 }
 
-// writeYAML writes JSON as YAML in the same order.
+// writeYAML converts JSON to YAML and keeps the order of the keys.
 func writeYAML(w io.Writer, b []byte) error {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(b, &doc); err != nil {
-		return errors.Wrap(err, "read answer")
+		return errors.Wrap(err, "parse JSON as YAML")
 	}
 	clearStyle(&doc)
 	enc := yaml.NewEncoder(w)
 	enc.SetIndent(2)
 	if err := enc.Encode(&doc); err != nil {
-		return errors.Wrap(err, "write answer")
+		return errors.Wrap(err, "write YAML")
 	}
 	return enc.Close()
 }
 
-// clearStyle drops JSON's braces and quotes. A text that would read as another
-// type keeps its quotes, by its tag.
+// clearStyle removes JSON's braces and quotes. A string that would be parsed as another
+// type without quotes keeps them, because of its tag.
 func clearStyle(n *yaml.Node) {
 	n.Style = 0
 	for _, c := range n.Content {
@@ -84,7 +84,7 @@
 	}
 }
 
-// readFile reads a file, or the standard input for "-".
+// readFile reads a file, or the standard input if path is "-".
 func (a *app) readFile(path string) ([]byte, error) {
 	if path == "-" {
 		return io.ReadAll(a.env.Stdin)
@@ -92,7 +92,7 @@
 	return os.ReadFile(path)
 }
 
-// row writes one line of a table.
+// row writes a row of a table.
 func row(w io.Writer, cells ...any) {
 	text := make([]string, len(cells))
 	for i, c := range cells {
--- a/internal/ctl/plan.go
+++ b/internal/ctl/plan.go
@@ -15,21 +15,21 @@
 
 const outFileMode = 0o644
 
-// planFlags are common to the commands that plan.
+// planFlags are the flags that all planning commands have.
 type planFlags struct {
 	expect string
 	out    string
 }
 
 func (p *planFlags) register(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&p.expect, "expect", "", "version you looked at, REVISION@DIGEST; another one in force is a conflict (default any)")
-	cmd.Flags().StringVar(&p.out, "out", "", "write the exact document to publish to this file (default not written)")
+	cmd.Flags().StringVar(&p.expect, "expect", "", "version that the change is based on, REVISION@DIGEST; a conflict if another one is in force (default any)")
+	cmd.Flags().StringVar(&p.out, "out", "", "file to write the exact document to publish to (default not written)")
 }
 
-// planFunc is one planning call.
+// planFunc makes a planning call.
 type planFunc func(ctx context.Context, c operatorv1.OperatorClient, opts *operatorv1.PlanOptions) (*operatorv1.Plan, error)
 
-// plan runs a planning call, prints the plan and writes the document.
+// plan makes a planning call, writes the document if --out is set, and prints the plan.
 func (a *app) plan(cmd *cobra.Command, flags *planFlags, call planFunc) error {
 	expected, err := parseVersion(flags.expect)
 	if err != nil {
@@ -46,11 +46,12 @@
 				return errors.Wrap(err, "write document")
 			}
 		}
-		return a.printValue(planView(p), func(w io.Writer) { planTable(w, p, flags.out) })
+		return a.printValue(newPlannedChange(p), func(w io.Writer) { planTable(w, p, flags.out) })
 	})
 }
 
-// plannedChange is a plan as JSON and YAML show it: the document is JSON, not bytes.
+// plannedChange is a plan in JSON and YAML output. The document is embedded as JSON instead
+// of encoded bytes.
 type plannedChange struct {
 	Key          string              `json:"key"`
 	Base         string              `json:"base"`
@@ -62,14 +63,14 @@
 	Document     json.RawMessage     `json:"document"`
 }
 
-// plannedDifference is one field that changes; the values are JSON.
+// plannedDifference is a changed field with its old and new values.
 type plannedDifference struct {
 	Field string          `json:"field"`
 	Old   json.RawMessage `json:"old"`
 	New   json.RawMessage `json:"new"`
 }
 
-func planView(p *operatorv1.Plan) plannedChange {
+func newPlannedChange(p *operatorv1.Plan) plannedChange {
 	view := plannedChange{
 		Key:          p.GetKey(),
 		Base:         versionText(p.GetBase()),
@@ -86,7 +87,7 @@
 	return view
 }
 
-// rawJSON is b, or null if b is empty.
+// rawJSON returns b, or null if b is empty.
 func rawJSON(b []byte) json.RawMessage {
 	if len(b) == 0 {
 		return json.RawMessage("null")
--- a/internal/ctl/root.go
+++ b/internal/ctl/root.go
@@ -1,5 +1,5 @@
-// Package ctl is the operators' command line. Each command is one call of the
-// operators' RPC interface of one entry host; nothing is ever published by it.
+// Package ctl implements spindlectl, the operators' command line. Most commands call the
+// operators' gRPC interface of one entry host; none of them publishes a configuration.
 package ctl
 
 import (
@@ -21,19 +21,19 @@
 	"github.com/dapplespindle/dapplespindle/internal/tlsconf"
 )
 
-// DefaultServer is where an entry host listens for operators by default.
+// DefaultServer is the default address of an entry host's listener for operators.
 const DefaultServer = "127.0.0.1:8083"
 
-// Environment is what the command takes from its process.
+// Environment is the process environment of the command.
 type Environment struct {
 	// Args are the arguments without the program's name.
 	Args []string
 	// Environ are the environment variables.
 	Environ []string
-	// Stdin, Stdout and Stderr are the streams.
+	// Stdin, Stdout and Stderr are the standard streams.
 	Stdin          io.Reader
 	Stdout, Stderr io.Writer
-	// Version is the build's version.
+	// Version is the version of the build.
 	Version string
 }
 
@@ -45,7 +45,8 @@
 	timeout  time.Duration
 	operator string
 	tls      settings.TLS
-	// started is set once the command line is accepted.
+	// started is set once the command line has been validated. Errors before that are usage
+	// errors.
 	started bool
 }
 
@@ -71,9 +72,9 @@
 func (a *app) root() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "spindlectl",
-		Short: "Look at and plan changes of a fleet of entry hosts",
-		Long: "spindlectl asks one entry host. It plans changes and follows them until they are in\n" +
-			"force; it publishes nothing, since the platform alone holds the configuration.\n\n" + exitCodeHelp(),
+		Short: "Inspect a fleet of entry hosts and plan changes",
+		Long: "spindlectl calls one entry host. It plans changes and follows them until they are in\n" +
+			"force; it publishes nothing, because only the platform stores the configuration.\n\n" + exitCodeHelp(),
 		Version:           a.env.Version,
 		SilenceUsage:      true,
 		SilenceErrors:     true,
@@ -83,8 +84,8 @@
 	fs := root.PersistentFlags()
 	fs.StringVar(&a.server, "server", DefaultServer, "IP:port of an entry host's listener for operators")
 	fs.StringVarP(&a.output, "output", "o", "table", "table, json or yaml")
-	fs.DurationVar(&a.timeout, "timeout", 5*time.Second, "time for one call; watch and follow are not bounded by it")
-	fs.StringVar(&a.operator, "operator", "", "your name, for another operator who meets a conflict (default the certificate's)")
+	fs.DurationVar(&a.timeout, "timeout", 5*time.Second, "timeout of a call; does not apply to watch and follow")
+	fs.StringVar(&a.operator, "operator", "", "your name, shown to other operators on a conflict (default the certificate's)")
 	a.tls.Register(fs, "tls", "towards the entry host")
 	root.AddCommand(
 		a.serviceCommand(), a.groupCommand(), a.ruleCommand(), a.upstreamCommand(),
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// needSubcommand makes a command that only groups others refuse to run alone.
+// needSubcommand makes a command that only groups subcommands fail if it is run on its own.
 func needSubcommand(cmd *cobra.Command) {
 	cmd.Args = cobra.NoArgs
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
@@ -140,7 +141,7 @@
 	})
 }
 
-// stream is call without a bound in time.
+// stream is like call, without a timeout.
 func (a *app) stream(cmd *cobra.Command, f func(ctx context.Context, c operatorv1.OperatorClient) error) error {
 	creds, err := a.credentials()
 	if err != nil {
--- a/internal/ctl/service.go
+++ b/internal/ctl/service.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// described is a service as JSON and YAML show it.
-type described struct {
+// serviceDescription is a service in JSON and YAML output.
+type serviceDescription struct {
 	Key      string          `json:"key"`
 	Version  string          `json:"version"`
 	Document json.RawMessage `json:"document"`
@@ -68,7 +68,7 @@
 			})
 		},
 	}
-	cmd.Flags().StringVar(&out, "out", "", "write the document to this file, to edit and plan (default not written)")
+	cmd.Flags().StringVar(&out, "out", "", "file to write the document to, for editing and planning (default not written)")
 	return cmd
 }
 
@@ -78,7 +78,7 @@
 			return errors.Wrap(err, "write document")
 		}
 	}
-	view := described{resp.GetKey(), versionText(resp.GetVersion()), rawJSON(resp.GetDocument())}
+	view := serviceDescription{resp.GetKey(), versionText(resp.GetVersion()), rawJSON(resp.GetDocument())}
 	return a.printValue(view, func(w io.Writer) {
 		row(w, "key", view.Key)
 		row(w, "version", view.Version)
@@ -97,7 +97,7 @@
 	)
 	cmd := &cobra.Command{
 		Use:   "plan FILE",
-		Short: "Plan the creation or the change of a service from a document, - for the standard input",
+		Short: "Plan creating or changing a service from a document, - for the standard input",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			document, err := a.readFile(args[0])
@@ -110,7 +110,7 @@
 		},
 	}
 	flags.register(cmd)
-	cmd.Flags().BoolVar(&create, "create", false, "refuse if the service is already in force")
+	cmd.Flags().BoolVar(&create, "create", false, "fail if the service is already in force")
 	return cmd
 }
 
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -14,7 +14,7 @@
 func (a *app) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Show every entry host; one that can't be asked is named",
+		Short: "Show every entry host, including those that can't be reached",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return a.call(cmd, func(ctx context.Context, c operatorv1.OperatorClient) error {
@@ -41,7 +41,7 @@
 	}
 }
 
-// droppedText names the causes for which events were not kept.
+// droppedText formats the numbers of dropped events by cause.
 func droppedText(st *operatorv1.EventStats) string {
 	return fmt.Sprintf("%d sampled, %d busy, %d slow watchers", st.GetSampledOut(), st.GetDroppedBusy(), st.GetDroppedWatchers())
 }
@@ -49,7 +49,7 @@
 func (a *app) checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check-config FILE",
-		Short: "Check a service document without asking an entry host, - for the standard input",
+		Short: "Check a service document without calling an entry host, - for the standard input",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			b, err := a.readFile(args[0])
--- a/internal/ctl/upstream.go
+++ b/internal/ctl/upstream.go
@@ -10,11 +10,11 @@
 )
 
 func (a *app) upstreamCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "upstream", Aliases: []string{"upstreams"}, Short: "List upstreams; plan draining and members"}
+	cmd := &cobra.Command{Use: "upstream", Aliases: []string{"upstreams"}, Short: "List upstreams; plan draining or replacing them"}
 	needSubcommand(cmd)
 	cmd.AddCommand(a.upstreamList(), a.upstreamSet())
-	cmd.AddCommand(a.upstreamDrain("drain", "Plan draining an upstream: it takes no new requests", false))
-	cmd.AddCommand(a.upstreamDrain("undrain", "Plan taking a draining upstream back", true))
+	cmd.AddCommand(a.upstreamDrain("drain", "Plan draining an upstream, so that it gets no new requests", false))
+	cmd.AddCommand(a.upstreamDrain("undrain", "Plan returning a draining upstream to service", true))
 	return cmd
 }
 
@@ -74,7 +74,7 @@
 	var flags planFlags
 	cmd := &cobra.Command{
 		Use:   "set SERVICE GROUP FILE",
-		Short: "Plan replacing a group's members from a file that holds them as a JSON list",
+		Short: "Plan replacing the upstreams of a group from a file with a JSON list",
 		Args:  cobra.ExactArgs(3),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			upstreams, err := a.readFile(args[2])
--- a/internal/ctl/version.go
+++ b/internal/ctl/version.go
@@ -10,14 +10,14 @@
 	operatorv1 "github.com/dapplespindle/dapplespindle/api/operator/v1"
 )
 
-// versionText writes a version as REVISION@DIGEST, such as 12@0x00c0ffee00c0ffee.
+// versionText formats a version as REVISION@DIGEST, such as 12@0x00c0ffee00c0ffee.
 func versionText(v *operatorv1.Version) string {
 	return fmt.Sprintf("%d@%s", v.GetRevision(), digestText(v.GetDigest()))
 }
 
 func digestText(d uint64) string { return fmt.Sprintf("0x%016x", d) }
 
-// parseVersion reads what versionText writes; empty is nil.
+// parseVersion parses the format of versionText. It returns nil for an empty text.
 func parseVersion(text string) (*operatorv1.Version, error) {
 	if text == "" {
 		return nil, nil
@@ -37,7 +37,8 @@
 	return &operatorv1.Version{Revision: r, Digest: d}, nil
 }
 
-// parseDigest reads a digest, "0x" and hexadecimal or decimal; empty is 0.
+// parseDigest parses a digest: hexadecimal with the prefix "0x", or decimal. It returns 0
+// for an empty text.
 func parseDigest(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
--- a/internal/ctl/watch.go
+++ b/internal/ctl/watch.go
@@ -18,7 +18,7 @@
 	operatorv1 "github.com/dapplespindle/dapplespindle/api/operator/v1"
 )
 
-// watchFlags select events.
+// watchFlags are the flags that select events.
 type watchFlags struct {
 	filter operatorv1.Filter
 	codes  string
@@ -48,8 +48,8 @@
 	fs.StringVar(&flags.filter.Upstream, "upstream", "", "only this upstream (default all)")
 	fs.StringVar(&flags.codes, "code", "", "only this event code or range, such as 4000-4999 (default all)")
 	fs.StringVar(&flags.filter.MinLevel, "level", "debug", "lowest level: debug, info, warn or error")
-	fs.Uint32Var(&flags.recent, "recent", 0, "number of past events to begin with, 1000 at most")
-	fs.IntVar(&flags.count, "count", 0, "end after this number of events (default 0, never)")
+	fs.Uint32Var(&flags.recent, "recent", 0, "number of past events to start with, 1000 at most")
+	fs.IntVar(&flags.count, "count", 0, "exit after this number of events (default 0, never)")
 	return cmd
 }
 
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// printEvent writes one line; JSON is one object a line, YAML one document.
+// printEvent writes an event as one line of text or JSON, or as a YAML document.
 func (a *app) printEvent(e *operatorv1.Event) error {
 	if a.output != "table" {
 		return a.printLine(e)
@@ -109,7 +109,7 @@
 func (a *app) printLine(m proto.Message) error {
 	b, err := lineJSON.Marshal(m)
 	if err != nil {
-		return errors.Wrap(err, "encode answer")
+		return errors.Wrap(err, "encode response")
 	}
 	if a.output == "yaml" {
 		if _, err := io.WriteString(a.env.Stdout, "---\n"); err != nil {
