--- a/pkg/timeslot/timeslot.go
+++ b/pkg/timeslot/timeslot.go
@@ -1,15 +1,15 @@
-// Package timeslot has the hosts of a fleet act in turn where an upstream bears so much from
-// all of them together.
+// Package timeslot divides the capacity of an upstream among the hosts of a fleet by time
+// slots, where the upstream tolerates a fixed number of requests from all of them together.
 //
-// Hosts share nothing for this. Each knows about how many hosts there are and its own
-// number among them. Time is divided into slots, and each slot is the turn of one host, in
-// an order that is shifted from upstream to upstream.
+// The hosts exchange no messages for this. Each knows the approximate number of hosts and its
+// own index among them. Time is divided into slots, and each slot belongs to one host; the
+// order of the hosts is shifted by a different amount for each upstream.
 //
-// Where the hosts agree on their numbers, each slot has one owner. Where they are in k
-// groups that count differently, as halves that are cut from each other, it has one in each
-// group.
+// While the hosts agree on the number of hosts and on their indexes, each slot has exactly
+// one owner. If they form k groups that count differently, for example the two sides of a
+// network partition, each slot has one owner in each group.
 //
-// The package does no I/O, reads no clock and draws no randomness. Its types are safe for
+// The package does no I/O, reads no clock and draws no random numbers. Its types are safe for
 // concurrent use.
 package timeslot
 
@@ -20,79 +20,81 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// AssumedHosts is the number of hosts that a host reckons with until it knows better.
-// The fleets known have 13 to 473; to reckon with too many wastes turns for some seconds.
+// AssumedHosts is the number of hosts that is assumed until the actual number is known.
+// Known fleets have 13 to 473 hosts; an estimate that is too high leaves slots unused for a
+// few seconds.
 const AssumedHosts = 100
 
-// Position is a host's number among the hosts of its fleet.
+// Position is the index of a host among the hosts of its fleet.
 type Position struct {
-	// Self is the number, from 0.
+	// Self is the index, from 0.
 	Self int
-	// Hosts is how many there are; hosts that may be dead count.
+	// Hosts is the number of hosts, including those that may be dead.
 	Hosts int
 }
 
-// Schedule says which slots are this host's.
+// Schedule determines which slots belong to this host.
 type Schedule struct {
-	place atomic.Pointer[placed]
+	current atomic.Pointer[assignment]
 }
 
-// placed is a place and since when it holds.
-type placed struct {
+// assignment is a position and the time since which it is valid.
+type assignment struct {
 	Position
 	since time.Time
 }
 
-// New returns the turns of a host that knows no other yet. Its name gives it a number that
-// other hosts do not have as a rule.
+// New returns the schedule of a host that knows no other hosts yet. The index is derived from
+// a hash of the host's name, so that two hosts rarely start with the same one.
 func New(host string) *Schedule {
-	t := new(Schedule)
-	t.Set(time.Time{}, Position{Self: int(xxhash.Sum64String(host) % AssumedHosts), Hosts: AssumedHosts})
-	return t
+	s := new(Schedule)
+	s.Set(time.Time{}, Position{Self: int(xxhash.Sum64String(host) % AssumedHosts), Hosts: AssumedHosts})
+	return s
 }
 
-// Single returns the turns of a host without a fleet: all slots are its own.
+// Single returns the schedule of a host without a fleet, which owns all slots.
 func Single() *Schedule {
-	t := new(Schedule)
-	t.Set(time.Time{}, Position{Hosts: 1})
-	return t
+	s := new(Schedule)
+	s.Set(time.Time{}, Position{Hosts: 1})
+	return s
 }
 
-// Set takes in this host's place. One that is out of range is ignored.
-func (t *Schedule) Set(now time.Time, p Position) {
-	known := t.place.Load()
+// Set updates the position of this host. A position that is out of range is ignored.
+func (s *Schedule) Set(now time.Time, p Position) {
+	known := s.current.Load()
 	if p.Self < 0 || p.Self >= p.Hosts || known != nil && known.Position == p {
 		return
 	}
-	t.place.Store(&placed{p, now})
+	s.current.Store(&assignment{p, now})
 }
 
-// Position returns this host's place, and since when it holds.
-func (t *Schedule) Position() (Position, time.Time) {
-	p := t.place.Load()
-	return p.Position, p.since
+// Position returns the position of this host and the time since which it is valid.
+func (s *Schedule) Position() (Position, time.Time) {
+	a := s.current.Load()
+	return a.Position, a.since
 }
 
-// Owns reports whether a slot is this host's. Shift is that of the upstream's order.
-func (t *Schedule) Owns(slot int64, shift uint64) bool {
-	p := t.place.Load()
-	return owner(slot, shift, p.Hosts) == uint64(p.Self)
+// Owns reports whether a slot belongs to this host. Shift offsets the order of the hosts for
+// the upstream.
+func (s *Schedule) Owns(slot int64, shift uint64) bool {
+	a := s.current.Load()
+	return owner(slot, shift, a.Hosts) == uint64(a.Self)
 }
 
-// Owner returns the number of the host whose slot it is.
-func (t *Schedule) Owner(slot int64, shift uint64) int {
-	return int(owner(slot, shift, t.place.Load().Hosts))
+// Owner returns the index of the host that owns a slot.
+func (s *Schedule) Owner(slot int64, shift uint64) int {
+	return int(owner(slot, shift, s.current.Load().Hosts))
 }
 
-// owner is the number of the host whose slot it is. Half of the shift is used, so that the
-// sum does not overflow.
+// owner returns the index of the host that owns a slot. The shift is halved so that the sum
+// does not overflow.
 func owner(slot int64, shift uint64, hosts int) uint64 {
 	return (uint64(slot) + shift>>1) % uint64(hosts)
 }
 
-// Next returns the first slot from one on that is this host's.
-func (t *Schedule) Next(slot int64, shift uint64) int64 {
-	p := t.place.Load()
-	hosts := uint64(p.Hosts)
-	return slot + int64((uint64(p.Self)+hosts-owner(slot, shift, p.Hosts))%hosts)
+// Next returns the first slot at or after the given one that belongs to this host.
+func (s *Schedule) Next(slot int64, shift uint64) int64 {
+	a := s.current.Load()
+	hosts := uint64(a.Hosts)
+	return slot + int64((uint64(a.Self)+hosts-owner(slot, shift, a.Hosts))%hosts)
 }
