--- a/pkg/backoff/backoff_test.go
+++ b/pkg/backoff/backoff_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Now()
 
-func TestStateRests(t *testing.T) {
+func TestStateBacksOff(t *testing.T) {
 	is := is.New(t)
 	var s backoff.State
 	is.True(s.Open(start, true))
@@ -26,15 +26,15 @@
 		is.True(!s.Open(now, false))
 		is.True(!s.Try(now))
 		is.Equal(s.Delay(now), 3*time.Second-at)
-		s.Answered(now) // of a request that was sent before: the upstream still rests
+		s.Answered(now) // response to an earlier request: the backoff continues
 		is.True(!s.Open(now, false))
 	}
 	is.True(s.Open(until, false))
 }
 
-// TestLongestRestCounts: answers to requests that were sent together ask for different
-// times, in any order.
-func TestLongestRestCounts(t *testing.T) {
+// TestLongestBackoffCounts checks that the longest backoff counts if the responses to
+// concurrent requests ask for different times, in any order.
+func TestLongestBackoffCounts(t *testing.T) {
 	is := is.New(t)
 	var s backoff.State
 	s.Begin(start, 3*time.Second, 0)
@@ -44,13 +44,13 @@
 	is.True(!s.Open(start.Add(3500*time.Millisecond), false))
 }
 
-// TestOneGoesFirst: after a rest one request finds out whether it is over. The others
-// follow when it was answered, or when a refusal would be back.
+// TestOneGoesFirst checks that a single request is sent first after a backoff. The others
+// follow once it was answered, or once a rejection would have arrived.
 func TestOneGoesFirst(t *testing.T) {
 	is := is.New(t)
 	var s backoff.State
 	until := s.Begin(start, time.Second, 0)
-	is.True(!s.Open(until, true)) // one that could not be sent again waits
+	is.True(!s.Open(until, true)) // a request that could not be retried waits
 	is.True(s.Open(until.Add(backoff.RetryableOnlyPeriod), true))
 	is.True(s.Try(until))
 	is.True(!s.Open(until, false))
@@ -65,77 +65,79 @@
 	is.True(s.Open(until.Add(time.Millisecond), true))
 	is.Equal(s.Delay(until.Add(time.Millisecond)), time.Duration(0))
 
-	again := s.Begin(after, time.Second, 0) // turned away once more
+	again := s.Begin(after, time.Second, 0) // rejected once more
 	is.True(!s.Open(again.Add(-1), false))
 	is.True(s.Try(again))
 	is.True(!s.Try(again))
 }
 
-// TestNoCrowdAfterARest: an upstream turns 473 hosts away within a tenth of a second, and
-// asks each for three seconds. Each host has a request for it every half second, and a
-// waiting one as soon as the rest is over. Grounds: hosts that came back at once would be
-// 47 in 10 ms; spread, 473 in 0.4 s are 12, and three times as many are left for luck. All
-// are back within half a second after their own rest.
+// TestNoCrowdAfterARest guards against hosts that all resume at the same moment. An upstream
+// rejects 473 hosts within 0.1 s and asks each for a backoff of three seconds. Each host has
+// a request for it every half second, and one that waits when the backoff is over. Without
+// jitter, 47 hosts would resume in 10 ms. With jitter, 473 hosts in 0.4 s are 12 in 10 ms on
+// average, and the limit is three times as many to allow for chance. Each host must resume
+// within half a second of the end of its backoff.
 func TestNoCrowdAfterARest(t *testing.T) {
-	const hosts, slice, most = 473, 10 * time.Millisecond, 36
+	const hosts, slice, limit = 473, 10 * time.Millisecond, 36
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		arrivals := make(map[int]int)
 		for range hosts {
 			var s backoff.State
-			turned := start.Add(time.Duration(random.Int64N(int64(100 * time.Millisecond))))
-			s.Begin(turned, 3*time.Second, random.Uint64())
-			now := turned
+			rejected := start.Add(time.Duration(random.Int64N(int64(100 * time.Millisecond))))
+			s.Begin(rejected, 3*time.Second, random.Uint64())
+			now := rejected
 			for !s.Try(now) {
 				now = now.Add(time.Millisecond)
 			}
-			if late := now.Sub(turned.Add(3 * time.Second)); late < 0 || late > 500*time.Millisecond {
-				t.Fatalf("seed %d: back %v after its rest", seed, late)
+			if late := now.Sub(rejected.Add(3 * time.Second)); late < 0 || late > 500*time.Millisecond {
+				t.Fatalf("seed %d: resumed %v after its backoff", seed, late)
 			}
 			arrivals[int(now.Sub(start)/slice)]++
 		}
 		for at, n := range arrivals {
-			if n > most {
+			if n > limit {
 				t.Errorf("seed %d: %d hosts in the same %v, at %v", seed, n, slice, time.Duration(at)*slice)
 			}
 		}
 	}
 }
 
-// TestConcurrentUse: of many goroutines that try at the same time after a rest, one goes.
+// TestConcurrentUse checks that only one of many goroutines that call Try at the same time
+// after a backoff may send.
 func TestConcurrentUse(t *testing.T) {
 	is := is.New(t)
 	var s backoff.State
 	until := s.Begin(start, time.Second, 0)
-	went := make(chan bool)
+	sent := make(chan bool)
 	const goroutines = 32
 	for range goroutines {
-		go func() { went <- s.Open(until, false) && s.Try(until) }()
+		go func() { sent <- s.Open(until, false) && s.Try(until) }()
 	}
 	n := 0
 	for range goroutines {
-		if <-went {
+		if <-sent {
 			n++
 		}
 	}
 	is.Equal(n, 1)
 }
 
-func TestBook(t *testing.T) {
+func TestRegistry(t *testing.T) {
 	is := is.New(t)
-	b := backoff.NewRegistry()
-	b.Extend("a", start.Add(2*time.Second))
-	b.Extend("a", start.Add(time.Second))
-	b.Extend("b", start.Add(time.Second))
-	is.Equal(b.Until("a"), start.Add(2*time.Second))
-	is.True(b.Until("c").IsZero())
-	b.Tick(start.Add(time.Second))
-	is.Equal(b.Len(), 1)
-	b.Tick(start.Add(2 * time.Second))
-	is.Equal(b.Len(), 0)
+	r := backoff.NewRegistry()
+	r.Extend("a", start.Add(2*time.Second))
+	r.Extend("a", start.Add(time.Second))
+	r.Extend("b", start.Add(time.Second))
+	is.Equal(r.Until("a"), start.Add(2*time.Second))
+	is.True(r.Until("c").IsZero())
+	r.Tick(start.Add(time.Second))
+	is.Equal(r.Len(), 1)
+	r.Tick(start.Add(2 * time.Second))
+	is.Equal(r.Len(), 0)
 }
 
-func TestInherit(t *testing.T) {
+func TestMerge(t *testing.T) {
 	is := is.New(t)
 	var old, next backoff.State
 	next.Merge(&old)
@@ -148,19 +150,19 @@
 func ExampleState() {
 	var s backoff.State
 	now := time.Now()
-	asked, err := backoff.ParseSeconds("3")
+	requested, err := backoff.ParseSeconds("3")
 	if err != nil {
 		return
 	}
-	s.Begin(now, asked, 0)
+	s.Begin(now, requested, 0)
 	fmt.Println(s.Open(now.Add(time.Second), false), s.Open(now.Add(3*time.Second), false))
 	// Output: false true
 }
 
 func BenchmarkOpen(b *testing.B) {
-	var none, asked backoff.State
-	asked.Begin(start, time.Hour, 0)
-	for name, s := range map[string]*backoff.State{"none": &none, "resting": &asked} {
+	var none, active backoff.State
+	active.Begin(start, time.Hour, 0)
+	for name, s := range map[string]*backoff.State{"none": &none, "active": &active} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/pkg/backoff/header.go
+++ b/pkg/backoff/header.go
@@ -9,21 +9,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxDuration bounds a rest. An upstream that asks for more is asked whether it serves again
-// after that time: a figure in the wrong unit takes it away for no longer.
+// MaxDuration is the longest backoff. If an upstream asks for more, requests are sent to it
+// again after this time, so that a value in the wrong unit excludes it for no longer.
 const MaxDuration = time.Hour
 
-// ErrInvalidDuration means that a time of rest is no number of seconds.
+// ErrInvalidDuration is returned for a backoff that is not a valid number. Its text is written
+// to the details of events.
 var ErrInvalidDuration = errors.New("time of rest is no number of seconds")
 
-// ParseSeconds reads a time of rest in seconds, fractions included, of at most MaxDuration. An empty
-// value asks for none; any other that is not a number from 0 on is ErrInvalidDuration.
-func ParseSeconds(value string) (time.Duration, error) { return read(value, time.Second) }
+// ParseSeconds parses a backoff in seconds, which may have a fraction. A value above
+// MaxDuration is reduced to it, and an empty value asks for no backoff. Any other value that
+// is not a number of at least 0 results in ErrInvalidDuration.
+func ParseSeconds(value string) (time.Duration, error) { return parse(value, time.Second) }
 
 // ParseMilliseconds is ParseSeconds for a value in milliseconds.
-func ParseMilliseconds(value string) (time.Duration, error) { return read(value, time.Millisecond) }
+func ParseMilliseconds(value string) (time.Duration, error) { return parse(value, time.Millisecond) }
 
-func read(value string, unit time.Duration) (time.Duration, error) {
+func parse(value string, unit time.Duration) (time.Duration, error) {
 	value = strings.TrimSpace(value)
 	if value == "" {
 		return 0, nil
--- a/pkg/backoff/header_test.go
+++ b/pkg/backoff/header_test.go
@@ -10,7 +10,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/backoff"
 )
 
-func TestSeconds(t *testing.T) {
+func TestParseSeconds(t *testing.T) {
 	is := is.New(t)
 	for value, want := range map[string]time.Duration{
 		"":             0,
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestMilliseconds(t *testing.T) {
+func TestParseMilliseconds(t *testing.T) {
 	is := is.New(t)
 	got, err := backoff.ParseMilliseconds("1500")
 	is.NoErr(err)
