--- a/pkg/ratelimit/fleet_test.go
+++ b/pkg/ratelimit/fleet_test.go
@@ -14,26 +14,26 @@
 	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
-// The load that these tests play: upstreams of a service name limits, and hosts get
-// requests at random moments, some more than others. Time is virtual.
+// These tests simulate a service whose upstreams announce limits. Hosts receive requests at
+// random times, some hosts more than others. Time is virtual.
 
 const (
-	// window, overage and slack are what upstreams bear: in a window, so many times their
-	// limit, and so many requests more.
+	// window, overage and slack define what upstreams tolerate: in a window, overage times
+	// their limit plus slack requests.
 	window  = 4 * time.Second
 	overage = 1.5
 	slack   = 5
-	// step is the time between two looks of requests that wait for a turn.
+	// step is the interval at which waiting requests look for a slot.
 	step = 5 * time.Millisecond
 )
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// allowed is what an upstream that names a limit bears in a window.
+// allowed returns the number of requests that an upstream with a limit tolerates in a window.
 func allowed(perSecond float64) int { return int(overage*perSecond*window.Seconds() + slack) }
 
-// mostWithin returns the most of sorted times that lie within a window.
-func mostWithin(times []time.Time) int {
+// maxInWindow returns the largest number of the sorted times that lie within one window.
+func maxInWindow(times []time.Time) int {
 	most, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) > window {
@@ -44,43 +44,44 @@
 	return most
 }
 
-// fleet is hosts whose callers can be served by limited upstreams alone.
+// fleet simulates hosts whose requests can be served only by upstreams with a limit.
 type fleet struct {
 	hosts     []*fleetHost
 	perSecond []float64 // limits, by upstream
 	arrivals  [][]time.Time
 	random    *rand.Rand
-	// waits is how long a request waits for a turn before it is refused.
-	waits           time.Duration
-	asked, answered int
-	// asks is how many other hosts a request asks for a turn, and messages how many were.
-	asks, messages int
+	// maxWait is how long a request waits for a slot before it is refused.
+	maxWait          time.Duration
+	received, served int
+	// borrows is the number of other hosts that a request asks for a slot, and messages is the
+	// number of hosts that were asked.
+	borrows, messages int
 }
 
 type fleetHost struct {
-	turns   *timeslot.Schedule
-	states  []*State
-	load    float64 // requests a second
-	clock   time.Duration
-	waiting []time.Time // until when each request waits
+	schedule *timeslot.Schedule
+	states   []*State
+	load     float64 // requests a second
+	clock    time.Duration
+	waiting  []time.Time // when the wait of each request ends
 }
 
 func newFleet(hosts int, loads []float64, perSecond []float64, seed uint64) *fleet {
 	f := &fleet{perSecond: perSecond, arrivals: make([][]time.Time, len(perSecond)),
-		random: rand.New(rand.NewPCG(seed, 1)), waits: 100 * time.Millisecond}
+		random: rand.New(rand.NewPCG(seed, 1)), maxWait: 100 * time.Millisecond}
 	for i := range hosts {
-		h := &fleetHost{turns: timeslot.New(fmt.Sprint(i)), load: loads[i%len(loads)]}
-		h.turns.Set(epoch, timeslot.Position{Self: i, Hosts: hosts})
+		h := &fleetHost{schedule: timeslot.New(fmt.Sprint(i)), load: loads[i%len(loads)]}
+		h.schedule.Set(epoch, timeslot.Position{Self: i, Hosts: hosts})
 		for u := range perSecond {
-			h.states = append(h.states, NewState(fmt.Sprint("u", u), 0, h.turns))
+			h.states = append(h.states, NewState(fmt.Sprint("u", u), 0, h.schedule))
 		}
 		f.hosts = append(f.hosts, h)
 	}
 	return f
 }
 
-// tell makes all hosts hear the limits.
-func (f *fleet) tell(at time.Time) {
+// announce makes all hosts observe the limits.
+func (f *fleet) announce(at time.Time) {
 	for _, h := range f.hosts {
 		for u, s := range h.states {
 			s.Observe(at.Add(h.clock), at.Add(h.clock), Limit{Limited, f.perSecond[u]}, Answer)
@@ -88,16 +89,16 @@
 	}
 }
 
-// run plays a time.
+// run simulates the fleet for the given length of time.
 func (f *fleet) run(from time.Time, length time.Duration) {
 	for now := from; now.Before(from.Add(length)); now = now.Add(step) {
 		for _, h := range f.hosts {
 			if f.random.Float64() < h.load*step.Seconds() {
-				f.asked++
-				if f.send(now, h, f.asks) {
-					f.answered++
+				f.received++
+				if f.send(now, h, f.borrows) {
+					f.served++
 				} else {
-					h.waiting = append(h.waiting, now.Add(f.waits))
+					h.waiting = append(h.waiting, now.Add(f.maxWait))
 				}
 			}
 			f.serve(now, h)
@@ -105,17 +106,19 @@
 	}
 }
 
-// serve sends what waits at a host, as far as it has turns, and refuses what waited long.
+// serve sends the requests that wait at a host while it has slots, and drops those whose wait
+// has ended.
 func (f *fleet) serve(now time.Time, h *fleetHost) {
 	for len(h.waiting) > 0 && f.send(now, h, 0) {
-		f.answered++
+		f.served++
 		h.waiting = h.waiting[1:]
 	}
 	h.waiting = slices.DeleteFunc(h.waiting, now.After)
 }
 
-// send sends one request to an upstream at which the host has a turn.
-func (f *fleet) send(now time.Time, h *fleetHost, asks int) bool {
+// send sends one request to an upstream where the host has a slot. If there is none, it tries to
+// borrow one from up to the given number of other hosts.
+func (f *fleet) send(now time.Time, h *fleetHost, borrows int) bool {
 	first := f.random.IntN(len(h.states))
 	for i := range h.states {
 		u := (first + i) % len(h.states)
@@ -124,7 +127,7 @@
 			return true
 		}
 	}
-	for range asks {
+	for range borrows {
 		u := f.random.IntN(len(h.states))
 		lender, ok := h.states[u].Lender(now.Add(h.clock), f.random.Uint64())
 		if !ok {
@@ -139,29 +142,30 @@
 	return false
 }
 
-// worst returns the most that any upstream got in a window, above what it bears if positive.
-func (f *fleet) worst() (over int) {
+// worstExcess returns by how many requests the upstreams exceeded what they tolerate in a window,
+// at most; it is negative if none did.
+func (f *fleet) worstExcess() (over int) {
 	over = math.MinInt
 	for u, times := range f.arrivals {
-		over = max(over, mostWithin(times)-allowed(f.perSecond[u]))
+		over = max(over, maxInWindow(times)-allowed(f.perSecond[u]))
 	}
 	return over
 }
 
-// used returns the share of what the upstreams take together that was used in a time.
-func (f *fleet) used(length time.Duration) float64 {
+// utilization returns the share of the upstreams' total limit that was used in a length of time.
+func (f *fleet) utilization(length time.Duration) float64 {
 	sum := 0.0
 	for _, l := range f.perSecond {
 		sum += l
 	}
-	return float64(f.answered) / (sum * length.Seconds())
+	return float64(f.served) / (sum * length.Seconds())
 }
 
 func repeated(perSecond float64, n int) []float64 { return slices.Repeat([]float64{perSecond}, n) }
 
-// TestLimitsOverAFleet: all upstreams of a service name a limit. Grounds: what upstreams
-// bear, with a request left over for what is on its way; and what they take together is
-// used where callers ask for twice as much.
+// TestLimitsOverAFleet simulates a service all of whose upstreams announce a limit, with a load
+// of twice their total limit. No upstream may receive as much as it tolerates: at least one
+// request is left for what is in transit. The log shows how much of the total limit is used.
 func TestLimitsOverAFleet(t *testing.T) {
 	const length = 15 * time.Second
 	for _, c := range []struct {
@@ -179,21 +183,21 @@
 				for _, l := range loads {
 					scaled = append(scaled, l*2*total/float64(c.hosts))
 				}
-				for _, asks := range []int{0, 1, 2, 3} {
+				for _, borrows := range []int{0, 1, 2, 3} {
 					f := newFleet(c.hosts, scaled, repeated(c.perSecond, c.upstreams), 1)
-					f.asks = asks
-					f.tell(epoch)
+					f.borrows = borrows
+					f.announce(epoch)
 					f.run(epoch, length)
-					t.Logf("%d asked: used %.2f, worst %d above what is borne, %.2f messages a request", asks, f.used(length), f.worst(), float64(f.messages)/float64(f.asked))
-					is.True(f.worst() < 0)
+					t.Logf("%d hosts asked: utilization %.2f, worst excess %d, %.2f messages a request", borrows, f.utilization(length), f.worstExcess(), float64(f.messages)/float64(f.received))
+					is.True(f.worstExcess() < 0)
 				}
 			})
 		}
 	}
 }
 
-// TestWorstWindow is the bound that the package states, with hosts that have callers waiting
-// all the time, clocks that differ, and parts that count differently.
+// TestWorstWindow checks the bound that the package comment states, for hosts that always have
+// requests waiting, clocks that differ, and groups of hosts that count differently.
 func TestWorstWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.SampledFrom([]int{1, 2, 18, 95}).Draw(t, "hosts")
@@ -207,12 +211,12 @@
 				h.clock = time.Duration(f.random.Int64N(int64(2*off))) - off
 			}
 			size := (hosts + groups - 1 - i%groups) / groups
-			h.turns.Set(epoch.Add(h.clock), timeslot.Position{Self: i / groups, Hosts: size})
+			h.schedule.Set(epoch.Add(h.clock), timeslot.Position{Self: i / groups, Hosts: size})
 		}
-		f.tell(epoch)
+		f.announce(epoch)
 		f.run(epoch.Add(idle), 10*time.Second)
 		bound := groups * int(math.Ceil(perSecond*(window+SlotValidity+2*off).Seconds()+2))
-		if worst := mostWithin(f.arrivals[0]); worst > bound {
+		if worst := maxInWindow(f.arrivals[0]); worst > bound {
 			t.Fatalf("%d in %v, bound %d", worst, window, bound)
 		}
 	})
--- a/pkg/ratelimit/word_test.go
+++ b/pkg/ratelimit/parse_test.go
@@ -9,7 +9,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
 )
 
-func TestRead(t *testing.T) {
+func TestParse(t *testing.T) {
 	is := is.New(t)
 	for value, want := range map[string]ratelimit.Limit{
 		"":      {Kind: ratelimit.Unlimited},
--- a/pkg/ratelimit/ratelimit.go
+++ b/pkg/ratelimit/ratelimit.go
@@ -1,18 +1,20 @@
-// Package ratelimit keeps to the limits that upstreams in need name in their answers: how
-// many requests a second they take from all hosts together, for as long as they say so.
+// Package ratelimit enforces the limits that upstreams announce in their responses when they
+// are under pressure: how many requests a second they accept from all hosts together. A limit
+// holds for as long as the upstream announces it.
 //
-// The hosts share such a limit by the turns of pkg/timeslot: there are as many slots a second
-// as the upstream takes requests, each slot is the turn of one host, and a host may use its
-// turn for one request, up to SlotValidity later. They tell one another what upstreams say, so that
-// a host holds back before it was told itself, and knows of the end of a limit although its
-// own next turn may be a long time off.
+// The hosts divide such a limit by the time slots of pkg/timeslot: there are as many slots a
+// second as the upstream accepts requests, each slot belongs to one host, and a host may use
+// its slot for one request, up to SlotValidity later. The hosts send one another what upstreams
+// announce, so that a host respects a limit before it received a response with it, and learns
+// of the end of a limit even if its own next slot is a long time off.
 //
-// Within a time w, an upstream that takes r requests a second gets at most r(w+SlotValidity+2d)+2
-// where the hosts agree on their numbers and their clocks agree within d seconds: so many
-// slots begin in the time and in the SlotValidity before it, and one lasts until the next. Where the
-// hosts are in k groups that count differently, each group sends that much.
+// In any period w, an upstream that accepts r requests a second receives at most
+// r(w+SlotValidity+2d)+2 if the hosts agree on their positions and their clocks agree within d
+// seconds: this is the number of slots that begin in the period or in the SlotValidity before
+// it, plus one slot that is valid until the next one begins. If the hosts form k groups that
+// count differently, each group sends that much.
 //
-// The package does no I/O, reads no clock and draws no randomness.
+// The package does no I/O, reads no clock and draws no random numbers.
 package ratelimit
 
 import (
@@ -25,26 +27,27 @@
 )
 
 const (
-	// SlotValidity is how long after its slot has begun a turn may be used, or until the next slot
-	// begins if that is later: hosts get requests when callers send them, not in their
-	// slots. What is saved up is half of the two seconds' worth that upstreams bear above
-	// their limit.
+	// SlotValidity is how long after its start a slot may be used; a slot that lasts longer
+	// may be used until the next one begins. Hosts need this because requests arrive when
+	// callers send them, not in the slots of the host. The slots that are saved up this way
+	// are half of what upstreams tolerate above their limit, which is two seconds' worth.
 	SlotValidity = time.Second
-	// ConfirmInterval is the time after which a host that has a turn finds out whether a limit
-	// still holds: the upstream has its share again soon after it names none any more.
+	// ConfirmInterval is the time after which a host that has a slot finds out whether a limit
+	// still holds, so that the upstream has its share again soon after it announces no limit
+	// any more.
 	ConfirmInterval = time.Second
-	// MinPerSecond is the least that is sent to an upstream that names a smaller limit, or
-	// 0: only an answer says that it takes more again.
+	// MinPerSecond is the lowest rate at which requests are sent to an upstream that announces
+	// a smaller limit, or 0: only a response shows that it accepts more again.
 	MinPerSecond = 0.25
 )
 
-// Source is where a host heard of a limit.
+// Source is where a host learned of a limit.
 type Source uint8
 
 const (
-	// Answer is the answer to a request.
+	// Answer is the response to a request.
 	Answer Source = iota
-	// Probe is the answer to a question for the load.
+	// Probe is the response to a load query.
 	Probe
 	// Peer is another host.
 	Peer
@@ -62,64 +65,64 @@
 	}
 }
 
-// State is what one host knows of the limit of one upstream, and its turns there. All
-// records of an upstream share one. It is safe for concurrent use; a nil State knows of no
-// limit and hears of none.
+// State is what one host knows of the limit of one upstream, and the host's slots there. All
+// records of an upstream share one State. It is safe for concurrent use. A nil State has no
+// limit and ignores what it observes.
 type State struct {
-	id     string
-	server Server
-	turns  *timeslot.Schedule
+	id       string
+	server   Server
+	schedule *timeslot.Schedule
 
-	current atomic.Pointer[naming] // nil while no limit is known
-	tally   *tally                 // of a book; nil outside one
+	current  atomic.Pointer[activeLimit] // nil while no limit is known
+	counters *counters                   // of the registry; nil outside one
 
-	mu    sync.Mutex // orders the changes of what is known
+	mu    sync.Mutex // serializes changes
 	ended time.Time  // when a limit was last known to have ended
 }
 
-// naming is a limit in force.
-type naming struct {
+// activeLimit is a limit that currently holds.
+type activeLimit struct {
 	perSecond float64
-	// first is when this host heard that the upstream names a limit at all, and since when
-	// it heard this one. Turns before are void.
+	// first is when this host learned that the upstream announces any limit, and since is when
+	// it learned of this one. Slots before since are void.
 	first, since time.Time
 
-	heard    atomic.Int64 // when the newest word of it was said, Unix time in ns
-	byAnswer atomic.Bool  // an answer to a request named it
-	byProbe  atomic.Bool  // an answer to a probe named it
-	used     atomic.Int64 // number of the last slot whose turn was used
+	announced  atomic.Int64 // when the upstream last announced it, Unix time in ns
+	inResponse atomic.Bool  // a response to a request announced it
+	inProbe    atomic.Bool  // a response to a probe announced it
+	lastUsed   atomic.Int64 // number of the last slot that was used
 }
 
-// NewState returns what a host whose turns are given knows at first of an upstream. Born is
-// the start that the upstream names itself, or 0.
+// NewState returns the initial state of an upstream at a host with the given schedule. Born is
+// the start time that the upstream itself reports, or 0.
 func NewState(id string, born int64, t *timeslot.Schedule) *State {
-	return &State{id: id, server: ServerOf(id, born), turns: t}
+	return &State{id: id, server: ServerOf(id, born), schedule: t}
 }
 
-// ID is the upstream's id.
+// ID returns the upstream's id.
 func (s *State) ID() string { return s.id }
 
-// Server names the upstream among hosts.
+// Server returns the identity of the upstream among hosts.
 func (s *State) Server() Server { return s.server }
 
-// Limit returns what is known.
+// Limit returns the limit that is currently known.
 func (s *State) Limit() Limit {
-	if n := s.current.Load(); n != nil {
-		return Limit{Kind: Limited, PerSecond: n.perSecond}
+	if a := s.current.Load(); a != nil {
+		return Limit{Kind: Limited, PerSecond: a.perSecond}
 	}
 	return Limit{Kind: Unlimited}
 }
 
-// Observe takes in what an answer says that came now, to a request or a probe that was sent at
-// a time. It reports whether that changes what is known.
-func (s *State) Observe(now, sent time.Time, w Limit, from Source) bool {
-	if s == nil || w.Kind == Unspecified || w.Kind == Unlimited && s.current.Load() == nil {
+// Observe records what a response that arrived now announces. Sent is when its request or
+// probe was sent. It reports whether the known limit changes.
+func (s *State) Observe(now, sent time.Time, l Limit, from Source) bool {
+	if s == nil || l.Kind == Unspecified || l.Kind == Unlimited && s.current.Load() == nil {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w.Kind == Limited {
-		return s.name(now, now, w.PerSecond, from)
+	if l.Kind == Limited {
+		return s.set(now, now, l.PerSecond, from)
 	}
 	known := s.current.Load()
 	if known == nil || !known.endedBy(sent, from) {
@@ -129,200 +132,207 @@
 	return true
 }
 
-// endedBy reports whether an answer that names no limit says that this one has ended. One
-// to a request that was sent before the limit was known may be older than the limit; and
-// upstreams may name it in answers of one kind only.
-func (n *naming) endedBy(sent time.Time, from Source) bool {
-	if sent.Before(n.first) {
+// endedBy reports whether a response that announces no limit shows that this one has ended.
+// The response to a request that was sent before the limit was known may be older than the
+// limit, and some upstreams announce it only in responses to requests or only in those to
+// probes.
+func (a *activeLimit) endedBy(sent time.Time, from Source) bool {
+	if sent.Before(a.first) {
 		return false
 	}
 	if from == Probe {
-		return n.byProbe.Load()
+		return a.inProbe.Load()
 	}
-	return n.byAnswer.Load() || !n.byProbe.Load()
+	return a.inResponse.Load() || !a.inProbe.Load()
 }
 
-// name takes in that a limit was named at a time. It reports whether it is another one than
-// was known.
-func (s *State) name(now, said time.Time, perSecond float64, from Source) bool {
+// set records that a limit was announced at the given time. It reports whether it differs from
+// the known one.
+func (s *State) set(now, announced time.Time, perSecond float64, from Source) bool {
 	known := s.current.Load()
 	next := known
 	if known == nil || known.perSecond != perSecond {
-		next = &naming{perSecond: perSecond, first: now, since: now}
+		next = &activeLimit{perSecond: perSecond, first: now, since: now}
 	}
 	if known != nil && next != known {
 		next.first = known.first
-		next.byAnswer.Store(known.byAnswer.Load())
-		next.byProbe.Store(known.byProbe.Load())
+		next.inResponse.Store(known.inResponse.Load())
+		next.inProbe.Store(known.inProbe.Load())
 	}
-	next.heard.Store(said.UnixNano())
+	next.announced.Store(announced.UnixNano())
 	switch from {
 	case Answer:
-		next.byAnswer.Store(true)
+		next.inResponse.Store(true)
 	case Probe:
-		next.byProbe.Store(true)
+		next.inProbe.Store(true)
 	case Peer:
 	}
-	s.put(next)
+	s.replace(next)
 	return next != known
 }
 
-// put takes a limit into force, or none.
-func (s *State) put(next *naming) {
+// replace makes a limit the current one; nil is none. It keeps the counters up to date.
+func (s *State) replace(next *activeLimit) {
 	known := s.current.Swap(next)
-	if s.tally == nil {
+	if s.counters == nil {
 		return
 	}
 	switch {
 	case known == nil && next != nil:
-		s.tally.inForce.Add(1)
+		s.counters.active.Add(1)
 	case known != nil && next == nil:
-		s.tally.inForce.Add(-1)
+		s.counters.active.Add(-1)
 	}
 }
 
-// end takes in that a limit has ended at a time.
+// end records that the limit has ended at the given time.
 func (s *State) end(at time.Time) {
-	s.put(nil)
+	s.replace(nil)
 	s.ended = at
-	if s.tally != nil {
-		s.tally.ended.Store(at.UnixNano())
+	if s.counters != nil {
+		s.counters.lastEnd.Store(at.UnixNano())
 	}
 }
 
-// Limited reports whether the upstream names a limit.
+// Limited reports whether the upstream announces a limit.
 func (s *State) Limited() bool { return s != nil && s.current.Load() != nil }
 
 // Open reports whether this host may send a request now.
 func (s *State) Open(now time.Time) bool { return !s.Limited() || s.Delay(now) == 0 }
 
-// Take uses a turn of this host for one request. It is false if there is none, or no longer.
+// Take uses a slot of this host for one request. It returns false if the host has no valid
+// slot, for example because another request has just used it.
 func (s *State) Take(now time.Time) bool {
 	if s == nil {
 		return true
 	}
-	n := s.current.Load()
-	if n == nil {
+	a := s.current.Load()
+	if a == nil {
 		return true
 	}
 	for {
-		used := n.used.Load()
-		turn := s.nextAfter(now, n, used)
-		if turn.at.After(now) {
+		used := a.lastUsed.Load()
+		slot := s.nextAfter(now, a, used)
+		if slot.start.After(now) {
 			return false
 		}
-		if n.used.CompareAndSwap(used, turn.slot) {
+		if a.lastUsed.CompareAndSwap(used, slot.number) {
 			return true
 		}
 	}
 }
 
-// Delay returns how long it takes until this host may send a request; 0 if it may now.
+// Delay returns the time until this host may send a request; 0 if it may send one now.
 func (s *State) Delay(now time.Time) time.Duration {
 	if s == nil {
 		return 0
 	}
-	n := s.current.Load()
-	if n == nil {
+	a := s.current.Load()
+	if a == nil {
 		return 0
 	}
-	return max(s.next(now, n).at.Sub(now), 0)
+	return max(s.next(now, a).start.Sub(now), 0)
 }
 
-// Lender returns the number of another host that had a turn lately and may not have used it;
-// false if none had. Random is a uniformly distributed number.
+// Lender returns the index of another host that owned a slot recently and may not have used
+// it, or false if there is none. Random is a uniformly distributed number.
 func (s *State) Lender(now time.Time, random uint64) (host int, ok bool) {
 	if s == nil {
 		return 0, false
 	}
-	n := s.current.Load()
-	if n == nil {
+	a := s.current.Load()
+	if a == nil {
 		return 0, false
 	}
-	from := n.slotFrom(s.validFrom(now, n))
-	begun := n.slotFrom(now) - from
+	from := a.firstSlotFrom(s.validFrom(now, a))
+	begun := a.firstSlotFrom(now) - from
 	if begun <= 0 {
 		return 0, false
 	}
-	place, _ := s.turns.Position()
+	position, _ := s.schedule.Position()
 	first := int64(random % uint64(begun))
-	for i := range min(begun, 2) { // two slots in a row are not both this host's
-		host = s.turns.Owner(from+(first+i)%begun, s.server.IDHash)
-		if host != place.Self {
+	for i := range min(begun, 2) { // of two consecutive slots, at most one belongs to this host
+		host = s.schedule.Owner(from+(first+i)%begun, s.server.IDHash)
+		if host != position.Self {
 			return host, true
 		}
 	}
 	return 0, false
 }
 
-// Lend uses a turn of this host for a request of another one. It is false if there is none,
-// or no limit is known.
+// Lend uses a slot of this host for a request of another host. It returns false if this host
+// has no valid slot, or no limit is known.
 func (s *State) Lend(now time.Time) bool { return s.Limited() && s.Take(now) }
 
-// Unconfirmed reports whether a limit is known that this host has heard nothing of for
-// ConfirmInterval.
+// Unconfirmed reports whether a limit is known that has not been announced for
+// ConfirmInterval, as far as this host knows.
 func (s *State) Unconfirmed(now time.Time) bool {
 	if s == nil {
 		return false
 	}
-	n := s.current.Load()
-	return n != nil && now.UnixNano()-n.heard.Load() > int64(ConfirmInterval)
+	a := s.current.Load()
+	return a != nil && now.UnixNano()-a.announced.Load() > int64(ConfirmInterval)
 }
 
-// HostRate returns how many requests a second this host may send; infinite without a limit.
+// HostRate returns the number of requests a second that this host may send; infinite without a
+// limit.
 func (s *State) HostRate() float64 {
 	if s == nil {
 		return math.Inf(1)
 	}
-	n := s.current.Load()
-	if n == nil {
+	a := s.current.Load()
+	if a == nil {
 		return math.Inf(1)
 	}
-	place, _ := s.turns.Position()
-	return n.rate() / float64(place.Hosts)
+	position, _ := s.schedule.Position()
+	return a.rate() / float64(position.Hosts)
 }
 
-// turn is a slot of this host and when it begins.
-type turn struct {
-	slot int64
-	at   time.Time
+// ownSlot is a slot of this host and its start.
+type ownSlot struct {
+	number int64
+	start  time.Time
 }
 
-// next returns this host's first turn that is not used and not over.
-func (s *State) next(now time.Time, n *naming) turn { return s.nextAfter(now, n, n.used.Load()) }
+// next returns this host's first slot that is neither used nor expired.
+func (s *State) next(now time.Time, a *activeLimit) ownSlot {
+	return s.nextAfter(now, a, a.lastUsed.Load())
+}
 
-// nextAfter is next with the last slot that is used.
-func (s *State) nextAfter(now time.Time, n *naming, used int64) turn {
-	slot := s.turns.Next(max(n.slotFrom(s.validFrom(now, n)), used+1), s.server.IDHash)
-	return turn{slot, n.begins(slot)}
+// nextAfter is next for a given last used slot.
+func (s *State) nextAfter(now time.Time, a *activeLimit, used int64) ownSlot {
+	number := s.schedule.Next(max(a.firstSlotFrom(s.validFrom(now, a)), used+1), s.server.IDHash)
+	return ownSlot{number, a.slotStart(number)}
 }
 
-// validFrom returns when the oldest slot may have begun whose turn can be used. Turns from
-// before the limit was heard, or before this host had its number, are void: others may have
+// validFrom returns the earliest start of a slot that can still be used. Slots from before this
+// host learned of the limit, or before it had its position, are void: another host may have
 // used them.
-func (s *State) validFrom(now time.Time, n *naming) time.Time {
-	from := now.Add(-max(SlotValidity, n.slot()))
-	if from.Before(n.since) {
-		from = n.since
+func (s *State) validFrom(now time.Time, a *activeLimit) time.Time {
+	from := now.Add(-max(SlotValidity, a.slotLength()))
+	if from.Before(a.since) {
+		from = a.since
 	}
-	if _, placed := s.turns.Position(); from.Before(placed) {
-		from = placed
+	if _, since := s.schedule.Position(); from.Before(since) {
+		from = since
 	}
 	return from
 }
 
-// rate is how many slots there are a second.
-func (n *naming) rate() float64 { return max(n.perSecond, MinPerSecond) }
+// rate returns the number of slots a second.
+func (a *activeLimit) rate() float64 { return max(a.perSecond, MinPerSecond) }
 
-// slot is how long a slot lasts.
-func (n *naming) slot() time.Duration { return time.Duration(float64(time.Second) / n.rate()) }
+// slotLength returns the duration of a slot.
+func (a *activeLimit) slotLength() time.Duration {
+	return time.Duration(float64(time.Second) / a.rate())
+}
 
-// slotFrom returns the first slot that begins at a time or after it.
-func (n *naming) slotFrom(at time.Time) int64 {
-	return int64(math.Ceil(float64(at.UnixNano()) / float64(time.Second) * n.rate()))
+// firstSlotFrom returns the first slot that begins at or after the given time.
+func (a *activeLimit) firstSlotFrom(at time.Time) int64 {
+	return int64(math.Ceil(float64(at.UnixNano()) / float64(time.Second) * a.rate()))
 }
 
-// begins returns when a slot begins.
-func (n *naming) begins(slot int64) time.Time {
-	return time.Unix(0, int64(float64(slot)/n.rate()*float64(time.Second)))
+// slotStart returns the start of a slot.
+func (a *activeLimit) slotStart(number int64) time.Time {
+	return time.Unix(0, int64(float64(number)/a.rate()*float64(time.Second)))
 }
