--- a/pkg/coldstart/coldstart.go
+++ b/pkg/coldstart/coldstart.go
@@ -1,18 +1,19 @@
-// Package coldstart bounds what the hosts of a fleet send, together, to an upstream that
-// has started a moment ago, or has become cold again. Such an upstream bears a few
-// requests a second, and collapses under more.
+// Package coldstart limits what the hosts of a fleet send, together, to an upstream that has
+// just started or has become cold again. Such an upstream tolerates a few requests a second
+// and collapses under more.
 //
-// Hosts share nothing for this but the order of pkg/timeslot: there are as many slots a second
-// as the upstream bears requests, and a host sends one request in its turn at the most.
+// The hosts exchange no messages for this and use only the order of pkg/timeslot: there are as
+// many slots a second as the upstream tolerates requests, and a host sends at most one request
+// in each of its slots.
 //
-// In a second, an upstream that bears r requests a second gets at most r(1+2d)+1 where
-// the hosts agree on their numbers and their clocks agree within d seconds: so many slots
-// meet a second, and each has one owner. Where the hosts are in k groups that count
-// differently, as halves that are cut from each other, each group sends that much. Where
-// nothing agrees, each host still sends one request in hosts/r seconds.
+// In any second, an upstream that tolerates r requests a second receives at most r(1+2d)+1 if
+// the hosts agree on their positions and their clocks agree within d seconds: this is the
+// number of slots that overlap a second, and each has one owner. If the hosts form k groups
+// that count differently, for example the two sides of a network partition, each group sends
+// that much. If the hosts agree on nothing, each still sends one request in hosts/r seconds.
 //
-// The package does no I/O, reads no clock and draws no randomness. Its types are safe
-// for concurrent use.
+// The package does no I/O, reads no clock and draws no random numbers. Its types are safe for
+// concurrent use.
 package coldstart
 
 import (
@@ -25,32 +26,32 @@
 	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
-// Upstream is what one host knows of how cold one upstream is. The zero value is warm,
-// and bears anything.
+// Upstream is what one host knows of the cold start of one upstream. The zero value is warm
+// and has no rate limit.
 type Upstream struct {
-	until atomic.Int64  // Unix time in ns at which it is warm
-	rate  atomic.Uint64 // requests a second, as the bits of a float64; 0 is no bound
-	shift atomic.Uint64 // of its order of turns
-	used  atomic.Int64  // slot of the last turn that was used, plus one
+	until    atomic.Int64  // Unix time in ns at which it becomes warm
+	rate     atomic.Uint64 // requests a second, as the bits of a float64; 0 means no limit
+	shift    atomic.Uint64 // offset of its order of slots
+	lastUsed atomic.Int64  // last slot that was used, counted from 1 as by slot; 0 if none was
 }
 
-// SetRate sets how many requests a second an upstream bears over all hosts while it is
-// cold; 0 sets no bound. The id shifts its order of turns.
+// SetRate sets how many requests a second from all hosts an upstream tolerates while it is
+// cold; 0 sets no limit. The id determines the offset of its order of slots.
 func (u *Upstream) SetRate(id string, perSecond float64) {
 	u.shift.Store(xxhash.Sum64String(id))
 	u.rate.Store(math.Float64bits(max(perSecond, 0)))
 }
 
-// SetCold takes in the upstream's own answer that it is cold for a time from now on; 0 or
-// less says that it is warm.
-func (u *Upstream) SetCold(now time.Time, left time.Duration) {
-	u.until.Store(now.Add(left).UnixNano())
+// SetCold records the upstream's own report that it is cold for the remaining time from now
+// on; 0 or less means that it is warm.
+func (u *Upstream) SetCold(now time.Time, remaining time.Duration) {
+	u.until.Store(now.Add(remaining).UnixNano())
 }
 
-// ExtendCold takes in news that the upstream was cold for a time when the news was written,
-// which may be a while ago: it never makes the upstream warm.
-func (u *Upstream) ExtendCold(now time.Time, left time.Duration) {
-	until := now.Add(left).UnixNano()
+// ExtendCold records an update according to which the upstream is cold for the remaining time.
+// The update may have been written a while ago, so it never makes the upstream warm.
+func (u *Upstream) ExtendCold(now time.Time, remaining time.Duration) {
+	until := now.Add(remaining).UnixNano()
 	for {
 		known := u.until.Load()
 		if until <= known || u.until.CompareAndSwap(known, until) {
@@ -59,33 +60,33 @@
 	}
 }
 
-// IsCold reports whether the upstream is cold and bears few requests.
+// IsCold reports whether the upstream is cold and has a rate limit.
 func (u *Upstream) IsCold(now time.Time) bool {
 	return u.rate.Load() != 0 && now.UnixNano() < u.until.Load()
 }
 
-// slot returns the slot that a time is in, counted from 1.
+// slot returns the slot that contains the given time, counted from 1.
 func (u *Upstream) slot(now time.Time) int64 {
 	length := float64(time.Second) / math.Float64frombits(u.rate.Load())
 	return int64(float64(now.UnixNano())/length) + 1
 }
 
-// Open reports whether the host whose turns are given may send a request to u now.
-func (u *Upstream) Open(now time.Time, t *timeslot.Schedule) bool {
+// Open reports whether the host with schedule s may send a request to u now.
+func (u *Upstream) Open(now time.Time, s *timeslot.Schedule) bool {
 	if !u.IsCold(now) {
 		return true
 	}
 	slot := u.slot(now)
-	return u.used.Load() != slot && t.Owns(slot, u.shift.Load())
+	return u.lastUsed.Load() != slot && s.Owns(slot, u.shift.Load())
 }
 
-// Take uses the host's turn at u for one request. It is false if there is none, or no
-// longer.
-func (u *Upstream) Take(now time.Time, t *timeslot.Schedule) bool {
+// Take uses the current slot for one request to u. It returns false if the slot does not
+// belong to the host with schedule s, or has been used already.
+func (u *Upstream) Take(now time.Time, s *timeslot.Schedule) bool {
 	if !u.IsCold(now) {
 		return true
 	}
 	slot := u.slot(now)
-	used := u.used.Load()
-	return used != slot && t.Owns(slot, u.shift.Load()) && u.used.CompareAndSwap(used, slot)
+	used := u.lastUsed.Load()
+	return used != slot && s.Owns(slot, u.shift.Load()) && u.lastUsed.CompareAndSwap(used, slot)
 }
--- a/pkg/coldstart/coldstart_test.go
+++ b/pkg/coldstart/coldstart_test.go
@@ -15,23 +15,23 @@
 
 func Example() {
 	now := time.Unix(1000, 0)
-	mine := timeslot.Single()
+	schedule := timeslot.Single()
 	var u Upstream
 	u.SetRate("i-1", 2.5)
 	u.SetCold(now, 3*time.Second)
-	fmt.Println(u.Take(now, mine), u.Take(now, mine), u.Take(now.Add(400*time.Millisecond), mine))
+	fmt.Println(u.Take(now, schedule), u.Take(now, schedule), u.Take(now.Add(400*time.Millisecond), schedule))
 	fmt.Println(u.IsCold(now.Add(3 * time.Second)))
 	// Output:
 	// true false true
 	// false
 }
 
-func TestNewsThatMayBeLateMakesNothingWarm(t *testing.T) {
+func TestLateUpdateMakesNothingWarm(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	var u Upstream
 	u.SetCold(now, time.Minute)
-	is.True(!u.IsCold(now)) // bears anything
+	is.True(!u.IsCold(now)) // no rate limit yet
 	u.SetRate("i-1", 2.5)
 	u.ExtendCold(now, 0)
 	is.True(u.IsCold(now))
@@ -41,36 +41,36 @@
 	is.True(!u.IsCold(now))
 }
 
-// crowd is a fleet in virtual time whose hosts send all they may to one upstream.
-type crowd struct {
-	rate   float64
-	turns  []*timeslot.Schedule
-	clocks []time.Duration // how far each host's clock is off
-	knows  []Upstream      // what each host knows of the upstream
+// fleet simulates hosts that send as many requests to one upstream as they may. Time is virtual.
+type fleet struct {
+	rate      float64
+	schedules []*timeslot.Schedule
+	offsets   []time.Duration // error of each host's clock
+	upstreams []Upstream      // the upstream, as known to each host
 }
 
-func newCrowd(hosts int, rate float64) *crowd {
-	c := &crowd{rate: rate, clocks: make([]time.Duration, hosts), knows: make([]Upstream, hosts)}
+func newFleet(hosts int, rate float64) *fleet {
+	f := &fleet{rate: rate, offsets: make([]time.Duration, hosts), upstreams: make([]Upstream, hosts)}
 	for i := range hosts {
 		t := timeslot.New(fmt.Sprint("host-", i))
 		t.Set(time.Time{}, timeslot.Position{Self: i, Hosts: hosts})
-		c.turns = append(c.turns, t)
-		c.knows[i].SetRate("i-1", rate)
+		f.schedules = append(f.schedules, t)
+		f.upstreams[i].SetRate("i-1", rate)
 	}
-	return c
+	return f
 }
 
-// sends returns when each request was sent, in order, where every host tries each step
-// over a time.
-func (c *crowd) sends(over, step time.Duration) []time.Duration {
+// sends returns the times at which requests were sent, in order, if every host tries once in
+// each step of the given length of time.
+func (f *fleet) sends(length, step time.Duration) []time.Duration {
 	start := time.Unix(1_700_000_000, 0)
 	var out []time.Duration
-	for i := range c.knows {
-		c.knows[i].SetCold(start, over+time.Hour)
+	for i := range f.upstreams {
+		f.upstreams[i].SetCold(start, length+time.Hour)
 	}
-	for at := time.Duration(0); at < over; at += step {
-		for i, t := range c.turns {
-			if c.knows[i].Take(start.Add(at+c.clocks[i]), t) {
+	for at := time.Duration(0); at < length; at += step {
+		for i, t := range f.schedules {
+			if f.upstreams[i].Take(start.Add(at+f.offsets[i]), t) {
 				out = append(out, at)
 			}
 		}
@@ -78,7 +78,7 @@
 	return out
 }
 
-// worstSecond is the most that were sent within one second.
+// worstSecond returns the largest number of requests that were sent within one second.
 func worstSecond(sends []time.Duration) int {
 	worst, first := 0, 0
 	for i, at := range sends {
@@ -90,56 +90,57 @@
 	return worst
 }
 
-// TestWorstSecond is the bound that the package states: r(1+2d)+1 where hosts agree, and
-// so much for each group where they don't.
+// TestWorstSecond checks the bound that the package comment states: r(1+2d)+1 if the hosts
+// agree, and as much for each group if they do not.
 func TestWorstSecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.SampledFrom([]int{1, 2, 17, 95, 473}).Draw(t, "hosts")
 		rate := rapid.Float64Range(0.5, 20).Draw(t, "rate")
-		off := rapid.SampledFrom([]time.Duration{0, 20 * time.Millisecond, 500 * time.Millisecond}).Draw(t, "clocks")
+		offset := rapid.SampledFrom([]time.Duration{0, 20 * time.Millisecond, 500 * time.Millisecond}).Draw(t, "offset")
 		groups := min(rapid.SampledFrom([]int{1, 2}).Draw(t, "groups"), hosts)
-		c := newCrowd(hosts, rate)
+		f := newFleet(hosts, rate)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		for i := range hosts {
-			if off > 0 {
-				c.clocks[i] = time.Duration(random.Int64N(int64(2*off))) - off
+			if offset > 0 {
+				f.offsets[i] = time.Duration(random.Int64N(int64(2*offset))) - offset
 			}
 			size := (hosts + groups - 1 - i%groups) / groups
-			c.turns[i].Set(time.Time{}, timeslot.Position{Self: i / groups, Hosts: size})
+			f.schedules[i].Set(time.Time{}, timeslot.Position{Self: i / groups, Hosts: size})
 		}
-		bound := groups * int(math.Ceil(rate*(1+2*off.Seconds())+1))
-		if worst := worstSecond(c.sends(4*time.Second, 10*time.Millisecond)); worst > bound {
+		bound := groups * int(math.Ceil(rate*(1+2*offset.Seconds())+1))
+		if worst := worstSecond(f.sends(4*time.Second, 10*time.Millisecond)); worst > bound {
 			t.Fatalf("%d in one second, bound %d", worst, bound)
 		}
 	})
 }
 
-// TestWaysOverAFleet compares ways to share what cold upstreams bear, 2.5 requests a
-// second, among hosts that share nothing and all press: turns, as built; a share of the
-// rate for each host, of which one request may be saved; and one request at a time, by
-// what the upstream reports, 5 ms old, where work takes 20 ms. Only turns keep the rate
-// at each size.
+// TestWaysOverAFleet compares ways to divide what a cold upstream tolerates, 2.5 requests a
+// second, among hosts that exchange no messages and all have requests waiting: time slots, as
+// implemented; a share of the rate for each host, with a burst of one request; and one request
+// at a time, according to load reports that are 5 ms old, where a request takes 20 ms. Only
+// time slots keep to the rate at each fleet size.
 func TestWaysOverAFleet(t *testing.T) {
-	const rate, over = 2.5, 3 * time.Second
+	const rate, length = 2.5, 3 * time.Second
 	for _, hosts := range []int{17, 95, 473} {
-		byTurns := worstSecond(newCrowd(hosts, rate).sends(over, 10*time.Millisecond))
-		shares := worstSecond(shareSends(hosts, rate, over))
-		reports := worstSecond(reportSends(over, 5*time.Millisecond, 20*time.Millisecond))
-		t.Logf("%d hosts, worst second: turns %d, shares %d, reports %d", hosts, byTurns, shares, reports)
-		if byTurns > 4 {
-			t.Errorf("%d hosts: %d by turns", hosts, byTurns)
+		slots := worstSecond(newFleet(hosts, rate).sends(length, 10*time.Millisecond))
+		shares := worstSecond(shareSends(hosts, rate, length))
+		reports := worstSecond(reportSends(length, 5*time.Millisecond, 20*time.Millisecond))
+		t.Logf("%d hosts, worst second: time slots %d, shares %d, reports %d", hosts, slots, shares, reports)
+		if slots > 4 {
+			t.Errorf("%d hosts: %d with time slots", hosts, slots)
 		}
 		if shares < hosts || reports < 40 {
-			t.Errorf("%d hosts: the other ways keep the bound: %d, %d", hosts, shares, reports)
+			t.Errorf("%d hosts: the other ways do not exceed the bound: shares %d, reports %d", hosts, shares, reports)
 		}
 	}
 }
 
-// shareSends is when hosts send that each have a token for their share of the rate.
-func shareSends(hosts int, rate float64, over time.Duration) []time.Duration {
+// shareSends returns the times at which hosts send that each have a token bucket for their share
+// of the rate.
+func shareSends(hosts int, rate float64, length time.Duration) []time.Duration {
 	var out []time.Duration
 	each := time.Duration(float64(hosts) / rate * float64(time.Second))
-	for at := time.Duration(0); at < over; at += each {
+	for at := time.Duration(0); at < length; at += each {
 		for range hosts {
 			out = append(out, at)
 		}
@@ -147,14 +148,14 @@
 	return out
 }
 
-// reportSends is when hosts send that look at what runs there, some time ago. Each
-// millisecond one of them presses.
-func reportSends(over, old, work time.Duration) []time.Duration {
+// reportSends returns the times at which hosts send that wait until no request is in flight,
+// according to a report of the given age. One of them tries in each millisecond.
+func reportSends(length, age, work time.Duration) []time.Duration {
 	var out []time.Duration
-	for at := time.Duration(0); at < over; at += time.Millisecond {
+	for at := time.Duration(0); at < length; at += time.Millisecond {
 		running := false
-		for i := len(out) - 1; i >= 0 && !running && out[i] > at-old-work; i-- {
-			running = out[i] <= at-old
+		for i := len(out) - 1; i >= 0 && !running && out[i] > at-age-work; i-- {
+			running = out[i] <= at-age
 		}
 		if !running {
 			out = append(out, at)
@@ -163,18 +164,18 @@
 	return out
 }
 
-// BenchmarkOpen is what a choice pays for each upstream that it looks at.
+// BenchmarkOpen measures what the balancer pays for each upstream that it considers.
 func BenchmarkOpen(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
-	mine := timeslot.New("10.0.0.1")
-	for name, left := range map[string]time.Duration{"warm": 0, "cold": time.Hour} {
+	schedule := timeslot.New("10.0.0.1")
+	for name, remaining := range map[string]time.Duration{"warm": 0, "cold": time.Hour} {
 		b.Run(name, func(b *testing.B) {
 			var u Upstream
 			u.SetRate("i-1", 2.5)
-			u.SetCold(now, left)
+			u.SetCold(now, remaining)
 			b.ReportAllocs()
 			for b.Loop() {
-				u.Open(now, mine)
+				u.Open(now, schedule)
 			}
 		})
 	}
