--- a/pkg/limit/limit.go
+++ b/pkg/limit/limit.go
@@ -1,11 +1,12 @@
 // Package limit bounds the requests that one entry host has in flight at a
-// group of upstreams, and says when a refused caller should come back.
+// group of upstreams, and determines when a refused caller should retry.
 //
-// A Limiter adapts its bound to what upstreams show: it grows slowly while the
-// bound is used and latency stays near its baseline, and shrinks when latency
-// rises or upstreams refuse. Excess and RetryAfter turn the share of requests
-// refused into spread-out times to come back. Nothing here reads a clock,
-// starts a goroutine or draws randomness. All types are safe for concurrent use.
+// A Limiter adapts its limit to the load of the upstreams: the limit grows
+// slowly while it is used and latency stays near its baseline, and shrinks when
+// latency rises or upstreams refuse requests. Excess and RetryAfter compute retry
+// delays with jitter from the share of requests that are refused. The package
+// reads no clock, starts no goroutine and draws no random numbers. All types are
+// safe for concurrent use.
 package limit
 
 import (
@@ -17,111 +18,114 @@
 // Constants of the adaptive limit. docs/design/06-overload.md names the run
 // that chose each.
 const (
-	// WindowSamples is the number of answers from which one decision is made;
-	// a larger limit takes as many answers as the limit.
+	// WindowSamples is the number of responses from which one decision is made;
+	// if the limit is larger, a decision takes as many responses as the limit.
 	WindowSamples = 32
 	// Tolerance is the ratio of mean latency to baseline above which the limit shrinks.
 	Tolerance = 1.5
-	// PressureTolerance is the mean of requests in flight per slot, as upstreams
-	// report it, above which the limit shrinks.
+	// PressureTolerance is the mean number of requests in flight per slot, as
+	// reported by upstreams, above which the limit shrinks.
 	PressureTolerance = 2.0
-	// GuardTolerance takes the place of Tolerance where upstreams report.
+	// GuardTolerance replaces Tolerance if upstreams send load reports.
 	GuardTolerance = 4.0
 	// Backoff is the factor by which the limit shrinks.
 	Backoff = 0.9
-	// Growth is what one window adds to the limit, in requests in flight.
+	// Growth is the increase of the limit in one window, in requests in flight.
 	Growth = 1.0
 	// StartFactor multiplies the limit in each window in which it is used, until
-	// it first shrinks, so that a new entry host finds its share soon.
+	// it shrinks for the first time, so that a new entry host reaches its share soon.
 	StartFactor = 2.0
-	// RelearnEvery is the number of windows after which the baseline is
-	// measured anew, so that a lasting change of service time is accepted.
+	// RelearnEvery is the number of windows after which the baseline is measured
+	// anew, so that it adapts to a lasting change of the service time.
 	RelearnEvery = 64
-	// RelearnShare is the divisor of the limit while the baseline is measured.
+	// RelearnShare divides the limit while the baseline is measured.
 	RelearnShare = 2
-	// usedShare is the share of the limit that must have been in flight for it to grow.
+	// usedShare is the share of the limit that must have been in flight for the
+	// limit to grow.
 	usedShare = 0.9
 )
 
-// Outcome is how a send ended, for the limit.
+// Outcome is the result of an attempt as far as it concerns the limit.
 type Outcome uint8
 
-// The outcomes of a send.
+// The outcomes of an attempt.
 const (
-	// Answered means that the latency speaks for the upstream's load.
+	// Answered means that the latency reflects the load of the upstream.
 	Answered Outcome = iota
-	// Refused means that the upstream shed the request or did not answer in time.
+	// Refused means that the upstream shed the request or did not respond in time.
 	Refused
-	// Ignored means that the end says nothing about load, such as a cancelled hedge.
+	// Ignored means that the result tells nothing about load, as for a cancelled hedge.
 	Ignored
 )
 
-// Sample is how one send went.
+// Sample is the result of one attempt.
 type Sample struct {
-	// Outcome says whether the rest counts.
+	// Outcome determines whether the other fields count.
 	Outcome Outcome
-	// Latency is the time of the send, for Answered.
+	// Latency is the duration of the attempt, for Answered.
 	Latency time.Duration
-	// Pressure is the upstream's report of requests in flight per slot, for
-	// Answered: 1 is full without a queue. 0 means that it sent no report.
+	// Pressure is the number of requests in flight per slot that the upstream
+	// reports, for Answered: at 1, all slots are in use and nothing is queued.
+	// 0 means that it sent no report.
 	Pressure float64
 }
 
-// Reason says what moved the limit. It is a constant text for events.
+// Reason is why the limit changed. It is a constant text for events.
 type Reason string
 
 // The reasons for a change.
 const (
-	// Unchanged means that the limit did not move.
+	// Unchanged means that the limit did not change.
 	Unchanged Reason = ""
-	// Increased means that the limit was in use and latency near its baseline.
+	// Increased means that the limit was in use and latency was near its baseline.
 	Increased Reason = "used-and-fast"
 	// DecreasedLatency means that latency rose above the baseline.
 	DecreasedLatency Reason = "latency-rose"
 	// DecreasedPressure means that upstreams reported queues.
 	DecreasedPressure Reason = "upstreams-report-queues"
-	// DecreasedRefused means that upstreams refused.
+	// DecreasedRefused means that upstreams refused requests.
 	DecreasedRefused Reason = "upstreams-refused"
 	// Relearning means that the limit is lowered for two windows to measure the baseline.
 	Relearning Reason = "measuring-baseline"
-	// Relearned means that the limit is back after measuring the baseline.
+	// Relearned means that the limit is restored after the baseline was measured.
 	Relearned Reason = "baseline-measured"
 )
 
 // Bounds are the smallest and the largest limit, in requests in flight.
 type Bounds struct {
-	// Floor is never undercut, so that an upstream that recovered is noticed.
+	// Floor is the smallest limit. It keeps some requests flowing, so that the
+	// recovery of an upstream is noticed.
 	Floor int
-	// Ceiling is never exceeded.
+	// Ceiling is the largest limit.
 	Ceiling int
-	// Reported replaces Ceiling while most answers carry a load report; 0 keeps
-	// Ceiling.
-	Reported int
+	// ReportedCeiling replaces Ceiling while most responses carry a load report;
+	// with 0, Ceiling always applies.
+	ReportedCeiling int
 }
 
-// Limiter is an adaptive bound on requests in flight. A nil *Limiter admits
-// everything.
+// Limiter is an adaptive limit on requests in flight. A nil *Limiter admits all
+// requests.
 type Limiter struct {
-	mu       sync.Mutex
-	bounds   Bounds
-	limit    float64
-	inFlight int
-	baseline time.Duration
-	window   window
-	started  bool    // the limit has shrunk once
-	reported bool    // most answers of the last window carried a load report
-	phase    int     // windows since the baseline began to be measured; 0 when it is not
-	windows  int     // since the baseline was measured anew
-	saved    float64 // the limit before it was lowered to do so; 0 when it is not
+	mu        sync.Mutex
+	bounds    Bounds
+	limit     float64
+	inFlight  int
+	baseline  time.Duration
+	window    window
+	hasShrunk bool    // the limit has shrunk at least once
+	reported  bool    // most responses of the last window carried a load report
+	phase     int     // windows since the measurement of the baseline began; 0 if none is in progress
+	windows   int     // windows since the baseline was last measured anew
+	saved     float64 // limit to restore after the measurement; 0 if the limit is not lowered
 }
 
-// window gathers answers until one decision is made.
+// window collects responses until a decision is made.
 type window struct {
 	samples int
 	refused int
 	sum     time.Duration
-	used    int
-	// reports and pressure count and sum the upstreams' reports.
+	peak    int // largest number of requests in flight
+	// reports and pressure are the number and the sum of the upstreams' load reports.
 	reports  int
 	pressure float64
 }
@@ -135,15 +139,15 @@
 	}
 }
 
-// reported says whether most answers carried a report.
+// reported reports whether most responses carried a load report.
 func (w *window) reported() bool { return w.reports*2 > w.samples }
 
 func (w *window) meanPressure() float64 { return w.pressure / float64(w.reports) }
 
-// loaded says whether upstreams report that their slots are in use.
+// loaded reports whether the upstreams' load reports show that all slots are in use.
 func (w *window) loaded() bool { return w.reported() && w.meanPressure() >= 1 }
 
-// New returns a limiter that starts at the given limit within b.
+// New returns a limiter with the given initial limit, adjusted to b.
 func New(initial int, b Bounds) *Limiter {
 	l := &Limiter{limit: float64(initial)}
 	l.SetBounds(b)
@@ -161,12 +165,13 @@
 	l.clamp()
 }
 
-// Headroom is the share of the limit that an important send may go beyond it.
+// Headroom is the share of the limit by which an important attempt may exceed it.
 const Headroom = 0.5
 
-// Acquire takes a place for one send, or reports false. Headroom is the share
-// of the limit by which this send may exceed it, at least 1 place if positive.
-// Each success must be followed by one Release.
+// Acquire takes a permit for one attempt and reports whether there was one.
+// Headroom is the share of the limit by which this attempt may exceed it; if it
+// is positive, it allows at least one more permit. Each success must be followed
+// by one call of Release.
 func (l *Limiter) Acquire(headroom float64) bool {
 	if l == nil {
 		return true
@@ -177,12 +182,12 @@
 		return false
 	}
 	l.inFlight++
-	l.window.used = max(l.window.used, l.inFlight)
+	l.window.peak = max(l.window.peak, l.inFlight)
 	return true
 }
 
-// Release gives the place back and reports how the send went. It returns what
-// moved the limit, if anything.
+// Release returns a permit and records the result of the attempt. It returns why
+// the limit changed, or Unchanged.
 func (l *Limiter) Release(s Sample) Reason {
 	if l == nil {
 		return Unchanged
@@ -204,7 +209,7 @@
 	return l.decide()
 }
 
-// Limit returns the current bound and the requests in flight.
+// Limit returns the current limit and the number of requests in flight.
 func (l *Limiter) Limit() (limit, inFlight int) {
 	if l == nil {
 		return 0, 0
@@ -214,12 +219,12 @@
 	return int(l.limit), l.inFlight
 }
 
-// decide closes the window and moves the limit.
+// decide ends the window and adjusts the limit.
 func (l *Limiter) decide() Reason {
 	w := l.window
-	l.window = window{used: l.inFlight}
+	l.window = window{peak: l.inFlight}
 	before := int(l.limit)
-	reason := l.move(w)
+	reason := l.adjust(w)
 	l.reported = w.reported()
 	l.clamp()
 	if int(l.limit) == before {
@@ -228,7 +233,7 @@
 	return reason
 }
 
-func (l *Limiter) move(w window) Reason {
+func (l *Limiter) adjust(w window) Reason {
 	l.windows++
 	if w.refused*refusedShare > w.samples {
 		l.stopRelearning()
@@ -242,14 +247,14 @@
 	if l.baseline == 0 || mean < l.baseline {
 		l.baseline = mean
 	}
-	if reason := l.pressed(w, mean); reason != Unchanged {
+	if reason := l.congestion(w, mean); reason != Unchanged {
 		l.shrink()
 		return reason
 	}
 	if !l.inUse(w) {
 		return Unchanged
 	}
-	if l.started {
+	if l.hasShrunk {
 		l.limit += Growth
 	} else {
 		l.limit *= StartFactor
@@ -259,19 +264,19 @@
 
 // shrink lowers the limit by one step.
 func (l *Limiter) shrink() {
-	l.started = true
+	l.hasShrunk = true
 	l.limit *= Backoff
 }
 
-// inUse says whether the window's requests needed the limit.
+// inUse reports whether the requests of the window used the limit.
 func (l *Limiter) inUse(w window) bool {
-	return float64(w.used) >= usedShare*float64(int(l.limit))
+	return float64(w.peak) >= usedShare*float64(int(l.limit))
 }
 
-// pressed says whether the window shows queues at the upstreams. Their reports
-// decide where most answers carry one; latency then only guards against
-// reports that mislead.
-func (l *Limiter) pressed(w window, mean time.Duration) Reason {
+// congestion returns why the limit should shrink if the window shows queues at
+// the upstreams, or else Unchanged. If most responses carry a load report, the
+// reports decide, and latency only guards against misleading reports.
+func (l *Limiter) congestion(w window, mean time.Duration) Reason {
 	tolerance := Tolerance
 	if w.reported() {
 		if w.meanPressure() > PressureTolerance {
@@ -285,17 +290,18 @@
 	return Unchanged
 }
 
-// refusedShare is the divisor of the answered sends above which refusals
-// shrink the limit: more than one in sixteen.
+// refusedShare is the number of answered attempts per refusal below which the
+// limit shrinks: it does if there is more than one refusal for sixteen answers.
 const refusedShare = 16
 
-// relearn lowers the limit, lets one window pass in which queues drain, takes
-// the next one's latency as the baseline and restores the limit. Without it, a
-// baseline that may only fall never accepts a service that became slower, and
-// one that drifts up takes the queue that the limit itself allows for normal.
-// It waits while upstreams report load: the limit of one entry host alone
-// can't drain the queues of all, and reports do without the baseline.
-// A limit that is not in use makes no queues and need not be lowered.
+// relearn measures the baseline anew: it lowers the limit, waits one window for
+// queues to drain, takes the mean latency of the next window as the baseline and
+// restores the limit. Without this, a baseline that can only fall would never
+// adapt to a service that became slower, and a baseline that drifts up would
+// include the queue that the limit itself allows. The measurement does not begin
+// while upstreams report that they are loaded: one entry host alone cannot drain
+// the queues of all by lowering its limit, and load reports do not need the
+// baseline. A limit that is not in use causes no queues and need not be lowered.
 func (l *Limiter) relearn(w window, mean time.Duration) Reason {
 	if l.phase == 0 && !l.inUse(w) {
 		l.baseline = mean
@@ -330,8 +336,8 @@
 
 func (l *Limiter) clamp() {
 	ceiling := l.bounds.Ceiling
-	if l.reported && l.bounds.Reported > 0 {
-		ceiling = l.bounds.Reported
+	if l.reported && l.bounds.ReportedCeiling > 0 {
+		ceiling = l.bounds.ReportedCeiling
 	}
 	l.limit = min(max(l.limit, float64(l.bounds.Floor)), float64(ceiling))
 }
--- a/pkg/limit/limit_test.go
+++ b/pkg/limit/limit_test.go
@@ -42,7 +42,8 @@
 	// 6.909s
 }
 
-// run sends windows of answers whose latency depends on the requests in flight.
+// run passes the given number of windows through the limiter, with a latency that depends on
+// the number of requests in flight.
 func run(l *limit.Limiter, windows int, latency func(inFlight int) time.Duration) {
 	for range windows * limit.WindowSamples {
 		n := 0
@@ -55,7 +56,8 @@
 	}
 }
 
-// queueing answers like a server of the given slots without variance.
+// queueing returns the latency of a server with the given number of slots and a constant service
+// time.
 func queueing(slots int) func(int) time.Duration {
 	return func(n int) time.Duration {
 		return 5 * time.Millisecond * time.Duration(max(n, slots)) / time.Duration(slots)
@@ -100,8 +102,9 @@
 	is.Equal(last, limit.DecreasedRefused)
 }
 
-// TestLimitFollowsReports keeps others' queues at the upstream: latency never
-// shows an empty one, the reports do.
+// TestLimitFollowsReports checks that load reports lower the limit while other hosts keep
+// queues at the upstream. Latency alone cannot show this, because it is never measured
+// without a queue.
 func TestLimitFollowsReports(t *testing.T) {
 	is := is.New(t)
 	l := limit.New(50, limit.Bounds{Floor: 2, Ceiling: 100})
@@ -180,12 +183,12 @@
 	})
 }
 
-// TestReportedCeiling has answers with free slots in their reports, then answers
-// without reports.
+// TestReportedCeiling checks the upper bound without load reports, with reports that show free
+// slots, and without reports again.
 func TestReportedCeiling(t *testing.T) {
 	is := is.New(t)
-	l := limit.New(2, limit.Bounds{Floor: 2, Ceiling: 4, Reported: 8})
-	answers := func(pressure float64) int {
+	l := limit.New(2, limit.Bounds{Floor: 2, Ceiling: 4, ReportedCeiling: 8})
+	limitAfter := func(pressure float64) int {
 		for range 20 * limit.WindowSamples {
 			n := 0
 			for l.Acquire(0) {
@@ -198,7 +201,7 @@
 		bound, _ := l.Limit()
 		return bound
 	}
-	is.Equal(answers(0), 4)
-	is.Equal(answers(0.5), 8)
-	is.Equal(answers(0), 4)
+	is.Equal(limitAfter(0), 4)
+	is.Equal(limitAfter(0.5), 8)
+	is.Equal(limitAfter(0), 4)
 }
