--- a/internal/limitsync/limitsync.go
+++ b/internal/limitsync/limitsync.go
@@ -1,5 +1,5 @@
-// Package limitsync tells the other entry hosts, over gRPC, of the limits that upstreams
-// name.
+// Package limitsync sends the rate limits that upstreams announce to the other entry hosts,
+// over gRPC, and borrows time slots from them.
 package limitsync
 
 import (
@@ -20,12 +20,12 @@
 )
 
 const (
-	// maxLimits bounds the limits of one message; 40 KB.
+	// maxLimits bounds the number of limits in one message, which is then at most 40 KB.
 	maxLimits = 1024
-	// callTimeout bounds one call. What it would have told is repeated.
+	// callTimeout bounds one call. The updates of a call that fails are repeated.
 	callTimeout = 500 * time.Millisecond
-	// borrowTimeout bounds asking one host for a turn. The farthest is a few milliseconds
-	// away, and a request waits.
+	// borrowTimeout bounds the call that asks one host for a time slot. A request waits for
+	// it, and the farthest host is a few milliseconds away.
 	borrowTimeout = 20 * time.Millisecond
 )
 
@@ -33,62 +33,64 @@
 type Config struct {
 	// Loop is the control loop; New must be called before it runs.
 	Loop *control.Loop
-	// Server is where peers reach this host; New must be called before it serves.
+	// Server is the gRPC server for peers; New must be called before it serves.
 	Server *peer.Server
-	// Pool connects to peers.
+	// Pool holds the connections to peers.
 	Pool *peer.Pool
-	// Peers returns the addresses of the other entry hosts. It runs on any goroutine.
+	// Peers returns the addresses of the other entry hosts. It may be called from any
+	// goroutine.
 	Peers func() []string
-	// SlotOrder returns the addresses of all hosts in the order of their turns; empty for one
-	// that is not to be asked. It runs on any goroutine.
+	// SlotOrder returns the addresses of all hosts in the order of their time slots, with an
+	// empty string for a host that must not be asked for a slot. It may be called from any
+	// goroutine.
 	SlotOrder func() []string
-	// Book holds what this host knows.
+	// Book holds the limits that this host knows.
 	Book *ratelimit.Registry
-	// OnUpdate is told which upstreams' limits a peer's news have changed. It runs on any
-	// goroutine.
+	// OnUpdate is called with the states that the update of a peer has changed. It may be
+	// called from any goroutine.
 	OnUpdate func([]*ratelimit.State)
 }
 
-// Broadcaster tells peers of limits, hears them, and asks peers for turns.
+// Broadcaster sends limits to peers, receives theirs, and borrows time slots from them.
 type Broadcaster struct {
 	conf Config
 }
 
-// server answers peers.
+// server handles the calls of peers.
 type server struct {
 	limitsv1.UnimplementedLimitsServer
-	teller *Broadcaster
+	broadcaster *Broadcaster
 }
 
-// New registers a teller with the loop and the peers' server.
+// New returns a Broadcaster that is registered with the control loop and the server for peers.
 func New(conf Config) *Broadcaster {
-	t := &Broadcaster{conf: conf}
-	limitsv1.RegisterLimitsServer(conf.Server, server{teller: t})
-	conf.Loop.Every(gossip.RepeatInterval, t.repeat)
-	return t
+	b := &Broadcaster{conf: conf}
+	limitsv1.RegisterLimitsServer(conf.Server, server{broadcaster: b})
+	conf.Loop.Every(gossip.RepeatInterval, b.repeat)
+	return b
 }
 
-// Broadcast tells all hosts what is now known of a limit.
-func (t *Broadcaster) Broadcast(s *ratelimit.State) {
-	if news, ok := s.Update(clock.Now()); ok {
-		t.tell(t.conf.Peers(), []ratelimit.Update{news})
+// Broadcast sends what is currently known of a limit to all hosts.
+func (b *Broadcaster) Broadcast(s *ratelimit.State) {
+	if update, ok := s.Update(clock.Now()); ok {
+		b.send(b.conf.Peers(), []ratelimit.Update{update})
 	}
 }
 
-// repeat tells a few hosts what they may have missed.
-func (t *Broadcaster) repeat(now time.Time) {
-	known := t.conf.Book.Updates(now)
+// repeat sends updates again to a few hosts, which may have missed them.
+func (b *Broadcaster) repeat(now time.Time) {
+	known := b.conf.Book.Updates(now)
 	if len(known) == 0 {
 		return
 	}
-	t.tell(gossip.Sample(t.conf.Peers(), gossip.RepeatFanOut, rand.IntN), gossip.Sample(known, maxLimits, rand.IntN))
+	b.send(gossip.Sample(b.conf.Peers(), gossip.RepeatFanOut, rand.IntN), gossip.Sample(known, maxLimits, rand.IntN))
 }
 
-// tell sends a message to each of the hosts, beside the caller. One that is not reached
-// hears it again.
-func (t *Broadcaster) tell(peers []string, news []ratelimit.Update) {
-	req := &limitsv1.TellRequest{Limits: encode(news)}
-	t.conf.Pool.CallAll(peers, callTimeout, func(ctx context.Context, c *grpc.ClientConn) error {
+// send sends updates to each of the hosts, without waiting for them. A host that cannot be
+// reached receives the updates when they are repeated.
+func (b *Broadcaster) send(peers []string, updates []ratelimit.Update) {
+	req := &limitsv1.TellRequest{Limits: encode(updates)}
+	b.conf.Pool.CallAll(peers, callTimeout, func(ctx context.Context, c *grpc.ClientConn) error {
 		_, err := limitsv1.NewLimitsClient(c).Tell(ctx, req)
 		return err
 	})
@@ -96,25 +98,25 @@
 
 // Tell implements limitsv1.LimitsServer.
 func (s server) Tell(_ context.Context, req *limitsv1.TellRequest) (*limitsv1.TellResponse, error) {
-	news := decode(req.GetLimits())
-	for i := range news {
-		if err := news[i].Validate(); err != nil {
+	updates := decode(req.GetLimits())
+	for i := range updates {
+		if err := updates[i].Validate(); err != nil {
 			return nil, status.Error(codes.InvalidArgument, err.Error())
 		}
 	}
-	if changed := s.teller.conf.Book.ApplyPeerUpdates(clock.Now(), news); len(changed) > 0 {
-		s.teller.conf.OnUpdate(changed)
+	if changed := s.broadcaster.conf.Book.ApplyPeerUpdates(clock.Now(), updates); len(changed) > 0 {
+		s.broadcaster.conf.OnUpdate(changed)
 	}
 	return new(limitsv1.TellResponse), nil
 }
 
-// Borrow implements proxy.Lenders. A host that does not answer lends nothing.
-func (t *Broadcaster) Borrow(ctx context.Context, host int, server ratelimit.Server) bool {
-	inTurn := t.conf.SlotOrder()
-	if host >= len(inTurn) || inTurn[host] == "" {
+// Borrow implements proxy.SlotBorrower. A host that does not respond lends no slot.
+func (b *Broadcaster) Borrow(ctx context.Context, host int, server ratelimit.Server) bool {
+	hosts := b.conf.SlotOrder()
+	if host >= len(hosts) || hosts[host] == "" {
 		return false
 	}
-	conn, err := t.conf.Pool.Conn(inTurn[host])
+	conn, err := b.conf.Pool.Conn(hosts[host])
 	if err != nil {
 		return false
 	}
@@ -124,21 +126,21 @@
 	return err == nil && resp.GetLent()
 }
 
-// Borrow lends a turn of this host; it is the server's part of a peer's Borrow.
+// Borrow implements limitsv1.LimitsServer. It lends a time slot of this host to a peer.
 func (s server) Borrow(_ context.Context, req *limitsv1.BorrowRequest) (*limitsv1.BorrowResponse, error) {
-	asked := ratelimit.Server{IDHash: req.GetUpstream(), StartedAt: req.GetBorn()}
-	return &limitsv1.BorrowResponse{Lent: s.teller.conf.Book.Lend(clock.Now(), asked)}, nil
+	upstream := ratelimit.Server{IDHash: req.GetUpstream(), StartedAt: req.GetBorn()}
+	return &limitsv1.BorrowResponse{Lent: s.broadcaster.conf.Book.Lend(clock.Now(), upstream)}, nil
 }
 
-func encode(news []ratelimit.Update) []*limitsv1.Limit {
+func encode(updates []ratelimit.Update) []*limitsv1.Limit {
 	var out []*limitsv1.Limit
-	for _, n := range news {
+	for _, u := range updates {
 		out = append(out, &limitsv1.Limit{
-			Upstream:  n.Server.IDHash,
-			Born:      n.Server.StartedAt,
-			PerSecond: n.PerSecond,
-			Ended:     n.Ended,
-			AgeUs:     n.Age.Microseconds(),
+			Upstream:  u.Server.IDHash,
+			Born:      u.Server.StartedAt,
+			PerSecond: u.PerSecond,
+			Ended:     u.Ended,
+			AgeUs:     u.Age.Microseconds(),
 		})
 	}
 	return out
@@ -146,12 +148,12 @@
 
 func decode(limits []*limitsv1.Limit) []ratelimit.Update {
 	var out []ratelimit.Update
-	for _, m := range limits {
+	for _, l := range limits {
 		out = append(out, ratelimit.Update{
-			Server:    ratelimit.Server{IDHash: m.GetUpstream(), StartedAt: m.GetBorn()},
-			PerSecond: m.GetPerSecond(),
-			Ended:     m.GetEnded(),
-			Age:       ratelimit.ParseAge(m.GetAgeUs()),
+			Server:    ratelimit.Server{IDHash: l.GetUpstream(), StartedAt: l.GetBorn()},
+			PerSecond: l.GetPerSecond(),
+			Ended:     l.GetEnded(),
+			Age:       ratelimit.ParseAge(l.GetAgeUs()),
 		})
 	}
 	return out
