--- a/pkg/evacuation/evacuation.go
+++ b/pkg/evacuation/evacuation.go
@@ -1,12 +1,12 @@
-// Package evacuation keeps which failure domains are to get nothing new, as one entry
-// host knows it.
+// Package evacuation tracks which failure domains must receive no new requests, as far as
+// one entry host knows.
 //
-// Operators publish an evacuation and take it back. News of both may come late, twice
-// and out of order; each piece carries the store's revision, and the newest piece about
-// a failure domain counts. A host therefore never falls back to an older state, however
-// it learns.
+// Operators publish an evacuation and withdraw it. Updates about both may arrive late,
+// twice and out of order. Each update carries the store's revision, and the newest update
+// about a failure domain counts. A host therefore never goes back to an older state,
+// whichever way it receives updates.
 //
-// The package does no I/O and reads no clock. A Set belongs to one goroutine.
+// The package does no I/O and reads no clock. A Set must be used from a single goroutine.
 package evacuation
 
 import (
@@ -15,35 +15,36 @@
 	"slices"
 )
 
-// Domain is a failure domain that is evacuated.
+// Domain is an evacuated failure domain.
 type Domain struct {
-	// FailureDomain is its name. Upstreams of it may not be known, or not exist.
+	// FailureDomain is the name. It may have no known upstreams, or none at all.
 	FailureDomain string
-	// Revision is the store's revision at which it began.
+	// Revision is the store's revision at which the evacuation began.
 	Revision uint64
 }
 
 // Change is the beginning or the end of one evacuation.
 type Change struct {
-	// FailureDomain is its name.
+	// FailureDomain is the name of the failure domain.
 	FailureDomain string
-	// Ended is true when the evacuation was taken back.
+	// Ended is true if the evacuation was withdrawn.
 	Ended bool
 }
 
-// state is the newest news about one failure domain. It is kept when an evacuation has
-// ended, so that late news of it changes nothing; operators name few failure domains.
+// state is the newest update about one failure domain. It is kept after an evacuation has
+// ended, so that a late update changes nothing; operators evacuate few failure domains.
 type state struct {
 	evacuated bool
 	revision  uint64
 }
 
-// Set holds the newest news about all failure domains. The zero value knows of none.
+// Set holds the newest updates about all failure domains. The zero value is an empty set.
 type Set struct {
 	domains map[string]state
 }
 
-// Apply takes in a change at a revision. It reports whether anything is different now.
+// Apply records a change at a revision. It reports whether the state of the failure domain
+// changes.
 func (s *Set) Apply(c Change, revision uint64) bool {
 	known := s.domains[c.FailureDomain]
 	if revision <= known.revision {
@@ -56,8 +57,8 @@
 	return known.evacuated == c.Ended
 }
 
-// Replace takes in all evacuations as of a revision: one that is not listed has ended.
-// It returns the changes, by failure domain.
+// Replace records the complete list of evacuations as of a revision: an evacuation that is
+// not listed has ended. It returns the changes, sorted by failure domain.
 func (s *Set) Replace(list []Domain, revision uint64) []Change {
 	var out []Change
 	listed := make(map[string]bool, len(list))
@@ -82,7 +83,7 @@
 // Holds reports whether a failure domain is evacuated.
 func (s *Set) Holds(failureDomain string) bool { return s.domains[failureDomain].evacuated }
 
-// List returns the evacuated failure domains, by name.
+// List returns the evacuated failure domains, sorted by name.
 func (s *Set) List() []Domain {
 	var out []Domain
 	for _, name := range slices.Sorted(maps.Keys(s.domains)) {
--- a/pkg/evacuation/evacuation_test.go
+++ b/pkg/evacuation/evacuation_test.go
@@ -20,51 +20,51 @@
 	// false
 }
 
-func TestListingEndsWhatItDoesNotHold(t *testing.T) {
+func TestListEndsUnlistedEvacuations(t *testing.T) {
 	is := is.New(t)
 	var s Set
 	is.True(s.Apply(Change{FailureDomain: "a"}, 3))
-	is.True(!s.Apply(Change{FailureDomain: "a"}, 4)) // it is so already
+	is.True(!s.Apply(Change{FailureDomain: "a"}, 4)) // no change of state
 	is.Equal(s.Replace([]Domain{{"b", 5}}, 6), []Change{{"a", true}, {"b", false}})
 	is.Equal(s.List(), []Domain{{"b", 5}})
-	is.Equal(len(s.Replace(nil, 4)), 0) // an older listing
+	is.Equal(len(s.Replace(nil, 4)), 0) // an older list
 	is.True(s.Holds("b"))
 	is.Equal(s.Replace(nil, 8), []Change{{"b", true}})
 	is.Equal(len(s.List()), 0)
 }
 
-// TestNewestNewsCounts: in whatever order news comes, and however often, a set that has
-// heard the newest about each failure domain holds what the store holds.
+// TestNewestNewsCounts checks that a set which has received the newest update about each failure
+// domain is equal to that of the store, in whatever order and however often updates arrive.
 func TestNewestNewsCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c"}
 		var store Set
-		type news struct {
+		type update struct {
 			change   Change
 			revision uint64
 		}
-		var all []news
+		var all []update
 		n := rapid.IntRange(1, 12).Draw(t, "changes")
 		for revision := range uint64(n) {
 			c := Change{rapid.SampledFrom(names).Draw(t, "domain"), rapid.Bool().Draw(t, "ended")}
 			store.Apply(c, revision+1)
-			all = append(all, news{c, revision + 1})
+			all = append(all, update{c, revision + 1})
 		}
 		var late Set
 		order := append(rapid.Permutation(all).Draw(t, "order"), rapid.Permutation(all).Draw(t, "again")...)
-		for _, piece := range order {
-			late.Apply(piece.change, piece.revision)
+		for _, u := range order {
+			late.Apply(u.change, u.revision)
 		}
 		if fmt.Sprint(late.List()) != fmt.Sprint(store.List()) {
 			t.Fatalf("%v, not %v", late.List(), store.List())
 		}
 		var listed Set
-		for _, piece := range order[:n/2] {
-			listed.Apply(piece.change, piece.revision)
+		for _, u := range order[:n/2] {
+			listed.Apply(u.change, u.revision)
 		}
 		listed.Replace(store.List(), uint64(n))
 		if fmt.Sprint(listed.List()) != fmt.Sprint(store.List()) {
-			t.Fatalf("after a listing %v, not %v", listed.List(), store.List())
+			t.Fatalf("after a list %v, not %v", listed.List(), store.List())
 		}
 	})
 }
