--- a/pkg/ratelimit/ratelimit.go
+++ b/pkg/ratelimit/ratelimit.go
@@ -93,10 +93,10 @@
 	lastUsed   atomic.Int64 // number of the last slot that was used
 }
 
-// NewState returns the initial state of an upstream at a host with the given schedule. Born is
-// the start time that the upstream itself reports, or 0.
-func NewState(id string, born int64, t *timeslot.Schedule) *State {
-	return &State{id: id, server: ServerOf(id, born), schedule: t}
+// NewState returns the initial state of an upstream at a host with the given schedule. StartedAt
+// is the start time that the upstream itself reports, or 0.
+func NewState(id string, startedAt int64, t *timeslot.Schedule) *State {
+	return &State{id: id, server: ServerOf(id, startedAt), schedule: t}
 }
 
 // ID returns the upstream's id.
--- a/pkg/ratelimit/registry.go
+++ b/pkg/ratelimit/registry.go
@@ -28,7 +28,7 @@
 }
 
 // ServerOf returns the Server for an upstream's id and start time.
-func ServerOf(id string, born int64) Server { return Server{xxhash.Sum64String(id), born} }
+func ServerOf(id string, startedAt int64) Server { return Server{xxhash.Sum64String(id), startedAt} }
 
 // Update is what a host sends to other hosts about the limit of one upstream.
 type Update struct {
@@ -95,13 +95,13 @@
 
 // Acquire returns the state for a record of an upstream. All records with the same id and start
 // time share one state.
-func (r *Registry) Acquire(id string, born int64) *State {
-	server := ServerOf(id, born)
+func (r *Registry) Acquire(id string, startedAt int64) *State {
+	server := ServerOf(id, startedAt)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[server]
 	if e == nil {
-		e = &entry{state: NewState(id, born, r.schedule)}
+		e = &entry{state: NewState(id, startedAt, r.schedule)}
 		e.state.counters = &r.counters
 		r.entries[server] = e
 	}
