--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -183,7 +183,7 @@
 		Sender:       e.client,
 		Events:       e.sink,
 		Report:       e.control.probed,
-		ParseBackoff: proxy.OwnDialect().Rest,
+		ParseBackoff: proxy.DefaultDialect().Backoff,
 		OnBackoff:    e.control.rested,
 		Limited:      e.control.groups.limits.Limited,
 		Path:         e.conf.Probe.Path,
@@ -195,8 +195,8 @@
 		Server:   e.peerServer,
 		Pool:     e.pool,
 		Peers:    e.peerAddresses,
-		Recent:   func(now time.Time, within time.Duration) []poison.Crash { return e.proxy.RecentDeaths(now, within) },
-		OnUpdate: func(died []poison.Crash, answered []poison.Fingerprint) { e.proxy.Heard(died, answered) },
+		Recent:   func(now time.Time, within time.Duration) []poison.Crash { return e.proxy.RecentCrashes(now, within) },
+		OnUpdate: func(died []poison.Crash, answered []poison.Fingerprint) { e.proxy.ApplyPeerCrashes(died, answered) },
 	})
 	e.limits = limitsync.New(limitsync.Config{
 		Loop:      e.loop,
@@ -240,7 +240,7 @@
 		Peers:  e.peerAddresses,
 		Known:  e.control.registry.Notices,
 		Merge:  e.control.merge,
-		Waking: e.control.Waking,
+		Waking: e.control.Resuming,
 	})
 	e.feed = configfeed.New(ctx, configfeed.Config{
 		Host: e.host,
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -173,7 +173,7 @@
 }
 
 // stepWake asks peers which upstreams left while this process was paused. It
-// runs before the heartbeat, so that Waking has no gap.
+// runs before the heartbeat, so that Resuming has no gap.
 func (c *controller) stepWake(now time.Time) {
 	if c.ready && c.silent() > pausedAfter {
 		c.waking.Store(true)
--- a/internal/entry/publish_test.go
+++ b/internal/entry/publish_test.go
@@ -101,5 +101,5 @@
 	for range lifecycle.DefaultConfig().ConnectFailures {
 		e.control.ConnectFailed(key)
 	}
-	e.control.Reached(key)
+	e.control.ConnectSucceeded(key)
 }
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -35,16 +35,16 @@
 	})
 }
 
-// Reached implements proxy.Upstreams.
-func (c *controller) Reached(k lifecycle.UpstreamKey) {
+// ConnectSucceeded implements proxy.Upstreams.
+func (c *controller) ConnectSucceeded(k lifecycle.UpstreamKey) {
 	c.entry.loop.Post(func() {
 		c.registry.ConnectSucceeded(clock.Now(), k)
 		c.publishSoon()
 	})
 }
 
-// Rests implements proxy.Upstreams. The server may stand in several groups, and is probed.
-func (c *controller) Rests(u *balancer.Upstream, until time.Time) {
+// BackingOff implements proxy.Upstreams. The server may stand in several groups, and is probed.
+func (c *controller) BackingOff(u *balancer.Upstream, until time.Time) {
 	address := upstream.HostOf(u.Address)
 	c.entry.prober.SetBackoff(address, until)
 	c.rested(address, until)
@@ -55,17 +55,17 @@
 	c.entry.loop.Post(func() { c.groups.rest(address, until) })
 }
 
-// LimitHeard implements proxy.Upstreams.
-func (c *controller) LimitHeard(u *balancer.Upstream) { c.entry.limits.Broadcast(u.Limit) }
+// LimitChanged implements proxy.Upstreams.
+func (c *controller) LimitChanged(u *balancer.Upstream) { c.entry.limits.Broadcast(u.Limit) }
 
 // Reported implements proxy.Upstreams.
 func (c *controller) Reported(address string, now time.Time) {
 	c.entry.prober.RecordReport(upstream.HostOf(address), now)
 }
 
-// Waking implements proxy.Upstreams. It notices a pause before the control
+// Resuming implements proxy.Upstreams. It notices a pause before the control
 // goroutine has run again.
-func (c *controller) Waking() bool {
+func (c *controller) Resuming() bool {
 	if !c.entry.proxy.Ready() {
 		return false
 	}
--- a/internal/gateway/apply_bench_test.go
+++ b/internal/gateway/apply_bench_test.go
@@ -27,7 +27,7 @@
 				Host: "127.0.0.1", FailureDomain: "here", LogLevel: "error",
 				Listen: "127.0.0.1:1", ReadyListen: "127.0.0.1:2",
 				StopTimeout: 3 * time.Second, MaxChangeDelay: 2 * time.Second, MaxLeaveDelay: 2 * time.Second,
-			}, noStore{}, proxy.OwnDialect(), io.Discard)
+			}, noStore{}, proxy.DefaultDialect(), io.Discard)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/gateway/asker.go
+++ b/internal/gateway/asker.go
@@ -22,7 +22,7 @@
 // away; one that takes longer is not worth waiting for.
 const askTimeout = 25 * time.Millisecond
 
-// asker implements proxy.Asker over the upstreams' health path.
+// asker implements proxy.LoadQuerier over the upstreams' health path.
 type asker struct {
 	client  *upstream.Client
 	dialect *proxy.Dialect
@@ -31,8 +31,8 @@
 	random  func() uint64
 }
 
-// Ask implements proxy.Asker.
-func (a *asker) Ask(ctx context.Context, group *routing.Group, upstreams []*balancer.Upstream) {
+// Query implements proxy.LoadQuerier.
+func (a *asker) Query(ctx context.Context, group *routing.Group, upstreams []*balancer.Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	var others sync.WaitGroup
@@ -93,7 +93,7 @@
 	if a.dialect.Leaving(resp.Status, resp.Header) {
 		a.told.Leaving(lifecycle.UpstreamKey{Service: service, Upstream: u.ID}, u.Activation)
 	}
-	d, err := a.dialect.Rest(resp.Status, resp.Header)
+	d, err := a.dialect.Backoff(resp.Status, resp.Header)
 	if err != nil {
 		a.events.Emit(event.Event{Code: event.RestUnreadable, Service: service, Upstream: u.ID, Detail: err.Error()})
 	}
@@ -101,19 +101,19 @@
 		return false
 	}
 	a.events.Emit(event.Event{Code: event.RestAsked, Service: service, Upstream: u.ID, Reason: "probe", Value: d.Milliseconds()})
-	a.told.Rests(u, u.Backoff.Begin(now, d, a.random()))
+	a.told.BackingOff(u, u.Backoff.Begin(now, d, a.random()))
 	return true
 }
 
 // limited takes in what an answer says of the upstream's limit.
 func (a *asker) limited(group *routing.Group, u *balancer.Upstream, now, sent time.Time, resp *httpwire.Response) {
-	e, news := a.dialect.HearLimit(u, now, sent, resp, ratelimit.Probe)
+	e, news := a.dialect.ObserveLimit(u, now, sent, resp, ratelimit.Probe)
 	if !news {
 		return
 	}
 	e.Service = group.Config.Registered
 	a.events.Emit(e)
-	a.told.LimitHeard(u)
+	a.told.LimitChanged(u)
 }
 
 func (a *asker) question(ctx context.Context, group *routing.Group, u *balancer.Upstream) (*httpwire.Response, *errkind.Error) {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -79,7 +79,7 @@
 		OnLimits:     g.heardLimits,
 		GrantQuota:   g.quotas.Answer,
 		LendTimeSlot: func(s ratelimit.Server) bool { return g.control.pools.limits.Lend(clock.Now(), s) },
-		OnPoison:     func(died []poison.Crash, answered []poison.Fingerprint) { g.proxy.Heard(died, answered) },
+		OnPoison:     func(died []poison.Crash, answered []poison.Fingerprint) { g.proxy.ApplyPeerCrashes(died, answered) },
 	})
 	return f, nil
 }
--- a/internal/gateway/poison.go
+++ b/internal/gateway/poison.go
@@ -12,20 +12,20 @@
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 )
 
-// poisonNews implements proxy.PoisonNews over the hosts' datagrams.
+// poisonNews implements proxy.PoisonNotifier over the hosts' datagrams.
 type poisonNews struct {
 	gateway *Gateway
 }
 
-// Died implements proxy.PoisonNews.
-func (n poisonNews) Died(d poison.Crash) {
+// NotifyCrash implements proxy.PoisonNotifier.
+func (n poisonNews) NotifyCrash(d poison.Crash) {
 	if f := n.gateway.fleet; f != nil {
 		f.news.SendDeaths(*f.others.Load(), []poison.Crash{d})
 	}
 }
 
-// Answered implements proxy.PoisonNews.
-func (n poisonNews) Answered(p poison.Fingerprint) {
+// NotifyAnswer implements proxy.PoisonNotifier.
+func (n poisonNews) NotifyAnswer(p poison.Fingerprint) {
 	if f := n.gateway.fleet; f != nil {
 		f.news.SendAnswered(*f.others.Load(), p)
 	}
@@ -36,7 +36,7 @@
 	if g.fleet == nil {
 		return
 	}
-	deaths := g.proxy.RecentDeaths(now, poison.RebroadcastPeriod)
+	deaths := g.proxy.RecentCrashes(now, poison.RebroadcastPeriod)
 	if len(deaths) == 0 {
 		return
 	}
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -47,12 +47,12 @@
 	}
 }
 
-// lenders implements proxy.Lenders over the hosts' datagrams.
+// lenders implements proxy.SlotBorrower over the hosts' datagrams.
 type lenders struct {
 	gateway *Gateway
 }
 
-// Borrow implements proxy.Lenders.
+// Borrow implements proxy.SlotBorrower.
 func (l lenders) Borrow(ctx context.Context, host int, server ratelimit.Server) bool {
 	f := l.gateway.fleet
 	if f == nil {
--- a/internal/gateway/upstreams.go
+++ b/internal/gateway/upstreams.go
@@ -33,25 +33,25 @@
 	})
 }
 
-// Reached implements proxy.Upstreams.
-func (c *controller) Reached(k lifecycle.UpstreamKey) {
+// ConnectSucceeded implements proxy.Upstreams.
+func (c *controller) ConnectSucceeded(k lifecycle.UpstreamKey) {
 	c.gateway.loop.Post(func() {
 		c.registry.ConnectSucceeded(clock.Now(), k)
 		c.publish(false)
 	})
 }
 
-// Rests implements proxy.Upstreams.
-func (c *controller) Rests(u *balancer.Upstream, until time.Time) {
+// BackingOff implements proxy.Upstreams.
+func (c *controller) BackingOff(u *balancer.Upstream, until time.Time) {
 	c.gateway.loop.Post(func() { c.pools.rests.Extend(restKey(u.ID, u.Activation), until) })
 }
 
-// LimitHeard implements proxy.Upstreams.
-func (c *controller) LimitHeard(u *balancer.Upstream) { c.gateway.tellLimit(u.Limit) }
+// LimitChanged implements proxy.Upstreams.
+func (c *controller) LimitChanged(u *balancer.Upstream) { c.gateway.tellLimit(u.Limit) }
 
 // Reported implements proxy.Upstreams.
 func (c *controller) Reported(string, time.Time) {}
 
-// Waking implements proxy.Upstreams. What a paused process missed it learns
+// Resuming implements proxy.Upstreams. What a paused process missed it learns
 // from the store, which it follows by itself.
-func (c *controller) Waking() bool { return false }
+func (c *controller) Resuming() bool { return false }
--- a/internal/limitsync/limitsync.go
+++ b/internal/limitsync/limitsync.go
@@ -108,7 +108,7 @@
 	return new(limitsv1.TellResponse), nil
 }
 
-// Borrow implements proxy.Lenders. A host that does not answer lends nothing.
+// Borrow implements proxy.SlotBorrower. A host that does not answer lends nothing.
 func (t *Broadcaster) Borrow(ctx context.Context, host int, server ratelimit.Server) bool {
 	inTurn := t.conf.SlotOrder()
 	if host >= len(inTurn) || inTurn[host] == "" {
--- a/internal/poisonsync/poisonsync.go
+++ b/internal/poisonsync/poisonsync.go
@@ -42,7 +42,7 @@
 	OnUpdate func(died []poison.Crash, answered []poison.Fingerprint)
 }
 
-// Broadcaster implements proxy.PoisonNews.
+// Broadcaster implements proxy.PoisonNotifier.
 type Broadcaster struct {
 	poisonv1.UnimplementedPoisonServer
 	conf Config
@@ -56,13 +56,13 @@
 	return t
 }
 
-// Died implements proxy.PoisonNews.
-func (t *Broadcaster) Died(d poison.Crash) {
+// NotifyCrash implements proxy.PoisonNotifier.
+func (t *Broadcaster) NotifyCrash(d poison.Crash) {
 	t.tell(t.conf.Peers(), &poisonv1.TellRequest{Died: encodeDeaths(clock.Now(), []poison.Crash{d})})
 }
 
-// Answered implements proxy.PoisonNews.
-func (t *Broadcaster) Answered(f poison.Fingerprint) {
+// NotifyAnswer implements proxy.PoisonNotifier.
+func (t *Broadcaster) NotifyAnswer(f poison.Fingerprint) {
 	t.tell(t.conf.Peers(), &poisonv1.TellRequest{Answered: []*poisonv1.Fingerprint{encodeFingerprint(f)}})
 }
 
--- a/internal/poisonsync/poisonsync_test.go
+++ b/internal/poisonsync/poisonsync_test.go
@@ -69,9 +69,9 @@
 		is.Equal([]uint64{d.Upstream, d.Host}, []uint64{want.Upstream, want.Host})
 		is.Equal(d.EndedAt.Sub(d.SentAt), time.Second)
 	}
-	teller.Died(want)
+	teller.NotifyCrash(want)
 	check(<-messages)
-	teller.Answered(want.Request)
+	teller.NotifyAnswer(want.Request)
 	is.Equal((<-messages).answered, []poison.Fingerprint{want.Request})
 	go loop.Run(t.Context())
 	check(<-messages)
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -16,7 +16,7 @@
 // answer passes an upstream's answer on. Where the upstream is itself an entry
 // host, its own word on the outcome stands.
 func (x *exchange) answer(r result) *httpwire.Response {
-	if x.proxy.dialect.Annotates {
+	if x.proxy.dialect.SendsOwnHeaders {
 		x.annotate(r)
 	}
 	x.emit(event.Event{Code: event.RequestAnswered, Upstream: r.binding.upstream.ID, Attempt: r.binding.number, Value: int64(r.resp.Status)})
@@ -64,7 +64,7 @@
 		"Content-Type":            {"text/plain; charset=utf-8"},
 		x.proxy.dialect.RequestID: {x.id},
 	}
-	if x.proxy.dialect.Annotates {
+	if x.proxy.dialect.SendsOwnHeaders {
 		x.annotateRefusal(h, answer)
 	}
 	if answer.RetryAfter {
--- a/internal/proxy/ask.go
+++ b/internal/proxy/ask.go
@@ -11,13 +11,13 @@
 
 // LoadQuerier asks upstreams for their load.
 type LoadQuerier interface {
-	// Ask asks all of them at once, at the path, and returns when each has
+	// Query asks all of them at once, at the path, and returns when each has
 	// answered or was given up. What they said is in their records then.
-	Ask(ctx context.Context, group *routing.Group, upstreams []*balancer.Upstream)
+	Query(ctx context.Context, group *routing.Group, upstreams []*balancer.Upstream)
 }
 
-// WithAsker asks upstreams through a for policies that choose on fresh reports.
-func WithAsker(a LoadQuerier) Option { return func(p *Proxy) { p.asker = a } }
+// WithLoadQuerier asks upstreams through a for policies that choose on fresh reports.
+func WithLoadQuerier(a LoadQuerier) Option { return func(p *Proxy) { p.asker = a } }
 
 // ask lets a policy learn what it needs for the choice that comes next.
 func (x *exchange) ask(ctx context.Context, group *routing.Group, info *balancer.PickInfo) {
@@ -31,7 +31,7 @@
 		if len(list) == 0 {
 			return
 		}
-		x.proxy.asker.Ask(ctx, group, list)
+		x.proxy.asker.Query(ctx, group, list)
 		info.Now = clock.Now()
 	}
 }
--- a/internal/proxy/ask_test.go
+++ b/internal/proxy/ask_test.go
@@ -37,7 +37,7 @@
 
 type askerFunc func([]*balancer.Upstream)
 
-func (f askerFunc) Ask(_ context.Context, _ *routing.Group, list []*balancer.Upstream) { f(list) }
+func (f askerFunc) Query(_ context.Context, _ *routing.Group, list []*balancer.Upstream) { f(list) }
 
 // TestQuestionsAreBounded asks for ever, and is cut at what requests allow.
 func TestQuestionsAreBounded(t *testing.T) {
@@ -50,7 +50,7 @@
 		return &httpwire.Response{Status: 200, Header: http.Header{testSignature: {"s"}}}, nil
 	})
 	p := New("127.0.0.1", "test", sender, event.Discard{}, WithRandom(seeded(1)), WithDialect(testDialect()),
-		WithAsker(askerFunc(func(list []*balancer.Upstream) { asked += len(list) })))
+		WithLoadQuerier(askerFunc(func(list []*balancer.Upstream) { asked += len(list) })))
 	p.SetTable(routing.Compile(1, []*config.Service{s}, groupsFunc(func(_ *config.Service, g *config.Group) *routing.Group {
 		return &routing.Group{Config: g, Picker: picker}
 	})))
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -30,11 +30,11 @@
 	// Key is the header with a customer's key, of which upstreams are told nothing, and
 	// Customer the one that tells them the customer's name. Empty reads no keys.
 	Key, Customer string
-	// Echoes states that upstreams return the request id in their answers.
-	Echoes bool
-	// Annotates states that the product's own headers are sent: what the caller
+	// EchoesRequestID states that upstreams return the request id in their answers.
+	EchoesRequestID bool
+	// SendsOwnHeaders states that the product's own headers are sent: what the caller
 	// learns of the outcome, and what the layers below learn of the way.
-	Annotates bool
+	SendsOwnHeaders bool
 	// FractionalRetryAfter writes Retry-After with fractions of a second.
 	FractionalRetryAfter bool
 	// Load reads the load report of an answer.
@@ -49,32 +49,32 @@
 	// Instance reads which upstream answered a question about its load; empty if it does
 	// not say. Nil reads nothing.
 	Instance func(http.Header) string
-	// Rest reads for how long an upstream that turned a request away wants nothing more
+	// Backoff reads for how long an upstream that turned a request away wants nothing more
 	// from this host; 0 if it does not say, an error if its word can't be read. Nil reads
 	// nothing.
-	Rest func(status int, h http.Header) (time.Duration, error)
+	Backoff func(status int, h http.Header) (time.Duration, error)
 	// Limit reads what an answer says of the requests a second that the upstream takes from
 	// all hosts together; an error if its word can't be read. Nil reads nothing.
 	Limit func(status int, h http.Header) (ratelimit.Limit, error)
 }
 
-// OwnDialect is the product's own: docs/OVERLOAD.md.
-func OwnDialect() *Dialect {
+// DefaultDialect is the product's own: docs/OVERLOAD.md.
+func DefaultDialect() *Dialect {
 	return &Dialect{
-		RequestID: HeaderRequestID,
-		Timeout:   HeaderTimeout,
-		Annotates: true,
-		Key:       HeaderKey,
-		Customer:  HeaderCustomer,
-		Load:      ownLoad,
+		RequestID:       HeaderRequestID,
+		Timeout:         HeaderTimeout,
+		SendsOwnHeaders: true,
+		Key:             HeaderKey,
+		Customer:        HeaderCustomer,
+		Load:            ownLoad,
 		NotRun: func(status int, h http.Header) bool {
 			return status == http.StatusServiceUnavailable && h.Get(HeaderNotRun) == flagSet
 		},
 		Leaving: func(_ int, h http.Header) bool {
 			return lifecycle.ParseLeaving(h.Get(lifecycle.HeaderLeaving))
 		},
-		Rest:  ownRest,
-		Limit: ownLimit,
+		Backoff: ownRest,
+		Limit:   ownLimit,
 	}
 }
 
@@ -114,10 +114,10 @@
 	return false
 }
 
-// Mine reports whether an answer belongs to a request: a connection may carry
+// Matches reports whether an answer belongs to a request: a connection may carry
 // a late second answer to the request before.
-func (d *Dialect) Mine(req *httpwire.Request, h http.Header) bool {
-	if !d.Echoes {
+func (d *Dialect) Matches(req *httpwire.Request, h http.Header) bool {
+	if !d.EchoesRequestID {
 		return true
 	}
 	echo := h.Get(d.RequestID)
--- a/internal/proxy/dialect_test.go
+++ b/internal/proxy/dialect_test.go
@@ -32,7 +32,7 @@
 func testDialect() *Dialect {
 	return &Dialect{
 		RequestID: testID, Timeout: testTimeout, Expect: testExpect, Signature: testSignature,
-		Echoes: true, FractionalRetryAfter: true,
+		EchoesRequestID: true, FractionalRetryAfter: true,
 		Load:   func(http.Header) balancer.Report { return balancer.Report{} },
 		NotRun: func(status int, h http.Header) bool { return h.Get(testNotRun) != "" || status == 421 },
 	}
@@ -156,10 +156,10 @@
 	is := is.New(t)
 	d := testDialect()
 	req := dialectRequest("GET")
-	is.True(d.Mine(req, http.Header{testID: {"id-1"}}))
-	is.True(d.Mine(req, http.Header{})) // its connection says whose it is
-	is.True(!d.Mine(req, http.Header{testID: {"id-0"}}))
-	is.True(OwnDialect().Mine(req, http.Header{HeaderRequestID: {"id-0"}}))
+	is.True(d.Matches(req, http.Header{testID: {"id-1"}}))
+	is.True(d.Matches(req, http.Header{})) // its connection says whose it is
+	is.True(!d.Matches(req, http.Header{testID: {"id-0"}}))
+	is.True(DefaultDialect().Matches(req, http.Header{HeaderRequestID: {"id-0"}}))
 }
 
 // TestSplitKeepsItsWeights: over any stretch each group is within one request
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -39,7 +39,7 @@
 
 	triedFirst [typicalTries]*balancer.Upstream // memory of tried
 
-	trail trail // used with Trails
+	trail trail // used with RequestLogger
 
 	sendMu sync.Mutex
 	lent   bool   // req was given to a send
@@ -51,7 +51,7 @@
 
 // admit finds the rule of the request. A process that was paused learns first.
 func (x *exchange) admit() *errkind.Error {
-	if u := x.proxy.upstreams; u != nil && u.Waking() {
+	if u := x.proxy.upstreams; u != nil && u.Resuming() {
 		return errkind.New(errkind.NotReady, wakingDetail)
 	}
 	s := x.proxy.state.Load()
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -70,7 +70,7 @@
 // request belongs to the proxy, so that its map is used.
 func (x *exchange) prepareHeader() {
 	httpwire.RemoveHopByHop(x.req.Header)
-	if !x.proxy.dialect.Annotates {
+	if !x.proxy.dialect.SendsOwnHeaders {
 		return
 	}
 	x.isRetry = arrivedAsRetry(x.req.Header)
@@ -111,7 +111,7 @@
 	req.Once = !x.repeatable()
 	d := x.proxy.dialect
 	req.Header[d.Timeout] = x.values.one(x.timeoutValue())
-	if d.Annotates {
+	if d.SendsOwnHeaders {
 		req.Header[HeaderAttempt] = x.values.one(x.attemptValue(b.number))
 	}
 	if d.Expect != "" {
--- a/internal/proxy/limiting_test.go
+++ b/internal/proxy/limiting_test.go
@@ -129,14 +129,14 @@
 }
 
 func (h *limitHost) Snapshot() *lifecycle.Snapshot { return h.snapshot }
-func (h *limitHost) Waking() bool                  { return false }
+func (h *limitHost) Resuming() bool                { return false }
 func (h *limitHost) Reported(string, time.Time)    {}
 
 // newsTakes is the way of news between hosts.
 const newsTakes = 2 * time.Millisecond
 
-// LimitHeard tells the other hosts.
-func (h *limitHost) LimitHeard(u *balancer.Upstream) {
+// LimitChanged tells the other hosts.
+func (h *limitHost) LimitChanged(u *balancer.Upstream) {
 	news, known := u.Limit.Update(clock.Now())
 	if !known || h.deaf {
 		return
@@ -148,7 +148,7 @@
 	}
 }
 
-// Borrow implements Lenders.
+// Borrow implements SlotBorrower.
 func (h *limitHost) Borrow(_ context.Context, host int, server ratelimit.Server) bool {
 	time.Sleep(newsTakes)
 	lender := h.fleet.hosts[host]
--- a/internal/proxy/poison.go
+++ b/internal/proxy/poison.go
@@ -25,23 +25,23 @@
 	RefusesConnections(ctx context.Context, address string) bool
 }
 
-// PoisonNews tells the other entry hosts what this one saw. Its methods are called on
+// PoisonNotifier tells the other entry hosts what this one saw. Its methods are called on
 // goroutines of their own.
-type PoisonNews interface {
-	// Died tells of an end of an upstream.
-	Died(d poison.Crash)
-	// Answered tells that a request under which upstreams ended was answered.
-	Answered(f poison.Fingerprint)
+type PoisonNotifier interface {
+	// NotifyCrash tells of an end of an upstream.
+	NotifyCrash(d poison.Crash)
+	// NotifyAnswer tells that a request under which upstreams ended was answered.
+	NotifyAnswer(f poison.Fingerprint)
 }
 
 // WithPoisonNews tells the other hosts through n.
-func WithPoisonNews(n PoisonNews) Option { return func(p *Proxy) { p.poison.news = n } }
+func WithPoisonNews(n PoisonNotifier) Option { return func(p *Proxy) { p.poison.news = n } }
 
 // poisoned is what a proxy knows of requests under which upstreams end.
 type poisoned struct {
 	table     *poison.Table
-	news      PoisonNews   // nil for a host that has no others
-	examining atomic.Int64 // upstreams that are being looked at
+	news      PoisonNotifier // nil for a host that has no others
+	examining atomic.Int64   // upstreams that are being looked at
 }
 
 const (
@@ -62,9 +62,9 @@
 	quarantineHeard = "heard-of"
 )
 
-// Heard takes in what another host tells of ends of upstreams, and of requests that were
+// ApplyPeerCrashes takes in what another host tells of ends of upstreams, and of requests that were
 // answered. It may be called on any goroutine.
-func (p *Proxy) Heard(died []poison.Crash, answered []poison.Fingerprint) {
+func (p *Proxy) ApplyPeerCrashes(died []poison.Crash, answered []poison.Fingerprint) {
 	now := clock.Now()
 	for _, d := range died {
 		p.died(now, d, quarantineHeard)
@@ -76,8 +76,8 @@
 	}
 }
 
-// RecentDeaths returns what a host that missed it should hear of.
-func (p *Proxy) RecentDeaths(now time.Time, within time.Duration) []poison.Crash {
+// RecentCrashes returns what a host that missed it should hear of.
+func (p *Proxy) RecentCrashes(now time.Time, within time.Duration) []poison.Crash {
 	return p.poison.table.RecentCrashes(now, within)
 }
 
@@ -120,7 +120,7 @@
 		ended := x.upstreamEnded(b, d)
 		close(known)
 		if ended && p.poison.news != nil {
-			p.poison.news.Died(d)
+			p.poison.news.NotifyCrash(d)
 		}
 	}()
 	select {
@@ -190,6 +190,6 @@
 		x.proxy.quarantineEnded(f)
 	}
 	if tell && x.proxy.poison.news != nil {
-		go x.proxy.poison.news.Answered(f)
+		go x.proxy.poison.news.NotifyAnswer(f)
 	}
 }
--- a/internal/proxy/poison_test.go
+++ b/internal/proxy/poison_test.go
@@ -89,7 +89,7 @@
 				req := request("GET")
 				if ended {
 					f := poison.FingerprintOf("GET", "test", req.Target, nil, "10.0.0.9")
-					p.Heard([]poison.Crash{{Request: f, Upstream: 1, SentAt: req.Received, EndedAt: req.Received}}, nil)
+					p.ApplyPeerCrashes([]poison.Crash{{Request: f, Upstream: 1, SentAt: req.Received, EndedAt: req.Received}}, nil)
 				}
 				is.Equal(p.Serve(t.Context(), req).Status, http.StatusOK)
 				is.Equal(rec.count(event.HedgeSent) > 0, !ended)
@@ -157,12 +157,12 @@
 	}
 }
 
-func (o *others) Died(d poison.Crash) {
-	o.each(func(p *Proxy) { p.Heard([]poison.Crash{d}, nil) })
+func (o *others) NotifyCrash(d poison.Crash) {
+	o.each(func(p *Proxy) { p.ApplyPeerCrashes([]poison.Crash{d}, nil) })
 }
 
-func (o *others) Answered(f poison.Fingerprint) {
-	o.each(func(p *Proxy) { p.Heard(nil, []poison.Fingerprint{f}) })
+func (o *others) NotifyAnswer(f poison.Fingerprint) {
+	o.each(func(p *Proxy) { p.ApplyPeerCrashes(nil, []poison.Fingerprint{f}) })
 }
 
 // from is a look-up of a target by a caller.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -42,8 +42,8 @@
 	events    event.Sink
 	dialect   *Dialect
 	asker     LoadQuerier
-	lenders   Lenders
-	trails    Trails
+	lenders   SlotBorrower
+	trails    RequestLogger
 	tracer    *tracing.Tracer
 	upstreams Upstreams
 	quotas    Quotas      // nil keeps to none
@@ -83,9 +83,9 @@
 	p.sharedBudget = func() *retry.Budget { return retry.NewBudgetWithReserve(percent, reserve) }
 }
 
-// WithStartHold lets requests that come before the first configuration wait for it,
+// WithStartupQueue lets requests that come before the first configuration wait for it,
 // for a moment after New.
-func WithStartHold() Option { return func(p *Proxy) { p.starting = newStarting(true) } }
+func WithStartupQueue() Option { return func(p *Proxy) { p.starting = newStarting(true) } }
 
 // WithRandom takes random numbers from f, which must be safe for concurrent use.
 func WithRandom(f func() uint64) Option { return func(p *Proxy) { p.random = f } }
@@ -99,7 +99,7 @@
 		sender:     sender,
 		executor:   sendOnce{},
 		events:     events,
-		dialect:    OwnDialect(),
+		dialect:    DefaultDialect(),
 		random:     rand.Uint64,
 		poison:     poisoned{table: poison.NewTable()},
 		entryHosts: 1,
--- a/internal/proxy/ratelimit.go
+++ b/internal/proxy/ratelimit.go
@@ -20,10 +20,10 @@
 // what it sends itself: each has its turns, and a turn that is not there closes the upstream
 // to every kind of send.
 
-// HearLimit takes in what an answer that came now says of the limit of its upstream; the
+// ObserveLimit takes in what an answer that came now says of the limit of its upstream; the
 // request, or the probe, was sent at a time. It returns an event if that is news, or can't
 // be read.
-func (d *Dialect) HearLimit(u *balancer.Upstream, now, sent time.Time, resp *httpwire.Response, from ratelimit.Source) (event.Event, bool) {
+func (d *Dialect) ObserveLimit(u *balancer.Upstream, now, sent time.Time, resp *httpwire.Response, from ratelimit.Source) (event.Event, bool) {
 	if d.Limit == nil {
 		return event.Event{}, false
 	}
@@ -48,7 +48,7 @@
 	if resp == nil {
 		return
 	}
-	e, news := x.proxy.dialect.HearLimit(b.upstream, clock.Now(), sent, resp, ratelimit.Answer)
+	e, news := x.proxy.dialect.ObserveLimit(b.upstream, clock.Now(), sent, resp, ratelimit.Answer)
 	if !news {
 		return
 	}
@@ -57,7 +57,7 @@
 	e.At, e.EntryHost, e.Service = time.Now(), x.proxy.host, x.rule.Service.Name
 	x.proxy.events.Emit(e)
 	if x.proxy.upstreams != nil && e.Code != event.LimitUnreadable {
-		x.proxy.upstreams.LimitHeard(b.upstream)
+		x.proxy.upstreams.LimitChanged(b.upstream)
 	}
 }
 
@@ -76,15 +76,15 @@
 	return balancer.Result{}, false
 }
 
-// Lenders asks other hosts for their turns at upstreams.
-type Lenders interface {
+// SlotBorrower asks other hosts for their turns at upstreams.
+type SlotBorrower interface {
 	// Borrow asks a host, by its number in the order of turns, for a turn at an upstream. It
 	// reports whether the host has lent one, and returns within some tens of milliseconds.
 	Borrow(ctx context.Context, host int, server ratelimit.Server) bool
 }
 
 // WithLenders borrows turns through l where no upstream is open to this host.
-func WithLenders(l Lenders) Option { return func(p *Proxy) { p.lenders = l } }
+func WithLenders(l SlotBorrower) Option { return func(p *Proxy) { p.lenders = l } }
 
 // maxLenders is how many hosts are asked for a turn for one request. Where callers ask for
 // twice as much as all upstreams of a service take, two find 0.95 to 1.00 of what they take,
--- a/internal/proxy/rest.go
+++ b/internal/proxy/rest.go
@@ -25,7 +25,7 @@
 
 // rested takes in what an answer says of rest.
 func (x *exchange) rested(b binding, resp *httpwire.Response) {
-	read := x.proxy.dialect.Rest
+	read := x.proxy.dialect.Backoff
 	if resp == nil || read == nil {
 		return
 	}
@@ -35,7 +35,7 @@
 		x.emit(event.Event{Code: event.RestAsked, Upstream: b.upstream.ID, Attempt: b.number, Value: d.Milliseconds()})
 		until := b.upstream.Backoff.Begin(now, d, x.proxy.random())
 		if x.proxy.upstreams != nil {
-			x.proxy.upstreams.Rests(b.upstream, until)
+			x.proxy.upstreams.BackingOff(b.upstream, until)
 		}
 		return
 	}
--- a/internal/proxy/starting_test.go
+++ b/internal/proxy/starting_test.go
@@ -24,7 +24,7 @@
 	sender := senderFunc(func(context.Context, string, *httpwire.Request) (*httpwire.Response, *errkind.Error) {
 		return ok(), nil
 	})
-	return New("127.0.0.1", "test", sender, &recorder{}, WithRandom(seeded(1)), WithStartHold())
+	return New("127.0.0.1", "test", sender, &recorder{}, WithRandom(seeded(1)), WithStartupQueue())
 }
 
 // TestCrowdAtAStartingHost: callers come back to all hosts of a fleet at the moment
--- a/internal/proxy/trail.go
+++ b/internal/proxy/trail.go
@@ -9,8 +9,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// Trails receives all events of a request at its end.
-type Trails interface {
+// RequestLogger receives all events of a request at its end.
+type RequestLogger interface {
 	// Ended is called once for each request. Notable says that it failed, was
 	// sent more than once, or was answered after its target. Trail must not be
 	// kept.
@@ -18,7 +18,7 @@
 }
 
 // WithTrails hands the events of each request to t when it has ended.
-func WithTrails(t Trails) Option { return func(p *Proxy) { p.trails = t } }
+func WithTrails(t RequestLogger) Option { return func(p *Proxy) { p.trails = t } }
 
 // trail gathers the events of one request. Sends of a hedged request run at
 // the same time.
--- a/internal/proxy/turning_test.go
+++ b/internal/proxy/turning_test.go
@@ -135,12 +135,12 @@
 	rests []string
 }
 
-func (n *restNews) Snapshot() *lifecycle.Snapshot               { return takesAll(2) }
-func (n *restNews) Waking() bool                                { return false }
-func (n *restNews) Reported(string, time.Time)                  {}
-func (n *restNews) Leaving(k lifecycle.UpstreamKey, _ uint64)   { n.left = append(n.left, k) }
-func (n *restNews) LimitHeard(*balancer.Upstream)               {}
-func (n *restNews) Rests(u *balancer.Upstream, until time.Time) { n.rests = append(n.rests, u.ID) }
+func (n *restNews) Snapshot() *lifecycle.Snapshot                    { return takesAll(2) }
+func (n *restNews) Resuming() bool                                   { return false }
+func (n *restNews) Reported(string, time.Time)                       {}
+func (n *restNews) Leaving(k lifecycle.UpstreamKey, _ uint64)        { n.left = append(n.left, k) }
+func (n *restNews) LimitChanged(*balancer.Upstream)                  {}
+func (n *restNews) BackingOff(u *balancer.Upstream, until time.Time) { n.rests = append(n.rests, u.ID) }
 
 // takesAll is a lifecycle in which the upstreams of service take requests.
 func takesAll(upstreams int) *lifecycle.Snapshot {
--- a/internal/proxy/upstreams.go
+++ b/internal/proxy/upstreams.go
@@ -22,19 +22,19 @@
 	Leaving(k lifecycle.UpstreamKey, activation uint64)
 	// ConnectFailed takes in a connection that could not be made.
 	ConnectFailed(k lifecycle.UpstreamKey)
-	// Reached takes in an answer of an upstream that counted as unreachable.
-	Reached(k lifecycle.UpstreamKey)
-	// Rests takes in that an upstream wants nothing from this host until a time.
-	Rests(u *balancer.Upstream, until time.Time)
-	// LimitHeard takes in that an answer to this host has changed what is known of the limit
+	// ConnectSucceeded takes in an answer of an upstream that counted as unreachable.
+	ConnectSucceeded(k lifecycle.UpstreamKey)
+	// BackingOff takes in that an upstream wants nothing from this host until a time.
+	BackingOff(u *balancer.Upstream, until time.Time)
+	// LimitChanged takes in that an answer to this host has changed what is known of the limit
 	// of an upstream.
-	LimitHeard(u *balancer.Upstream)
+	LimitChanged(u *balancer.Upstream)
 	// Reported takes in that an answer of the server at an address carried a
 	// load report.
 	Reported(address string, now time.Time)
-	// Waking reports whether this process was paused and has not yet caught up
+	// Resuming reports whether this process was paused and has not yet caught up
 	// with its peers.
-	Waking() bool
+	Resuming() bool
 }
 
 const wakingDetail = "waking from a pause"
@@ -53,7 +53,7 @@
 	if u == nil {
 		return nil
 	}
-	if u.Waking() {
+	if u.Resuming() {
 		return errkind.New(errkind.NotReady, wakingDetail)
 	}
 	switch u.Snapshot().CheckSend(x.upstreamKey(b), b.lifecycle) {
@@ -81,7 +81,7 @@
 		return
 	}
 	if b.view.Unreachable {
-		u.Reached(key)
+		u.ConnectSucceeded(key)
 	}
 	if leaving := x.proxy.dialect.Leaving; leaving != nil && leaving(resp.Status, resp.Header) {
 		u.Leaving(key, b.view.Activation)
