--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -64,7 +64,7 @@
 	s.rests.Extend(address, until)
 	for _, st := range s.groups {
 		for _, u := range st.upstreams {
-			if upstream.HostOf(u.Address) == address {
+			if upstream.TargetAddress(u.Address) == address {
 				u.Backoff.Extend(until)
 			}
 		}
@@ -182,8 +182,8 @@
 		u := st.upstreams[cu.ID]
 		if u == nil || u.Address != upstream.Target(cu.Address, g.TLS) {
 			u = newUpstream(cu, g.TLS)
-			u.Backoff.Extend(s.rests.Until(upstream.HostOf(u.Address)))
-			u.Limit = s.limits.Acquire(upstream.HostOf(u.Address), 0)
+			u.Backoff.Extend(s.rests.Until(upstream.TargetAddress(u.Address)))
+			u.Limit = s.limits.Acquire(upstream.TargetAddress(u.Address), 0)
 			if joined {
 				u.Added = now
 			}
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -45,7 +45,7 @@
 
 // BackingOff implements proxy.Upstreams. The server may stand in several groups, and is probed.
 func (c *controller) BackingOff(u *balancer.Upstream, until time.Time) {
-	address := upstream.HostOf(u.Address)
+	address := upstream.TargetAddress(u.Address)
 	c.entry.prober.SetBackoff(address, until)
 	c.rested(address, until)
 }
@@ -60,7 +60,7 @@
 
 // Reported implements proxy.Upstreams.
 func (c *controller) Reported(address string, now time.Time) {
-	c.entry.prober.RecordReport(upstream.HostOf(address), now)
+	c.entry.prober.RecordReport(upstream.TargetAddress(address), now)
 }
 
 // Resuming implements proxy.Upstreams. It notices a pause before the control
--- a/internal/gateway/asker.go
+++ b/internal/gateway/asker.go
@@ -121,7 +121,7 @@
 		Method: http.MethodGet,
 		Target: group.Config.HealthPath,
 		Path:   group.Config.HealthPath,
-		Host:   upstream.HostOf(u.Address),
+		Host:   upstream.TargetAddress(u.Address),
 		Header: http.Header{},
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -161,7 +161,7 @@
 		IdleTimeout:      upstreamIdle,
 		MaxConnections:   connectionsPerUpstream,
 		MaxResponseBytes: maxAnswerBytes,
-		Mine:             dialect.Matches,
+		Matches:          dialect.Matches,
 	})
 	g.proxy = proxy.New(g.conf.Host, strconv.FormatInt(time.Now().UnixNano(), 36), g.client, g.sink,
 		proxy.WithDialect(dialect),
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -237,7 +237,7 @@
 		Method: http.MethodGet,
 		Target: p.conf.Path,
 		Path:   p.conf.Path,
-		Host:   upstream.HostOf(t.Address),
+		Host:   upstream.TargetAddress(t.Address),
 		Header: http.Header{"User-Agent": {"dapplespindle-probe"}},
 	}
 }
--- a/internal/upstream/answers_test.go
+++ b/internal/upstream/answers_test.go
@@ -47,7 +47,7 @@
 // before; the connection is not used again.
 func TestLateAnswerIsDropped(t *testing.T) {
 	is := is.New(t)
-	client := startClient(t, Config{Mine: func(req *httpwire.Request, h http.Header) bool {
+	client := startClient(t, Config{Matches: func(req *httpwire.Request, h http.Header) bool {
 		return h.Get("Echo") == req.Header.Get("Id")
 	}})
 	var connections atomic.Int64
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -46,9 +46,9 @@
 	// MaxConnections bounds the connections to one upstream, unless SetLimits
 	// gives another bound for it.
 	MaxConnections int
-	// Mine reports whether an answer belongs to a request; one that does not is
+	// Matches reports whether an answer belongs to a request; one that does not is
 	// dropped and the next one is awaited. Nil takes every answer.
-	Mine func(req *httpwire.Request, h http.Header) bool
+	Matches func(req *httpwire.Request, h http.Header) bool
 	// MaxHeadBytes bounds the head of an answer, in bytes.
 	MaxHeadBytes int
 	// MaxResponseBytes bounds the body of an answer, in bytes.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,7 +13,7 @@
 type pool struct {
 	address string
 	target  target
-	// mine is Config.Mine.
+	// mine is Config.Matches.
 	mine func(*httpwire.Request, http.Header) bool
 
 	mu sync.Mutex
@@ -118,7 +118,7 @@
 	if p := c.pools[address]; p != nil {
 		return p
 	}
-	p := &pool{address: address, target: parseTarget(address), maxIdle: c.conf.IdlePerUpstream, mine: c.conf.Mine, limit: c.limit(address)}
+	p := &pool{address: address, target: parseTarget(address), maxIdle: c.conf.IdlePerUpstream, mine: c.conf.Matches, limit: c.limit(address)}
 	c.pools[address] = p
 	return p
 }
--- a/internal/upstream/tls.go
+++ b/internal/upstream/tls.go
@@ -39,8 +39,8 @@
 	return tlsPrefix + t.ServerName + nameSeparator + address
 }
 
-// HostOf returns the IP:port of a target.
-func HostOf(s string) string { return parseTarget(s).address }
+// TargetAddress returns the IP:port of a target.
+func TargetAddress(s string) string { return parseTarget(s).address }
 
 func parseTarget(s string) target {
 	if rest, ok := strings.CutPrefix(s, idPrefix); ok {
