--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -130,7 +130,7 @@
 	if limit := u.statedLimit.Load(); limit != nil {
 		w.Header().Set(HeaderLimit, *limit)
 	}
-	if r.Header.Get(HeaderAnswerBytes) != "" {
+	if r.Header.Get(HeaderResponseBytes) != "" {
 		writeContent(w, r, body)
 		return
 	}
--- a/test/e2e/answers_test.go
+++ b/test/e2e/answers_test.go
@@ -45,15 +45,15 @@
 // exchange sends one request with bodies both ways and judges the answer.
 func (a *answers) exchange(client *http.Client, f *fleet, rng *rand.Rand, id string) {
 	e := f.entries[rng.IntN(len(f.entries))]
-	sent := standin.Content(id+" request", bodySize(rng)/4)
-	want := standin.Content(id, bodySize(rng))
+	sent := standin.ResponseContent(id+" request", bodySize(rng)/4)
+	want := standin.ResponseContent(id, bodySize(rng))
 	req, err := http.NewRequest(http.MethodPut, "http://"+e.caller+"/ledger/"+id, bytes.NewReader(sent))
 	if err != nil {
 		a.add(func() { a.wrong = append(a.wrong, err.Error()) })
 		return
 	}
 	req.Header.Set("X-Request-Id", id)
-	req.Header.Set(standin.HeaderAnswerBytes, strconv.Itoa(len(want)))
+	req.Header.Set(standin.HeaderResponseBytes, strconv.Itoa(len(want)))
 	resp, err := client.Do(req)
 	if err != nil {
 		a.add(func() { a.cut++ })
@@ -69,7 +69,7 @@
 			a.refused++
 		case resp.StatusCode != http.StatusOK || !bytes.Equal(got, want):
 			a.wrong = append(a.wrong, fmt.Sprintf("%s through %s: %s, %d bytes of %d are not its own", id, e.caller, resp.Status, len(got), len(want)))
-		case resp.Header.Get(standin.HeaderBodySum) != standin.BodySum(sent):
+		case resp.Header.Get(standin.HeaderBodyDigest) != standin.BodyDigest(sent):
 			a.wrong = append(a.wrong, fmt.Sprintf("%s through %s: the upstream ran another body", id, e.caller))
 		default:
 			a.whole++
