--- a/internal/proxy/ask.go
+++ b/internal/proxy/ask.go
@@ -13,11 +13,11 @@
 type LoadQuerier interface {
 	// Query queries all upstreams concurrently, at the group's health path. It returns when
 	// each has responded or timed out; their records then hold the reported loads.
-	Ask(ctx context.Context, group *routing.Group, upstreams []*balancer.Upstream)
+	Query(ctx context.Context, group *routing.Group, upstreams []*balancer.Upstream)
 }
 
 // WithLoadQuerier sets the querier for policies that pick by fresh load reports.
-func WithAsker(a LoadQuerier) Option { return func(p *Proxy) { p.loadQuerier = a } }
+func WithLoadQuerier(a LoadQuerier) Option { return func(p *Proxy) { p.loadQuerier = a } }
 
 // queryLoad queries the upstreams whose load the policy needs for the next pick.
 func (x *exchange) queryLoad(ctx context.Context, group *routing.Group, info *balancer.PickInfo) {
@@ -31,7 +31,7 @@
 		if len(list) == 0 {
 			return
 		}
-		x.proxy.loadQuerier.Ask(ctx, group, list)
+		x.proxy.loadQuerier.Query(ctx, group, list)
 		info.Now = clock.Now()
 	}
 }
--- a/internal/proxy/ask_test.go
+++ b/internal/proxy/ask_test.go
@@ -37,7 +37,7 @@
 
 type querierFunc func([]*balancer.Upstream)
 
-func (f querierFunc) Ask(_ context.Context, _ *routing.Group, list []*balancer.Upstream) { f(list) }
+func (f querierFunc) Query(_ context.Context, _ *routing.Group, list []*balancer.Upstream) { f(list) }
 
 // TestQuestionsAreBounded uses a policy that requests load queries without end. The queries
 // that are sent must not exceed the budget.
@@ -51,7 +51,7 @@
 		return &httpwire.Response{Status: 200, Header: http.Header{testSignature: {"s"}}}, nil
 	})
 	p := New("127.0.0.1", "test", sender, event.Discard{}, WithRandom(seeded(1)), WithDialect(testDialect()),
-		WithAsker(querierFunc(func(list []*balancer.Upstream) { queries += len(list) })))
+		WithLoadQuerier(querierFunc(func(list []*balancer.Upstream) { queries += len(list) })))
 	p.SetTable(routing.Compile(1, []*config.Service{s}, groupsFunc(func(_ *config.Service, g *config.Group) *routing.Group {
 		return &routing.Group{Config: g, Picker: picker}
 	})))
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -32,10 +32,10 @@
 	// read.
 	Key, Customer string
 	// EchoesRequestID is set if upstreams return the request ID in their responses.
-	Echoes bool
+	EchoesRequestID bool
 	// SendsOwnHeaders is set if the product's own headers are sent: those that tell the
 	// caller the outcome, and those that tell the layers below the request's path.
-	Annotates bool
+	SendsOwnHeaders bool
 	// FractionalRetryAfter is set if Retry-After is written with fractions of a second.
 	FractionalRetryAfter bool
 	// Load parses the load report of a response.
@@ -54,29 +54,29 @@
 	// Backoff parses how long an upstream that rejected a request wants no more requests
 	// from this host; 0 if it does not say, an error if the value is invalid. If nil, nothing
 	// is parsed.
-	Rest func(status int, h http.Header) (time.Duration, error)
+	Backoff func(status int, h http.Header) (time.Duration, error)
 	// Limit parses the number of requests per second that the upstream accepts from all
 	// hosts together; an error if the value is invalid. If nil, nothing is parsed.
 	Limit func(status int, h http.Header) (ratelimit.Limit, error)
 }
 
 // DefaultDialect returns the product's own dialect, described in docs/OVERLOAD.md.
-func OwnDialect() *Dialect {
+func DefaultDialect() *Dialect {
 	return &Dialect{
-		RequestID: HeaderRequestID,
-		Timeout:   HeaderTimeout,
-		Annotates: true,
-		Key:       HeaderKey,
-		Customer:  HeaderCustomer,
-		Load:      defaultLoad,
+		RequestID:       HeaderRequestID,
+		Timeout:         HeaderTimeout,
+		SendsOwnHeaders: true,
+		Key:             HeaderKey,
+		Customer:        HeaderCustomer,
+		Load:            defaultLoad,
 		NotRun: func(status int, h http.Header) bool {
 			return status == http.StatusServiceUnavailable && h.Get(HeaderNotRun) == flagSet
 		},
 		Leaving: func(_ int, h http.Header) bool {
 			return lifecycle.ParseLeaving(h.Get(lifecycle.HeaderLeaving))
 		},
-		Rest:  defaultBackoff,
-		Limit: defaultLimit,
+		Backoff: defaultBackoff,
+		Limit:   defaultLimit,
 	}
 }
 
@@ -118,8 +118,8 @@
 
 // Matches reports whether a response belongs to a request: a connection may carry a late
 // second response to the previous request.
-func (d *Dialect) Mine(req *httpwire.Request, h http.Header) bool {
-	if !d.Echoes {
+func (d *Dialect) Matches(req *httpwire.Request, h http.Header) bool {
+	if !d.EchoesRequestID {
 		return true
 	}
 	echo := h.Get(d.RequestID)
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -52,7 +52,7 @@
 // admit finds the rule of the request. A process that was paused refuses requests until it
 // has caught up with its peers.
 func (x *exchange) admit() *errkind.Error {
-	if u := x.proxy.upstreams; u != nil && u.Waking() {
+	if u := x.proxy.upstreams; u != nil && u.Resuming() {
 		return errkind.New(errkind.NotReady, resumingDetail)
 	}
 	s := x.proxy.state.Load()
--- a/internal/proxy/limiting_test.go
+++ b/internal/proxy/limiting_test.go
@@ -132,14 +132,14 @@
 }
 
 func (h *limitHost) Snapshot() *lifecycle.Snapshot { return h.snapshot }
-func (h *limitHost) Waking() bool                  { return false }
+func (h *limitHost) Resuming() bool                { return false }
 func (h *limitHost) Reported(string, time.Time)    {}
 
 // peerDelay is the one-way delay of messages between hosts.
 const peerDelay = 2 * time.Millisecond
 
 // LimitChanged sends the limit to the other hosts.
-func (h *limitHost) LimitHeard(u *balancer.Upstream) {
+func (h *limitHost) LimitChanged(u *balancer.Upstream) {
 	update, known := u.Limit.Update(clock.Now())
 	if !known || h.isolated {
 		return
--- a/internal/proxy/poison.go
+++ b/internal/proxy/poison.go
@@ -27,21 +27,21 @@
 
 // PoisonNotifier notifies the other entry hosts of crashes and responses that this host
 // observed. Each method call has its own goroutine.
-type PoisonNews interface {
+type PoisonNotifier interface {
 	// NotifyCrash reports a crash of an upstream.
-	Died(d poison.Crash)
+	NotifyCrash(d poison.Crash)
 	// NotifyAnswer reports that a request that had crashed upstreams got a response.
-	Answered(f poison.Fingerprint)
+	NotifyAnswer(f poison.Fingerprint)
 }
 
 // WithPoisonNotifier notifies the other hosts through n.
-func WithPoisonNews(n PoisonNews) Option { return func(p *Proxy) { p.poison.notifier = n } }
+func WithPoisonNews(n PoisonNotifier) Option { return func(p *Proxy) { p.poison.notifier = n } }
 
 // poisonState holds what a proxy knows about requests that crash upstreams.
 type poisonState struct {
 	table       *poison.Table
-	notifier    PoisonNews   // nil if there are no other hosts
-	crashChecks atomic.Int64 // crash checks in progress
+	notifier    PoisonNotifier // nil if there are no other hosts
+	crashChecks atomic.Int64   // crash checks in progress
 }
 
 const (
@@ -65,7 +65,7 @@
 
 // ApplyPeerCrashes applies another host's reports of upstream crashes, and of suspect
 // requests that got a response. It may be called on any goroutine.
-func (p *Proxy) Heard(crashes []poison.Crash, answered []poison.Fingerprint) {
+func (p *Proxy) ApplyPeerCrashes(crashes []poison.Crash, answered []poison.Fingerprint) {
 	now := clock.Now()
 	for _, d := range crashes {
 		p.recordCrash(now, d, quarantineReportedByPeer)
@@ -78,7 +78,7 @@
 }
 
 // RecentCrashes returns the crashes that a host that missed them should be told.
-func (p *Proxy) RecentDeaths(now time.Time, within time.Duration) []poison.Crash {
+func (p *Proxy) RecentCrashes(now time.Time, within time.Duration) []poison.Crash {
 	return p.poison.table.RecentCrashes(now, within)
 }
 
@@ -121,7 +121,7 @@
 		crashed := x.confirmCrash(b, d)
 		close(checked)
 		if crashed && p.poison.notifier != nil {
-			p.poison.notifier.Died(d)
+			p.poison.notifier.NotifyCrash(d)
 		}
 	}()
 	select {
@@ -192,6 +192,6 @@
 		x.proxy.quarantineEnded(f)
 	}
 	if notify && x.proxy.poison.notifier != nil {
-		go x.proxy.poison.notifier.Answered(f)
+		go x.proxy.poison.notifier.NotifyAnswer(f)
 	}
 }
--- a/internal/proxy/poison_test.go
+++ b/internal/proxy/poison_test.go
@@ -89,7 +89,7 @@
 				req := request("GET")
 				if crashed {
 					f := poison.FingerprintOf("GET", "test", req.Target, nil, "10.0.0.9")
-					p.Heard([]poison.Crash{{Request: f, Upstream: 1, SentAt: req.Received, EndedAt: req.Received}}, nil)
+					p.ApplyPeerCrashes([]poison.Crash{{Request: f, Upstream: 1, SentAt: req.Received, EndedAt: req.Received}}, nil)
 				}
 				is.Equal(p.Serve(t.Context(), req).Status, http.StatusOK)
 				is.Equal(rec.count(event.HedgeSent) > 0, !crashed)
@@ -157,12 +157,12 @@
 	}
 }
 
-func (o *peerNotifier) Died(d poison.Crash) {
-	o.eachPeer(func(p *Proxy) { p.Heard([]poison.Crash{d}, nil) })
+func (o *peerNotifier) NotifyCrash(d poison.Crash) {
+	o.eachPeer(func(p *Proxy) { p.ApplyPeerCrashes([]poison.Crash{d}, nil) })
 }
 
-func (o *peerNotifier) Answered(f poison.Fingerprint) {
-	o.eachPeer(func(p *Proxy) { p.Heard(nil, []poison.Fingerprint{f}) })
+func (o *peerNotifier) NotifyAnswer(f poison.Fingerprint) {
+	o.eachPeer(func(p *Proxy) { p.ApplyPeerCrashes(nil, []poison.Fingerprint{f}) })
 }
 
 // lookupFrom returns a look-up of a target by a caller.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -43,8 +43,8 @@
 	events        event.Sink
 	dialect       *Dialect
 	loadQuerier   LoadQuerier
-	slotBorrower  Lenders
-	requestLogger Trails
+	slotBorrower  SlotBorrower
+	requestLogger RequestLogger
 	tracer        *tracing.Tracer
 	upstreams     Upstreams
 	quotas        Quotas      // nil if quotas are not enforced
@@ -86,7 +86,7 @@
 
 // WithStartupQueue lets requests that arrive before the first configuration wait for it
 // for up to maxStartWait, during startWindow after New.
-func WithStartHold() Option { return func(p *Proxy) { p.starting = newStarting(true) } }
+func WithStartupQueue() Option { return func(p *Proxy) { p.starting = newStarting(true) } }
 
 // WithRandom uses f as the source of random numbers. It must be safe for concurrent use.
 func WithRandom(f func() uint64) Option { return func(p *Proxy) { p.random = f } }
@@ -100,7 +100,7 @@
 		sender:     sender,
 		executor:   directExecutor{},
 		events:     events,
-		dialect:    OwnDialect(),
+		dialect:    DefaultDialect(),
 		random:     rand.Uint64,
 		poison:     poisonState{table: poison.NewTable()},
 		entryHosts: 1,
--- a/internal/proxy/ratelimit.go
+++ b/internal/proxy/ratelimit.go
@@ -22,7 +22,7 @@
 
 // ObserveLimit applies the limit in a response that arrived at now, to a request or probe
 // that was sent at sent. It returns an event and true if the limit changed or is invalid.
-func (d *Dialect) HearLimit(u *balancer.Upstream, now, sent time.Time, resp *httpwire.Response, from ratelimit.Source) (event.Event, bool) {
+func (d *Dialect) ObserveLimit(u *balancer.Upstream, now, sent time.Time, resp *httpwire.Response, from ratelimit.Source) (event.Event, bool) {
 	if d.Limit == nil {
 		return event.Event{}, false
 	}
@@ -47,7 +47,7 @@
 	if resp == nil {
 		return
 	}
-	e, changed := x.proxy.dialect.HearLimit(b.upstream, clock.Now(), sent, resp, ratelimit.Answer)
+	e, changed := x.proxy.dialect.ObserveLimit(b.upstream, clock.Now(), sent, resp, ratelimit.Answer)
 	if !changed {
 		return
 	}
@@ -56,7 +56,7 @@
 	e.At, e.EntryHost, e.Service = time.Now(), x.proxy.host, x.rule.Service.Name
 	x.proxy.events.Emit(e)
 	if x.proxy.upstreams != nil && e.Code != event.LimitUnreadable {
-		x.proxy.upstreams.LimitHeard(b.upstream)
+		x.proxy.upstreams.LimitChanged(b.upstream)
 	}
 }
 
@@ -77,7 +77,7 @@
 }
 
 // SlotBorrower borrows time slots at upstreams from other hosts.
-type Lenders interface {
+type SlotBorrower interface {
 	// Borrow asks a host, by its position in the slot order, for a time slot at an upstream.
 	// It reports whether the host has lent one, and returns within some tens of
 	// milliseconds.
@@ -85,7 +85,7 @@
 }
 
 // WithSlotBorrower borrows time slots through l when no upstream is available to this host.
-func WithLenders(l Lenders) Option { return func(p *Proxy) { p.slotBorrower = l } }
+func WithLenders(l SlotBorrower) Option { return func(p *Proxy) { p.slotBorrower = l } }
 
 // maxBorrowAttempts is the number of hosts that are asked for a time slot for one request.
 // When callers send twice what all upstreams of a service accept, two attempts use 0.95 to
--- a/internal/proxy/trail.go
+++ b/internal/proxy/trail.go
@@ -10,14 +10,14 @@
 )
 
 // RequestLogger receives all events of a request when it ends.
-type Trails interface {
+type RequestLogger interface {
 	// Ended is called once for each request. Notable is set if the request failed, was not
 	// sent exactly once, or got its response after its target. Events must not be retained.
 	Ended(events []event.Event, notable bool)
 }
 
 // WithRequestLogger passes the events of each request to t when it ends.
-func WithTrails(t Trails) Option { return func(p *Proxy) { p.requestLogger = t } }
+func WithTrails(t RequestLogger) Option { return func(p *Proxy) { p.requestLogger = t } }
 
 // eventLog collects the events of one request. It is locked because the attempts of a
 // hedged request run concurrently.
--- a/internal/proxy/turning_test.go
+++ b/internal/proxy/turning_test.go
@@ -136,13 +136,13 @@
 }
 
 func (n *lifecycleRecorder) Snapshot() *lifecycle.Snapshot { return allActive(2) }
-func (n *lifecycleRecorder) Waking() bool                  { return false }
+func (n *lifecycleRecorder) Resuming() bool                { return false }
 func (n *lifecycleRecorder) Reported(string, time.Time)    {}
 func (n *lifecycleRecorder) Leaving(k lifecycle.UpstreamKey, _ uint64) {
 	n.leaving = append(n.leaving, k)
 }
-func (n *lifecycleRecorder) LimitHeard(*balancer.Upstream) {}
-func (n *lifecycleRecorder) Rests(u *balancer.Upstream, until time.Time) {
+func (n *lifecycleRecorder) LimitChanged(*balancer.Upstream) {}
+func (n *lifecycleRecorder) BackingOff(u *balancer.Upstream, until time.Time) {
 	n.backingOff = append(n.backingOff, u.ID)
 }
 
--- a/internal/proxy/upstreams.go
+++ b/internal/proxy/upstreams.go
@@ -23,17 +23,17 @@
 	// ConnectFailed records that a connection could not be established.
 	ConnectFailed(k lifecycle.UpstreamKey)
 	// ConnectSucceeded records a response of an upstream that was marked unreachable.
-	Reached(k lifecycle.UpstreamKey)
+	ConnectSucceeded(k lifecycle.UpstreamKey)
 	// BackingOff records that an upstream wants no requests from this host until a time.
-	Rests(u *balancer.Upstream, until time.Time)
+	BackingOff(u *balancer.Upstream, until time.Time)
 	// LimitChanged records that a response to this host has changed the known limit of an
 	// upstream.
-	LimitHeard(u *balancer.Upstream)
+	LimitChanged(u *balancer.Upstream)
 	// Reported records that a response of the server at an address carried a load report.
 	Reported(address string, now time.Time)
 	// Resuming reports whether this process was paused and has not yet caught up with its
 	// peers.
-	Waking() bool
+	Resuming() bool
 }
 
 const resumingDetail = "resuming after a pause"
@@ -52,7 +52,7 @@
 	if u == nil {
 		return nil
 	}
-	if u.Waking() {
+	if u.Resuming() {
 		return errkind.New(errkind.NotReady, resumingDetail)
 	}
 	switch u.Snapshot().CheckSend(x.upstreamKey(b), b.lifecycle) {
@@ -80,7 +80,7 @@
 		return
 	}
 	if b.view.Unreachable {
-		u.Reached(key)
+		u.ConnectSucceeded(key)
 	}
 	if leaving := x.proxy.dialect.Leaving; leaving != nil && leaving(resp.Status, resp.Header) {
 		u.Leaving(key, b.view.Activation)
--- a/internal/upstream/answers_test.go
+++ b/internal/upstream/answers_test.go
@@ -49,7 +49,7 @@
 // arrives before the expected one, is dropped, and that the connection is not reused.
 func TestLateAnswerIsDropped(t *testing.T) {
 	is := is.New(t)
-	client := startClient(t, Config{Mine: func(req *httpwire.Request, h http.Header) bool {
+	client := startClient(t, Config{Matches: func(req *httpwire.Request, h http.Header) bool {
 		return h.Get("Echo") == req.Header.Get("Id")
 	}})
 	var connections atomic.Int64
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -46,9 +46,9 @@
 	// MaxConnections limits the connections to one upstream, unless SetLimits
 	// sets another limit for it.
 	MaxConnections int
-	// Mine reports whether a response belongs to a request; one that does not is dropped,
+	// Matches reports whether a response belongs to a request; one that does not is dropped,
 	// and the client waits for the next one. Nil accepts every response.
-	Mine func(req *httpwire.Request, h http.Header) bool
+	Matches func(req *httpwire.Request, h http.Header) bool
 	// MaxHeadBytes limits the size of a response head.
 	MaxHeadBytes int
 	// MaxResponseBytes limits the size of a response body.
