--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -6,127 +6,131 @@
 	"time"
 )
 
-// aheadShare is the part of an account's room that must be left for requests that are only
-// expected: where room is short, those that wait come first.
-const aheadShare = 0.5
+// prefetchReserve is the share of an account's capacity that must remain before tokens are
+// granted for requests that are only expected: when tokens are scarce, waiting requests come
+// first.
+const prefetchReserve = 0.5
 
-// newShare is the part of a burst that an account begins with that may follow another one:
-// what hosts have used they say when they ask, and some ask before others have said it.
-const newShare = 0.25
+// takeoverShare is the share of the burst with which an account starts that may succeed
+// another host's. Hosts report their past use only when they request quota, so some requests
+// are granted before all past use is known.
+const takeoverShare = 0.25
 
-// GrantPolicy are those under which a host grants room.
+// GrantPolicy determines how much of a quota a host grants.
 type GrantPolicy struct {
-	// Share is the share of the quota that this account may grant, from 0 to 1: less where
-	// others may grant too.
+	// Share is the share of the quota that this account may grant, from 0 to 1. It is below 1
+	// where other hosts may grant too.
 	Share float64
-	// TakenOver states that another host may have granted room until now.
+	// TakenOver states that another host may have granted this quota until now.
 	TakenOver bool
 }
 
-// Account is what the host in charge of a customer has left to grant. It is a token bucket
-// that was full Window ago, before it was opened, and from which each host takes what it
-// says that it has used since then.
+// Account holds what a customer's coordinator may still grant. It is a token bucket that is
+// treated as full at Window before it was opened; what each host reports to have used since
+// then is deducted.
 type Account struct {
 	limit  Limit
 	opened time.Time
-	filled time.Time // when room was last added
-	room   float64
-	// before is the room of the time before the account was opened, less what hosts have
-	// reported of it.
-	before float64
-	seen   map[netip.AddrPort]bool // the hosts that have reported
-	// promised is when the last request that was refused may come back.
-	promised time.Time
+	filled time.Time // when tokens were last added
+	tokens float64
+	// before holds the tokens that accrued in the Window before the account was opened, less
+	// the use that hosts have reported.
+	before   float64
+	reported map[netip.AddrPort]bool // the hosts that have reported their use
+	// nextRetry is the time from which the next rejected request may be retried; earlier
+	// times are taken by requests that were rejected before.
+	nextRetry time.Time
 }
 
 // NewAccount opens an account.
-func NewAccount(now time.Time, limit Limit, terms GrantPolicy) *Account {
-	room := limit.size()
-	if terms.TakenOver {
-		room = max(room*newShare, 1)
+func NewAccount(now time.Time, limit Limit, policy GrantPolicy) *Account {
+	tokens := limit.capacity()
+	if policy.TakenOver {
+		tokens = max(tokens*takeoverShare, 1)
 	}
 	return &Account{
-		limit:  limit,
-		opened: now,
-		filled: now,
-		room:   room,
-		before: limit.PerSecond * Window.Seconds(),
-		seen:   make(map[netip.AddrPort]bool),
+		limit:    limit,
+		opened:   now,
+		filled:   now,
+		tokens:   tokens,
+		before:   limit.PerSecond * Window.Seconds(),
+		reported: make(map[netip.AddrPort]bool),
 	}
 }
 
-// Grant answers a host's question.
-func (a *Account) Grant(now time.Time, from netip.AddrPort, ask *Request, terms GrantPolicy) Answer {
-	part := terms.Share
-	a.fill(now, ask.Limit, part)
-	a.report(now, from, ask.Used)
-	granted := min(ask.Required, int(max(a.room, 0)))
-	a.room -= float64(granted)
-	if granted < ask.Required {
-		return Answer{Granted: granted, Wait: a.promise(now, ask.Required-granted, part)}
+// Grant answers a host's request.
+func (a *Account) Grant(now time.Time, from netip.AddrPort, req *Request, policy GrantPolicy) Answer {
+	share := policy.Share
+	a.refill(now, req.Limit, share)
+	a.deductPastUse(now, from, req.Used)
+	granted := min(req.Required, int(max(a.tokens, 0)))
+	a.tokens -= float64(granted)
+	if granted < req.Required {
+		return Answer{Granted: granted, Wait: a.scheduleRetry(now, req.Required-granted, share)}
 	}
-	if spare := a.room - aheadShare*a.limit.size(); spare >= 1 {
-		ahead := min(ask.Prefetch, int(spare))
-		a.room -= float64(ahead)
-		granted += ahead
+	if spare := a.tokens - prefetchReserve*a.limit.capacity(); spare >= 1 {
+		prefetched := min(req.Prefetch, int(spare))
+		a.tokens -= float64(prefetched)
+		granted += prefetched
 	}
 	return Answer{Granted: granted}
 }
 
-// fill adds the room of the time since it was last done, and takes a changed quota into
-// force.
-func (a *Account) fill(now time.Time, limit Limit, part float64) {
+// refill applies the current limit and adds the tokens that have accrued since the last
+// call.
+func (a *Account) refill(now time.Time, limit Limit, share float64) {
 	a.limit = limit
-	size := max(limit.Burst*part, 1)
-	passed := max(now.Sub(a.filled), 0)
+	capacity := max(limit.Burst*share, 1)
+	elapsed := max(now.Sub(a.filled), 0)
 	a.filled = now
-	a.room = min(a.room+passed.Seconds()*limit.PerSecond*part, size)
+	a.tokens = min(a.tokens+elapsed.Seconds()*limit.PerSecond*share, capacity)
 }
 
-// report takes in what a host has used before it first asked. One that asks later used what
-// this account granted.
-func (a *Account) report(now time.Time, from netip.AddrPort, used int) {
+// deductPastUse deducts what a host used before its first request to this account. Only the
+// first report of a host counts: what it uses later was granted by this account.
+func (a *Account) deductPastUse(now time.Time, from netip.AddrPort, used int) {
 	if now.Sub(a.opened) >= Window {
-		a.seen = nil
+		a.reported = nil
 		return
 	}
-	if a.seen == nil || a.seen[from] {
+	if a.reported == nil || a.reported[from] {
 		return
 	}
-	a.seen[from] = true
+	a.reported[from] = true
 	a.before -= float64(used)
 	if a.before < 0 {
-		a.room += a.before
+		a.tokens += a.before
 		a.before = 0
 	}
 }
 
-// promise returns when the first of several requests that are refused may find room: after
-// those that were refused before.
-func (a *Account) promise(now time.Time, refused int, part float64) time.Duration {
-	rate := max(a.limit.PerSecond*part, math.SmallestNonzeroFloat32)
-	next := now.Add(clip((1 - a.room) / rate))
-	if next.Before(a.promised) {
-		next = a.promised
+// scheduleRetry returns the delay after which the first of several rejected requests may be
+// retried: after the requests that were rejected before.
+func (a *Account) scheduleRetry(now time.Time, rejected int, share float64) time.Duration {
+	rate := max(a.limit.PerSecond*share, math.SmallestNonzeroFloat32)
+	next := now.Add(retryDelay((1 - a.tokens) / rate))
+	if next.Before(a.nextRetry) {
+		next = a.nextRetry
 	}
-	a.promised = next.Add(clip(float64(refused) / rate))
-	if most := now.Add(maxPromise); a.promised.After(most) {
-		a.promised = most
+	a.nextRetry = next.Add(retryDelay(float64(rejected) / rate))
+	if latest := now.Add(maxRetryDelay); a.nextRetry.After(latest) {
+		a.nextRetry = latest
 	}
 	return next.Sub(now)
 }
 
-// maxPromise is the longest that a refused request is told to wait: new ones come meanwhile,
-// and what is told for later does not hold.
-const maxPromise = 30 * time.Second
+// maxRetryDelay bounds the delay that a rejected request is given: new requests arrive in
+// the meantime, so an estimate further ahead is unreliable.
+const maxRetryDelay = 30 * time.Second
 
-func clip(seconds float64) time.Duration {
-	return time.Duration(min(seconds, maxPromise.Seconds()) * float64(time.Second))
+// retryDelay converts seconds to a duration of at most maxRetryDelay.
+func retryDelay(seconds float64) time.Duration {
+	return time.Duration(min(seconds, maxRetryDelay.Seconds()) * float64(time.Second))
 }
 
-// Idle reports whether the account has had no question for a time after which nothing of it
-// matters any more.
-func (a *Account) Idle(now time.Time) bool { return now.Sub(a.filled) > keepIdle }
+// Idle reports whether the account has had no request for so long that it can be dropped.
+func (a *Account) Idle(now time.Time) bool { return now.Sub(a.filled) > idleTimeout }
 
-// keepIdle is longer than any account takes to fill: it is then as good as a new one.
-const keepIdle = time.Minute
+// idleTimeout is longer than any account takes to fill up, so an idle account is equivalent
+// to a new one.
+const idleTimeout = time.Minute
--- a/pkg/quota/ledger.go
+++ b/pkg/quota/ledger.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Ledger holds the accounts of the customers that one host is asked about. It is safe for
-// concurrent use.
+// Ledger holds the accounts of the customers for which hosts, this one included, request
+// quota from this host. It is safe for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	accounts map[string]*Account
@@ -16,22 +16,22 @@
 // NewLedger returns a ledger without accounts.
 func NewLedger() *Ledger { return &Ledger{accounts: make(map[string]*Account)} }
 
-// Grant answers a host's question; see Account.Grant.
-func (l *Ledger) Grant(now time.Time, from netip.AddrPort, ask *Request, terms GrantPolicy) Answer {
-	if ask.Required == 0 {
-		return Answer{} // only asked whether this host answers
+// Grant answers a host's request; see Account.Grant.
+func (l *Ledger) Grant(now time.Time, from netip.AddrPort, req *Request, policy GrantPolicy) Answer {
+	if req.Required == 0 {
+		return Answer{} // a reachability check
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.accounts[ask.Customer]
+	a := l.accounts[req.Customer]
 	if a == nil {
-		a = NewAccount(now, ask.Limit, terms)
-		l.accounts[ask.Customer] = a
+		a = NewAccount(now, req.Limit, policy)
+		l.accounts[req.Customer] = a
 	}
-	return a.Grant(now, from, ask, terms)
+	return a.Grant(now, from, req, policy)
 }
 
-// Tick closes the accounts that have been idle for long.
+// Tick drops idle accounts.
 func (l *Ledger) Tick(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -1,15 +1,16 @@
-// Package quota keeps the requests of customers to their quotas over all entry hosts
-// together: so many a second, and a burst on top.
+// Package quota enforces the request quotas of customers across all entry hosts: a rate
+// per second and a burst.
 //
-// One host is in charge of a customer, by rendezvous hashing over the hosts: it keeps an
-// Account, and the others ask it for room before they send. Nobody has to agree on who that
-// is: each host goes by the hosts that it knows of. A host that takes over opens an account
-// and learns from each host that asks what that one has used lately, so that nothing is
-// granted twice. Where the one in charge is silent, a deputy in another failure domain looks
-// whether others reach it; one that reaches nobody has its part of the quota, by the number
-// of hosts.
+// Each customer has a coordinator among the hosts, chosen by rendezvous hashing. It keeps
+// the customer's Account, and the other hosts request quota from it before they send. No
+// agreement on the coordinator is needed: each host selects it among the hosts that it
+// knows. A host that takes over opens a new account, and each host that requests quota from
+// it reports its recent use, so that nothing is granted twice. If the coordinator does not
+// respond, a backup in another failure domain checks through witnesses whether other hosts
+// reach it. A host that reaches neither uses an equal share of the quota, by the number of
+// hosts.
 //
-// The package does no I/O, reads no clock and draws no randomness.
+// The package does no I/O, reads no clock and uses no randomness.
 package quota
 
 import (
@@ -20,71 +21,73 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Window is the time over which hosts report what they have used. Room that was granted
-// before then can't matter any more: an account holds no more than a second or so of it.
+// Window is the period over which hosts report their use. Earlier grants no longer matter,
+// since an account holds about a second's worth of tokens at most.
 const Window = 5 * time.Second
 
 // Limit is a customer's quota.
 type Limit struct {
-	// PerSecond is the rate, and Burst what may come at once beyond it, in requests.
+	// PerSecond is the rate, and Burst the number of requests that may exceed it at once.
 	PerSecond, Burst float64
 }
 
-// size is how much room an account holds at the most.
-func (l Limit) size() float64 { return max(l.Burst, 1) }
+// capacity is the largest number of tokens that an account holds.
+func (l Limit) capacity() float64 { return max(l.Burst, 1) }
 
-// Request is a question for room.
+// Request asks a host for part of a customer's quota.
 type Request struct {
 	// Customer is the customer's name.
 	Customer string
-	// Limit is the quota as the host that asks knows it.
+	// Limit is the quota in the requesting host's configuration.
 	Limit Limit
-	// Required is how many requests wait for room, and Prefetch how many more are expected soon.
+	// Required is how many requests are waiting for quota, and Prefetch how many more are
+	// expected soon.
 	Required, Prefetch int
-	// Used is how many requests the host has sent within Window.
+	// Used is how many requests the requesting host has sent within Window.
 	Used int
 }
 
-// Bounds of a Request of another host.
+// Limits of the values that are accepted from another host.
 const (
-	maxAsked = 1 << 20
-	maxUsed  = 1 << 30
-	maxRate  = 1e9
+	maxRequested = 1 << 20
+	maxUsed      = 1 << 30
+	maxRate      = 1e9
 )
 
-// ErrInvalidRequest means that a question of another host can't be true.
+// ErrInvalidRequest means that a message of another host has values out of range.
 var ErrInvalidRequest = errors.New("question for room that can't be true")
 
-// Validate checks a question of another host.
-func (a *Request) Validate() error {
-	ok := a.Customer != "" && inRange(a.Required, maxAsked) && inRange(a.Prefetch, maxAsked) && inRange(a.Used, maxUsed) &&
-		a.Limit.PerSecond > 0 && a.Limit.PerSecond <= maxRate && a.Limit.Burst >= 0 && a.Limit.Burst <= maxRate
+// Validate checks a request of another host.
+func (r *Request) Validate() error {
+	ok := r.Customer != "" && inRange(r.Required, maxRequested) && inRange(r.Prefetch, maxRequested) && inRange(r.Used, maxUsed) &&
+		r.Limit.PerSecond > 0 && r.Limit.PerSecond <= maxRate && r.Limit.Burst >= 0 && r.Limit.Burst <= maxRate
 	if !ok {
 		return errors.Wrapf(ErrInvalidRequest, "{Customer:%s Limit:%+v Must:%d Ahead:%d Used:%d}",
-			a.Customer, a.Limit, a.Required, a.Prefetch, a.Used)
+			r.Customer, r.Limit, r.Required, r.Prefetch, r.Used)
 	}
 	return nil
 }
 
-func inRange(n, most int) bool { return n >= 0 && n <= most }
+func inRange(n, limit int) bool { return n >= 0 && n <= limit }
 
 // Answer is the answer to a Request.
 type Answer struct {
-	// Granted is how many requests may be sent, up to Required and Prefetch together.
+	// Granted is how many requests may be sent: at most Required plus Prefetch.
 	Granted int
-	// Wait is when the first of those that were not granted may find room; 0 if all were.
+	// Wait is the delay after which the first request that was not granted may be retried; 0
+	// if all were granted.
 	Wait time.Duration
-	// Unavailable states that the host that was asked, as a witness, does not reach the host in
-	// charge.
+	// Unavailable states that the responding host, as a witness, does not reach the
+	// coordinator.
 	Unavailable bool
 }
 
-// maxWait bounds the wait of another host's answer.
+// maxWait bounds the wait in an answer of another host.
 const maxWait = time.Hour
 
 // Validate checks the answer of another host.
 func (a *Answer) Validate() error {
-	if !inRange(a.Granted, 2*maxAsked) || a.Wait < 0 || a.Wait > maxWait {
+	if !inRange(a.Granted, 2*maxRequested) || a.Wait < 0 || a.Wait > maxWait {
 		return errors.Wrapf(ErrInvalidRequest, "answer {Granted:%d Wait:%v Nobody:%t}", a.Granted, a.Wait, a.Unavailable)
 	}
 	return nil
@@ -92,41 +95,41 @@
 
 // Host is one entry host.
 type Host struct {
-	// Address is where it is asked.
+	// Address is where the host receives requests.
 	Address netip.AddrPort
-	// FailureDomain is where it runs; empty if that is not known.
+	// FailureDomain is empty if it is unknown.
 	FailureDomain string
 }
 
-// SelectCoordinator returns the indices of the host that is in charge of a customer and of its
-// deputy: the next one by rank, in another failure domain if there is one. There is one
-// deputy whoever looks, so that no two hosts go on for a host that is lost. The deputy is -1
-// where there is one host only.
-func SelectCoordinator(customer string, hosts []Host) (first, deputy int) {
-	first, deputy = -1, -1
-	var best, next, nextApart uint64
+// SelectCoordinator returns the indices of a customer's coordinator and of its backup. Both
+// are chosen by rendezvous hashing; the backup is in another failure domain if there is one.
+// All hosts select the same backup, so that no two hosts take over from a coordinator that
+// is lost. The coordinator is -1 if there are no hosts, and the backup if there is only one.
+func SelectCoordinator(customer string, hosts []Host) (coordinator, backup int) {
+	coordinator, backup = -1, -1
+	var highest, next, nextRemote uint64
 	for i := range hosts {
-		if w := weight(customer, &hosts[i]); first < 0 || w > best {
-			first, best = i, w
+		if w := weight(customer, &hosts[i]); coordinator < 0 || w > highest {
+			coordinator, highest = i, w
 		}
 	}
-	apart := -1
+	remote := -1 // the best one in another failure domain
 	for i := range hosts {
-		if i == first {
+		if i == coordinator {
 			continue
 		}
 		w := weight(customer, &hosts[i])
-		if deputy < 0 || w > next {
-			deputy, next = i, w
+		if backup < 0 || w > next {
+			backup, next = i, w
 		}
-		if hosts[i].FailureDomain != hosts[first].FailureDomain && (apart < 0 || w > nextApart) {
-			apart, nextApart = i, w
+		if hosts[i].FailureDomain != hosts[coordinator].FailureDomain && (remote < 0 || w > nextRemote) {
+			remote, nextRemote = i, w
 		}
 	}
-	if apart >= 0 {
-		deputy = apart
+	if remote >= 0 {
+		backup = remote
 	}
-	return first, deputy
+	return coordinator, backup
 }
 
 func weight(customer string, h *Host) uint64 {
