--- a/internal/quotas/fleet_test.go
+++ b/internal/quotas/fleet_test.go
@@ -15,110 +15,111 @@
 	"github.com/dapplespindle/dapplespindle/pkg/quota"
 )
 
-// world is a fleet of keepers in virtual time. Messages take no time; one between hosts that
-// can't reach each other is not answered.
-type world struct {
-	now     atomic.Int64 // ns
-	keepers []*Enforcer
-	hosts   []quota.Host
-	place   map[netip.AddrPort]int
-	dead    []bool
-	// group tells apart the hosts that can't reach each other; -1 is reached by all.
-	group []int
-	asked int
+// simulation is a fleet of enforcers in virtual time. Messages take no time; one between
+// hosts that can't reach each other gets no response.
+type simulation struct {
+	now       atomic.Int64 // ns
+	enforcers []*Enforcer
+	hosts     []quota.Host
+	index     map[netip.AddrPort]int // into hosts
+	dead      []bool
+	// partition is the network partition of each host. Hosts in different partitions can't
+	// reach each other; a host in partition -1 reaches all.
+	partition []int
+	requests  int // between hosts
 }
 
 const domains = 3
 
-func newWorld(n int) *world {
-	w := &world{place: make(map[netip.AddrPort]int), dead: make([]bool, n), group: make([]int, n)}
-	w.now.Store(time.Unix(10_000, 0).UnixNano())
+func newSimulation(n int) *simulation {
+	s := &simulation{index: make(map[netip.AddrPort]int), dead: make([]bool, n), partition: make([]int, n)}
+	s.now.Store(time.Unix(10_000, 0).UnixNano())
 	for i := range n {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7200)
-		w.hosts = append(w.hosts, quota.Host{Address: address, FailureDomain: fmt.Sprint(i % domains)})
-		w.place[address] = i
+		s.hosts = append(s.hosts, quota.Host{Address: address, FailureDomain: fmt.Sprint(i % domains)})
+		s.index[address] = i
 	}
 	for i := range n {
-		w.keepers = append(w.keepers, nil)
-		w.restart(i)
+		s.enforcers = append(s.enforcers, nil)
+		s.restart(i)
 	}
-	w.now.Add(int64(2 * quota.Window)) // they have run for long
-	return w
+	s.now.Add(int64(2 * quota.Window)) // past the time in which accounts count as taken over
+	return s
 }
 
-// restart gives a host a keeper that knows nothing but the fleet.
-func (w *world) restart(i int) {
-	k := New(wires{w, i})
-	k.now = w.time
-	w.keepers[i] = k
-	w.tell(i, func(int) bool { return true })
+// restart replaces a host's enforcer by a new one that knows only the fleet.
+func (s *simulation) restart(i int) {
+	e := New(simulatedPeers{s, i})
+	e.now = s.time
+	s.enforcers[i] = e
+	s.setAlive(i, func(int) bool { return true })
 }
 
-// tell sets which hosts a host holds for alive.
-func (w *world) tell(i int, alive func(int) bool) {
-	f := Fleet{Self: w.hosts[i], Known: len(w.hosts), Converged: true}
-	for j, h := range w.hosts {
+// setAlive sets which hosts a host considers alive.
+func (s *simulation) setAlive(i int, alive func(int) bool) {
+	f := Fleet{Self: s.hosts[i], Known: len(s.hosts), Converged: true}
+	for j, h := range s.hosts {
 		if j != i && alive(j) {
 			f.Others = append(f.Others, h)
 		}
 	}
-	w.keepers[i].SetFleet(f)
+	s.enforcers[i].SetFleet(f)
 }
 
-func (w *world) time() time.Time { return time.Unix(0, w.now.Load()) }
+func (s *simulation) time() time.Time { return time.Unix(0, s.now.Load()) }
 
-func (w *world) reaches(i, j int) bool {
-	apart := w.group[i] != w.group[j] && w.group[i] >= 0 && w.group[j] >= 0
-	return !w.dead[i] && !w.dead[j] && !apart
+func (s *simulation) reaches(i, j int) bool {
+	separated := s.partition[i] != s.partition[j] && s.partition[i] >= 0 && s.partition[j] >= 0
+	return !s.dead[i] && !s.dead[j] && !separated
 }
 
-// wires implements Peers for host number i.
-type wires struct {
-	world *world
-	i     int
+// simulatedPeers implements Peers for host number i.
+type simulatedPeers struct {
+	simulation *simulation
+	i          int
 }
 
-func (p wires) RequestQuota(_ context.Context, host netip.AddrPort, q Request) (quota.Answer, bool) {
-	j := p.world.place[host]
-	p.world.asked++
-	if !p.world.reaches(p.i, j) {
+func (p simulatedPeers) RequestQuota(_ context.Context, host netip.AddrPort, q Request) (quota.Answer, bool) {
+	j := p.simulation.index[host]
+	p.simulation.requests++
+	if !p.simulation.reaches(p.i, j) {
 		return quota.Answer{}, false
 	}
-	return p.world.keepers[j].Answer(p.world.hosts[p.i].Address, &q), true
+	return p.simulation.enforcers[j].Answer(p.simulation.hosts[p.i].Address, &q), true
 }
 
-// load is what the callers of one customer do for a time.
+// load is the load of one customer's callers.
 type load struct {
 	perSecond func(ms int) float64
-	host      func(*rand.Rand, int) int // the host that gets the next request, of so many
+	host      func(r *rand.Rand, hosts int) int // selects the host of the next request
 }
 
-// outcome is what became of the requests of one customer.
+// outcome counts one customer's requests by result.
 type outcome struct {
-	served, refused int
-	worst           float64 // most served in a window, as a share of what may arrive
-	most            int
+	served, rejected int
+	worst            float64 // most as a share of the bound of a window
+	most             int     // the most requests served in a window
 }
 
-// play sends requests for a time, and calls happens each millisecond before.
-func (w *world) play(c *config.Customer, l load, seconds int, happens func(ms int)) outcome {
-	random := rand.New(rand.NewPCG(1, uint64(len(w.hosts))))
+// run applies the load for a time. It calls onTick at the start of each millisecond.
+func (s *simulation) run(c *config.Customer, l load, seconds int, onTick func(ms int)) outcome {
+	random := rand.New(rand.NewPCG(1, uint64(len(s.hosts))))
 	var out outcome
 	served := make([]int, seconds*1000)
 	due := 0.0
 	for ms := range seconds * 1000 {
-		w.now.Add(int64(time.Millisecond))
-		happens(ms)
+		s.now.Add(int64(time.Millisecond))
+		onTick(ms)
 		for due += l.perSecond(ms) / 1000; due >= 1; due-- {
-			i := l.host(random, len(w.hosts))
-			if w.dead[i] {
+			i := l.host(random, len(s.hosts))
+			if s.dead[i] {
 				continue
 			}
-			if _, ok := w.keepers[i].Take(context.Background(), c); ok {
+			if _, ok := s.enforcers[i].Take(context.Background(), c); ok {
 				served[ms]++
 				out.served++
 			} else {
-				out.refused++
+				out.rejected++
 			}
 		}
 	}
@@ -126,7 +127,7 @@
 	return out
 }
 
-// count finds the worst window of what was served in each millisecond.
+// count finds the worst window, given the number of requests served in each millisecond.
 func (o *outcome) count(served []int, c *config.Customer) {
 	const window = 5000 // ms
 	sum := 0
@@ -154,77 +155,77 @@
 	return r.IntN(hosts)
 }
 
-func nothing(int) {}
+func noEvents(int) {}
 
 var customer = &config.Customer{Name: "c", RatePerSecond: 50, Burst: 50}
 
-// TestQuotaOverAFleet: within its quota nothing of a customer is refused, and beyond it no
-// window has more than its bound, wherever its callers come.
+// TestQuotaOverAFleet: load within the quota is not rejected, and under load above the quota
+// no window exceeds its bound, however the requests are distributed over the hosts.
 func TestQuotaOverAFleet(t *testing.T) {
 	for _, hosts := range []int{1, 13, 117, 587, 1200} {
 		for name, host := range map[string]func(*rand.Rand, int) int{"any": anyHost, "one": oneHost, "few": fewHosts} {
 			t.Run(fmt.Sprintf("hosts=%d/%s", hosts, name), func(t *testing.T) {
 				is := is.New(t)
-				calm := newWorld(hosts).play(customer, load{steady(48), host}, 8, nothing)
-				is.Equal(calm.refused, 0) // within the quota
-				w := newWorld(hosts)
-				hot := w.play(customer, load{steady(400), host}, 12, nothing)
-				is.True(hot.worst <= 1)
-				is.True(hot.served >= 12*50) // all of it is used
-				t.Logf("calm %+v, hot %+v, questions a request %.2f", calm, hot, float64(w.asked)/(12*400))
+				within := newSimulation(hosts).run(customer, load{steady(48), host}, 8, noEvents)
+				is.Equal(within.rejected, 0)
+				s := newSimulation(hosts)
+				over := s.run(customer, load{steady(400), host}, 12, noEvents)
+				is.True(over.worst <= 1)
+				is.True(over.served >= 12*50) // the whole quota is used
+				t.Logf("within quota %+v, over quota %+v, peer requests per request %.2f", within, over, float64(s.requests)/(12*400))
 			})
 		}
 	}
 }
 
-// TestHostInChargeIsLost: the deputy goes on, and grants nothing twice.
-func TestHostInChargeIsLost(t *testing.T) {
+// TestCoordinatorIsLost: the backup takes over, and grants nothing twice.
+func TestCoordinatorIsLost(t *testing.T) {
 	for _, hosts := range []int{13, 117} {
-		for name, rate := range map[string]float64{"calm": 45, "hot": 400} {
+		for name, rate := range map[string]float64{"within quota": 45, "over quota": 400} {
 			t.Run(fmt.Sprintf("hosts=%d/%s", hosts, name), func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(hosts)
-				charged, _ := quota.SelectCoordinator(customer.Name, w.hosts)
-				got := w.play(customer, load{steady(rate), anyHost}, 15, func(ms int) {
+				s := newSimulation(hosts)
+				coordinator, _ := quota.SelectCoordinator(customer.Name, s.hosts)
+				got := s.run(customer, load{steady(rate), anyHost}, 15, func(ms int) {
 					switch ms {
 					case 4000:
-						w.dead[charged] = true
-					case 7000: // it is held for dead
-						for i := range w.hosts {
-							w.tell(i, func(j int) bool { return j != charged })
+						s.dead[coordinator] = true
+					case 7000: // it is considered dead
+						for i := range s.hosts {
+							s.setAlive(i, func(j int) bool { return j != coordinator })
 						}
 					case 9000:
-						w.dead[charged] = false
-						w.restart(charged)
+						s.dead[coordinator] = false
+						s.restart(coordinator)
 					case 10_000:
-						for i := range w.hosts {
-							w.tell(i, func(int) bool { return true })
+						for i := range s.hosts {
+							s.setAlive(i, func(int) bool { return true })
 						}
 					}
 				})
 				t.Logf("%+v", got)
 				is.True(got.worst <= 1)
 				if rate < customer.RatePerSecond {
-					is.Equal(got.refused, 0)
+					is.Equal(got.rejected, 0)
 				}
 			})
 		}
 	}
 }
 
-// TestHostsThatAreCut: hosts that reach none or few others send their part at the most, and
-// two failure domains that reach each other through a third share one quota.
-func TestHostsThatAreCut(t *testing.T) {
-	for name, group := range map[string]func(w *world, i int) int{
-		"each by itself, a third": func(_ *world, i int) int {
+// TestPartition: hosts that reach no or few others use at most their share, and two failure
+// domains that reach each other only through a third share one quota.
+func TestPartition(t *testing.T) {
+	for name, partition := range map[string]func(s *simulation, i int) int{
+		"a third, each host isolated": func(_ *simulation, i int) int {
 			if i%3 == 0 {
 				return 1000 + i
 			}
 			return 0
 		},
-		"a third": func(_ *world, i int) int { return min(i%3, 1) },
-		"half":    func(_ *world, i int) int { return i % 2 },
-		"two domains through a third": func(_ *world, i int) int {
+		"a third": func(_ *simulation, i int) int { return min(i%3, 1) },
+		"half":    func(_ *simulation, i int) int { return i % 2 },
+		"two domains through a third": func(_ *simulation, i int) int {
 			if i%domains == 2 {
 				return -1
 			}
@@ -234,21 +235,21 @@
 		for _, known := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/known=%v", name, known), func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(117)
-				got := w.play(customer, load{steady(400), anyHost}, 20, func(ms int) {
+				s := newSimulation(117)
+				got := s.run(customer, load{steady(400), anyHost}, 20, func(ms int) {
 					switch {
 					case ms == 5000:
-						for i := range w.group {
-							w.group[i] = group(w, i)
+						for i := range s.partition {
+							s.partition[i] = partition(s, i)
 						}
 					case ms == 8000 && known && name != "two domains through a third":
-						for i := range w.hosts {
-							w.tell(i, func(j int) bool { return w.reaches(i, j) })
+						for i := range s.hosts {
+							s.setAlive(i, func(j int) bool { return s.reaches(i, j) })
 						}
 					case ms == 15_000:
-						clear(w.group)
-						for i := range w.hosts {
-							w.tell(i, func(int) bool { return true })
+						clear(s.partition)
+						for i := range s.hosts {
+							s.setAlive(i, func(int) bool { return true })
 						}
 					}
 				})
@@ -259,75 +260,76 @@
 	}
 }
 
-// TestAllHostsStartAnew: what was used before they did is not known to them, and the time in
-// which nothing was served makes up for it; within the quota nothing is refused.
-func TestAllHostsStartAnew(t *testing.T) {
-	for name, rate := range map[string]float64{"calm": 45, "hot": 400} {
+// TestAllHostsRestart: restarted hosts do not know the use before their restart, which the
+// downtime without served requests makes up for. Load within the quota is not rejected.
+func TestAllHostsRestart(t *testing.T) {
+	for name, rate := range map[string]float64{"within quota": 45, "over quota": 400} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(117)
-			got := w.play(customer, load{steady(rate), anyHost}, 15, func(ms int) {
-				for i := range w.hosts {
+			s := newSimulation(117)
+			got := s.run(customer, load{steady(rate), anyHost}, 15, func(ms int) {
+				for i := range s.hosts {
 					switch ms {
 					case 6000:
-						w.dead[i] = true
+						s.dead[i] = true
 					case 7000:
-						w.dead[i] = false
-						w.restart(i)
+						s.dead[i] = false
+						s.restart(i)
 					}
 				}
 			})
 			is.True(got.worst <= 1)
 			if rate < customer.RatePerSecond {
-				is.Equal(got.refused, 0)
+				is.Equal(got.rejected, 0)
 			}
 			t.Logf("%+v", got)
 		})
 	}
 }
 
-// TestHostsThatStart: half of the hosts start anew, among them one in charge, and know three
-// addresses only. They ask those, which know who is in charge.
-func TestHostsThatStart(t *testing.T) {
-	for name, rate := range map[string]float64{"calm": 45, "hot": 400} {
+// TestHalfOfTheHostsRestart: the restarted hosts, among them the coordinator, know only three
+// addresses. They send their requests to these, which know the coordinator.
+func TestHalfOfTheHostsRestart(t *testing.T) {
+	for name, rate := range map[string]float64{"within quota": 45, "over quota": 400} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(117)
-			charged, _ := quota.SelectCoordinator(customer.Name, w.hosts)
-			starts := func(i int) bool { return i%2 == 1 && i > 2 || i == charged }
-			got := w.play(customer, load{steady(rate), anyHost}, 15, func(ms int) {
-				for i := range w.hosts {
+			s := newSimulation(117)
+			coordinator, _ := quota.SelectCoordinator(customer.Name, s.hosts)
+			restarts := func(i int) bool { return i%2 == 1 && i > 2 || i == coordinator }
+			got := s.run(customer, load{steady(rate), anyHost}, 15, func(ms int) {
+				for i := range s.hosts {
 					switch {
-					case !starts(i):
+					case !restarts(i):
 					case ms == 6000:
-						w.dead[i] = true
+						s.dead[i] = true
 					case ms == 7000:
-						w.dead[i] = false
-						w.restart(i)
-						w.keepers[i].SetFleet(Fleet{Self: w.hosts[i], Others: w.hosts[:3], Known: 4})
+						s.dead[i] = false
+						s.restart(i)
+						s.enforcers[i].SetFleet(Fleet{Self: s.hosts[i], Others: s.hosts[:3], Known: 4})
 					case ms == 10_000:
-						w.tell(i, func(int) bool { return true })
+						s.setAlive(i, func(int) bool { return true })
 					}
 				}
 			})
 			t.Logf("%+v", got)
 			is.True(got.worst <= 1)
 			if rate < customer.RatePerSecond {
-				// The deputy finds half of its witnesses silent, and takes itself for cut off.
-				is.True(got.refused*50 <= got.served)
+				// The backup finds half of its witnesses unresponsive, and considers itself
+				// isolated.
+				is.True(got.rejected*50 <= got.served)
 			}
 		})
 	}
 }
 
-// TestUnservedRequestsCostNothing: room that was taken for them is used by others.
-func TestUnservedRequestsCostNothing(t *testing.T) {
+// TestReturn: quota that is returned for a request which did not run can be taken again.
+func TestReturn(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(13)
-	k := w.keepers[1]
+	s := newSimulation(13)
+	e := s.enforcers[1]
 	for range 500 {
-		_, ok := k.Take(t.Context(), customer)
+		_, ok := e.Take(t.Context(), customer)
 		is.True(ok)
-		k.Return(customer)
+		e.Return(customer)
 	}
 }
--- a/internal/quotas/ways_test.go
+++ b/internal/quotas/ways_test.go
@@ -11,49 +11,49 @@
 	"github.com/dapplespindle/dapplespindle/pkg/quota"
 )
 
-// way is one way to keep a fleet to a quota: it reports whether a request at a host may go.
-type way func(now time.Time, host int) bool
+// admit is a method to enforce a quota over a fleet: it reports whether a host admits a
+// request.
+type admit func(now time.Time, host int) bool
 
-// eachItsShare gives each host a fixed part.
-func eachItsShare(hosts int, c *config.Customer) way {
-	wallets := make([]quota.Allowance, hosts)
-	return func(now time.Time, host int) bool { return wallets[host].TakeFallback(now, limitOf(c), hosts) }
+// fixedShares gives each host an equal share.
+func fixedShares(hosts int, c *config.Customer) admit {
+	allowances := make([]quota.Allowance, hosts)
+	return func(now time.Time, host int) bool { return allowances[host].TakeFallback(now, limitOf(c), hosts) }
 }
 
-// waysBegin is when the ways begin.
-var waysBegin = time.Unix(10_000, 0)
+var simulationStart = time.Unix(10_000, 0)
 
-// tellEvery is how often hosts tell one another what they have used.
-const tellEvery = 500 * time.Millisecond
+// exchangeInterval is how often hosts exchange how much they have used.
+const exchangeInterval = 500 * time.Millisecond
 
-// usageTold has each host admit by its own count, and by what the others have told: a bucket
-// of all that it knows.
-func usageTold(hosts int, c *config.Customer) way {
-	room := make([]float64, hosts)
+// exchangedUsage has each host keep a token bucket of the whole quota, from which it deducts
+// its own use and what the other hosts have reported.
+func exchangedUsage(hosts int, c *config.Customer) admit {
+	tokens := make([]float64, hosts)
 	filled := make([]time.Time, hosts)
 	used := make([]int, hosts)
-	for i := range room {
-		room[i], filled[i] = c.Burst, waysBegin
+	for i := range tokens {
+		tokens[i], filled[i] = c.Burst, simulationStart
 	}
-	var told time.Time
+	var exchanged time.Time
 	return func(now time.Time, host int) bool {
-		if now.Sub(told) >= tellEvery {
-			told = now
-			all := 0
+		if now.Sub(exchanged) >= exchangeInterval {
+			exchanged = now
+			total := 0
 			for _, n := range used {
-				all += n
+				total += n
 			}
-			for i := range room {
-				room[i] -= float64(all - used[i])
+			for i := range tokens {
+				tokens[i] -= float64(total - used[i])
 			}
 			clear(used)
 		}
-		room[host] = min(room[host]+now.Sub(filled[host]).Seconds()*c.RatePerSecond, c.Burst)
+		tokens[host] = min(tokens[host]+now.Sub(filled[host]).Seconds()*c.RatePerSecond, c.Burst)
 		filled[host] = now
-		if room[host] < 1 {
+		if tokens[host] < 1 {
 			return false
 		}
-		room[host]--
+		tokens[host]--
 		used[host]++
 		return true
 	}
@@ -68,25 +68,25 @@
 	for _, hosts := range []int{13, 117, 587, 4000} {
 		for _, name := range []string{"any", "one", "few"} {
 			line := fmt.Sprintf("| %d, %s |", hosts, name)
-			for _, make := range []func(int, *config.Customer) way{eachItsShare, usageTold} {
-				calm := playWay(make(hosts, customer), hosts, 48, hostsOf[name])
-				hot := playWay(make(hosts, customer), hosts, 400, hostsOf[name])
-				line += fmt.Sprintf(" %.2f, %.2f |", hot.worst, refusedShare(calm))
+			for _, newAdmit := range []func(int, *config.Customer) admit{fixedShares, exchangedUsage} {
+				within := runAdmit(newAdmit(hosts, customer), hosts, 48, hostsOf[name])
+				over := runAdmit(newAdmit(hosts, customer), hosts, 400, hostsOf[name])
+				line += fmt.Sprintf(" %.2f, %.2f |", over.worst, rejectedShare(within))
 			}
-			calm := newWorld(hosts).play(customer, load{steady(48), hostsOf[name]}, 8, nothing)
-			w := newWorld(hosts)
-			hot := w.play(customer, load{steady(400), hostsOf[name]}, 12, nothing)
-			t.Log(line, fmt.Sprintf("%.2f, %.2f | %.2f |", hot.worst, refusedShare(calm), float64(w.asked)/(12*400)))
+			within := newSimulation(hosts).run(customer, load{steady(48), hostsOf[name]}, 8, noEvents)
+			s := newSimulation(hosts)
+			over := s.run(customer, load{steady(400), hostsOf[name]}, 12, noEvents)
+			t.Log(line, fmt.Sprintf("%.2f, %.2f | %.2f |", over.worst, rejectedShare(within), float64(s.requests)/(12*400)))
 		}
 	}
 }
 
-func refusedShare(o outcome) float64 { return float64(o.refused) / float64(o.refused+o.served) }
+func rejectedShare(o outcome) float64 { return float64(o.rejected) / float64(o.rejected+o.served) }
 
-// playWay is world.play for a way without hosts of its own.
-func playWay(may way, hosts int, rate float64, host func(*rand.Rand, int) int) outcome {
+// runAdmit is simulation.run for an admit function.
+func runAdmit(admits admit, hosts int, rate float64, host func(*rand.Rand, int) int) outcome {
 	random := rand.New(rand.NewPCG(1, uint64(hosts)))
-	now := waysBegin
+	now := simulationStart
 	var out outcome
 	const seconds = 12
 	served := make([]int, seconds*1000)
@@ -94,11 +94,11 @@
 	for ms := range served {
 		now = now.Add(time.Millisecond)
 		for due += rate / 1000; due >= 1; due-- {
-			if may(now, host(random, hosts)) {
+			if admits(now, host(random, hosts)) {
 				served[ms]++
 				out.served++
 			} else {
-				out.refused++
+				out.rejected++
 			}
 		}
 	}
