--- a/pkg/queue/queue.go
+++ b/pkg/queue/queue.go
@@ -2,13 +2,14 @@
 // of an upstream group.
 //
 // The queue is bounded and ordered by priority, then by target. A request that
-// can't be answered within its target at the observed pace is given up at once, and
-// none waits longer than half of the time that it had. When the queue is full,
-// the highest priority pushes out the lowest. One in FairEvery takes goes to
-// the lowest priority that waits, so that none starves for ever.
+// can't be answered within its target at the current pace is dropped at once, and
+// none waits longer than half of the time between its arrival and its deadline. If
+// the queue is full, a new entry evicts the last one if that has a lower priority.
+// One in FairEvery takes serves the lowest queued priority, so that it does not
+// starve.
 //
-// Nothing here reads a clock, starts a goroutine or blocks. A Queue is not
-// safe for concurrent use; a ServiceTime is.
+// The package reads no clock, starts no goroutines and does not block. A Queue is
+// not safe for concurrent use; a ServiceTime is.
 package queue
 
 import (
@@ -20,7 +21,7 @@
 // Priority orders entries; a lower number goes first.
 type Priority uint8
 
-// The priorities, first to last.
+// The priorities, highest first.
 const (
 	High Priority = iota
 	Normal
@@ -28,52 +29,54 @@
 )
 
 const (
-	// FairEvery is the number of takes of which one goes to the lowest priority.
+	// FairEvery is the number of takes of which one serves the lowest queued priority.
 	FairEvery = 16
-	// waitShare divides the time that an entry had at arrival; it waits no longer.
+	// waitShare is the divisor of the time between an entry's arrival and its deadline
+	// that gives its longest wait.
 	waitShare = 2
 )
 
-// Reason says why an entry was not kept. It is a constant text for events.
+// Reason states why an entry was rejected or dropped. The texts appear in events.
 type Reason string
 
-// The reasons for giving an entry up.
+// The values of Reason.
 const (
-	// Queued means that the entry waits.
+	// Queued means that the entry is queued.
 	Queued Reason = ""
-	// Full is a queue full of entries of the same or a higher priority.
+	// Full means that the queue is full of entries of the same or a higher priority.
 	Full Reason = "queue-full"
-	// Evicted is an entry that made room for a higher priority.
+	// Evicted means that an entry of a higher priority took the place of the entry.
 	Evicted Reason = "pushed-out"
-	// DeadlineUnreachable is an entry that can't be answered within its target.
+	// DeadlineUnreachable means that the entry can't be answered within its target.
 	DeadlineUnreachable Reason = "cannot-make-deadline"
-	// WaitLimitReached is an entry that waited half of the time that it had.
+	// WaitLimitReached means that the entry's longest wait has passed, or would pass before
+	// it is served.
 	WaitLimitReached Reason = "waited-half-its-time"
 )
 
-// Entry is one waiting request. The same Entry is handed back when it leaves.
+// Entry is one queued request. Methods that take entries out return the same pointer.
 type Entry[T any] struct {
-	// Value is the caller's.
+	// Value belongs to the user of the queue.
 	Value T
-	// Priority comes first in the order.
+	// Priority is the first sort key.
 	Priority Priority
-	// Target is when the target latency passes; it comes second in the order. Zero
-	// means Deadline.
+	// Target is when the target latency is exceeded; it is the second sort key. Zero means
+	// Deadline.
 	Target time.Time
-	// Deadline is when the caller stops waiting.
+	// Deadline is when the caller stops waiting for a response.
 	Deadline time.Time
-	// Service is how long the request takes at an upstream; 0 means the pace's.
+	// Service is the expected service time at an upstream; 0 means that of the pace.
 	Service time.Duration
 
-	seq    uint64
-	giveUp time.Time
+	seq       uint64
+	waitLimit time.Time
 }
 
-// Dropped is an entry that was given up, and why.
+// Dropped is an entry that was dropped.
 type Dropped[T any] struct {
-	// Entry is the entry; it is no longer in the queue.
+	// Entry is no longer in the queue.
 	Entry *Entry[T]
-	// Reason says which bound gave it up.
+	// Reason is the bound that the entry exceeded.
 	Reason Reason
 }
 
@@ -88,47 +91,47 @@
 // New returns an empty queue that holds at most max entries.
 func New[T any](max int) *Queue[T] { return &Queue[T]{max: max} }
 
-// SetMax changes the bound. Entries over it stay until they leave.
+// SetMax changes the bound. Queued entries above it are not evicted.
 func (q *Queue[T]) SetMax(max int) { q.max = max }
 
-// Len returns the number of entries that wait.
+// Len returns the number of queued entries.
 func (q *Queue[T]) Len() int { return len(q.entries) }
 
-// Push adds e at now. It returns Queued, or the reason why e was refused. In a
-// full queue, the entry that e pushed out is returned too; otherwise nil.
+// Push adds e. It returns Queued, or the reason why e was rejected, and the entry that e
+// evicted from a full queue, if any.
 func (q *Queue[T]) Push(now time.Time, e *Entry[T], p Pace) (Reason, *Entry[T]) {
 	q.seq++
 	e.seq = q.seq
-	e.giveUp = now.Add(e.Deadline.Sub(now) / waitShare)
+	e.waitLimit = now.Add(e.Deadline.Sub(now) / waitShare)
 	if e.Target.IsZero() {
 		e.Target = e.Deadline
 	}
-	at := q.place(e)
+	at := q.position(e)
 	if reason := e.reject(now, at, p); reason != Queued {
 		return reason, nil
 	}
-	var out *Entry[T]
+	var evicted *Entry[T]
 	if len(q.entries) >= q.max {
 		last := len(q.entries) - 1
 		if last < 0 || q.entries[last].Priority <= e.Priority {
 			return Full, nil
 		}
-		out = q.entries[last]
+		evicted = q.entries[last]
 		q.entries = slices.Delete(q.entries, last, last+1)
 	}
 	q.entries = slices.Insert(q.entries, at, e)
-	return Queued, out
+	return Queued, evicted
 }
 
-// Return puts back an entry that was taken but found no slot. It keeps its
-// place and its bound on waiting, and may exceed the queue's bound. The take
-// does not count.
+// Return puts back an entry that was taken but found no free slot. The entry keeps its
+// position and its longest wait, and may exceed the queue's bound. The take does not count
+// towards FairEvery.
 func (q *Queue[T]) Return(e *Entry[T]) {
 	q.takes--
-	q.entries = slices.Insert(q.entries, q.place(e), e)
+	q.entries = slices.Insert(q.entries, q.position(e), e)
 }
 
-// Take removes and returns the entry whose turn it is, or nil.
+// Take removes and returns the next entry, or nil if the queue is empty.
 func (q *Queue[T]) Take() *Entry[T] {
 	if len(q.entries) == 0 {
 		return nil
@@ -143,7 +146,7 @@
 	return e
 }
 
-// Remove takes e out of the queue. It reports false if e is not in it.
+// Remove removes e from the queue. It returns false if e is not queued.
 func (q *Queue[T]) Remove(e *Entry[T]) bool {
 	at := slices.Index(q.entries, e)
 	if at < 0 {
@@ -153,8 +156,8 @@
 	return true
 }
 
-// DropExpired removes and returns the entries that can't be served in time any
-// more, in queue order.
+// DropExpired removes and returns the entries that can no longer be served in time, in queue
+// order.
 func (q *Queue[T]) DropExpired(now time.Time, p Pace) []Dropped[T] {
 	var out []Dropped[T]
 	kept := q.entries[:0]
@@ -170,9 +173,9 @@
 	return out
 }
 
-// place returns the index at which e belongs.
-func (q *Queue[T]) place(e *Entry[T]) int {
-	at, _ := slices.BinarySearchFunc(q.entries, e, order[T])
+// position returns the index at which e belongs.
+func (q *Queue[T]) position(e *Entry[T]) int {
+	at, _ := slices.BinarySearchFunc(q.entries, e, compare[T])
 	return at
 }
 
@@ -184,7 +187,7 @@
 	return at
 }
 
-func order[T any](a, b *Entry[T]) int {
+func compare[T any](a, b *Entry[T]) int {
 	return cmp.Or(
 		cmp.Compare(a.Priority, b.Priority),
 		a.Target.Compare(b.Target),
@@ -192,21 +195,22 @@
 	)
 }
 
-// service is how long e takes at an upstream.
-func (e *Entry[T]) service(p Pace) time.Duration {
+// serviceTime returns the expected service time of e at an upstream.
+func (e *Entry[T]) serviceTime(p Pace) time.Duration {
 	if e.Service > 0 {
 		return e.Service
 	}
 	return p.Service
 }
 
-// reject says why e, with ahead entries before it, should not wait.
+// reject returns the reason why e, with ahead entries before it, should not be queued, or
+// Queued.
 func (e *Entry[T]) reject(now time.Time, ahead int, p Pace) Reason {
 	wait := p.wait(ahead)
-	if now.Add(wait + e.service(p)).After(e.Target) {
+	if now.Add(wait + e.serviceTime(p)).After(e.Target) {
 		return DeadlineUnreachable
 	}
-	if now.Add(wait).After(e.giveUp) {
+	if now.Add(wait).After(e.waitLimit) {
 		return WaitLimitReached
 	}
 	return Queued
--- a/pkg/queue/queue_test.go
+++ b/pkg/queue/queue_test.go
@@ -68,17 +68,17 @@
 	is.Equal(reason, queue.Queued)
 	reason, _ = q.Push(start, entry("", queue.High, time.Second), pace)
 	is.Equal(reason, queue.Full)
-	given := q.DropExpired(start.Add(500*time.Millisecond), pace)
-	is.Equal(len(given), 1)
-	is.Equal(given[0].Reason, queue.WaitLimitReached)
+	dropped := q.DropExpired(start.Add(500*time.Millisecond), pace)
+	is.Equal(len(dropped), 1)
+	is.Equal(dropped[0].Reason, queue.WaitLimitReached)
 }
 
-// TestTarget: an entry may wait as long as it can be answered within its target, in
-// the time that requests of its kind take, and is told at once when it can't.
+// TestTarget: an entry is queued for as long as it can be answered within its target, dropped
+// its expected service time, and is rejected or dropped as soon as it can't.
 func TestTarget(t *testing.T) {
 	is := is.New(t)
 	const ms = time.Millisecond
-	pace := queue.Pace{Service: 200 * ms, Parallel: 4} // one ends every 50 ms
+	pace := queue.Pace{Service: 200 * ms, Parallel: 4} // one finishes every 50 ms
 	q := queue.New[string](64)
 	push := func(v string, target, service time.Duration) queue.Reason {
 		e := entry(v, queue.Normal, 2000*ms)
@@ -91,14 +91,14 @@
 	is.Equal(push("too long", 400*ms, 380*ms), queue.DeadlineUnreachable)
 	is.Equal(push("short", 150*ms, 20*ms), queue.Queued)
 	is.Equal(push("no time", 150*ms, 0), queue.DeadlineUnreachable)
-	given := q.DropExpired(start.Add(200*ms), pace)
-	is.Equal(len(given), 2) // 200 and 150 ms from now are too little after a wait
-	is.Equal(given[0].Entry.Value, "short")
-	is.Equal(given[1].Entry.Value, "sooner")
+	dropped := q.DropExpired(start.Add(200*ms), pace)
+	is.Equal(len(dropped), 2) // one target has passed, and 200 ms are too short after a wait of 50 ms
+	is.Equal(dropped[0].Entry.Value, "short")
+	is.Equal(dropped[1].Entry.Value, "sooner")
 	is.Equal(q.Take().Value, "later")
 }
 
-func TestLowIsNotStarved(t *testing.T) {
+func TestLowPriorityIsNotStarved(t *testing.T) {
 	is := is.New(t)
 	q := queue.New[string](64)
 	q.Push(start, entry("low", queue.Low, time.Second), queue.Pace{})
@@ -113,8 +113,8 @@
 	is.Equal(takes, queue.FairEvery)
 }
 
-// TestNoEntryIsLost drives random operations: each entry leaves exactly once,
-// the bound holds, and nobody waits past half of its time.
+// TestNoEntryIsLost runs random operations: each entry leaves exactly once, the queue keeps
+// its bound, and no entry waits longer than half of the time until its deadline.
 func TestNoEntryIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := rapid.IntRange(1, 8).Draw(t, "bound")
@@ -125,7 +125,7 @@
 		pushed := 0
 		leave := func(e *queue.Entry[int]) {
 			if _, ok := waiting[e]; !ok {
-				t.Fatalf("entry %d left twice or never waited", e.Value)
+				t.Fatalf("entry %d left twice or was never queued", e.Value)
 			}
 			delete(waiting, e)
 		}
@@ -146,7 +146,7 @@
 			}
 			if out != nil {
 				if out.Priority <= e.Priority {
-					t.Fatalf("priority %d pushed out %d", e.Priority, out.Priority)
+					t.Fatalf("priority %d evicted %d", e.Priority, out.Priority)
 				}
 				leave(out)
 			}
@@ -170,7 +170,7 @@
 					return
 				}
 				if !q.Remove(e) || q.Remove(e) {
-					t.Fatalf("remove")
+					t.Fatalf("Remove of a queued entry must succeed exactly once")
 				}
 				leave(e)
 			},
@@ -181,7 +181,7 @@
 				}
 				for e, until := range waiting {
 					if now.After(until) {
-						t.Fatalf("entry %d still waits", e.Value)
+						t.Fatalf("entry %d is queued past its longest wait", e.Value)
 					}
 				}
 			},
@@ -221,7 +221,7 @@
 	}
 }
 
-func BenchmarkGiveUp64(b *testing.B) {
+func BenchmarkDropExpired64(b *testing.B) {
 	q := queue.New[int](64)
 	for i := range 64 {
 		q.Push(start, &queue.Entry[int]{Value: i, Deadline: start.Add(time.Hour)}, queue.Pace{})
