--- a/pkg/poison/fingerprint.go
+++ b/pkg/poison/fingerprint.go
@@ -1,6 +1,7 @@
-// Package poison tells the requests under which upstreams end from those that were
-// merely there: a request that ends each upstream which runs it would, asked again and
-// again, end a whole service.
+// Package poison finds poison requests: requests that crash each upstream that runs
+// them. Repeated by its caller, such a request would crash all upstreams of a service.
+// The package distinguishes them from requests that were only in flight when an upstream
+// crashed.
 //
 // The package does no I/O and reads no clock. A Table is safe for concurrent use.
 package poison
@@ -12,31 +13,31 @@
 	"io"
 )
 
-// Fingerprint names a request by what it asks for, so that it is known again when it
-// is asked anew, through any entry host. It is the same on all hosts. The Host header is
-// no part of it: callers may name each entry host by its address. Fingerprints that
-// callers could forge would let them have the requests of others refused: Content and
-// Caller are cut from a cryptographic hash.
+// Fingerprint identifies a request by its contents, so that a repeated request is
+// recognised at any entry host. It is the same on all hosts. It leaves out the Host header,
+// because callers may address each entry host by its IP address. Content and Caller are
+// truncated from a cryptographic hash: callers that could forge fingerprints could cause the
+// requests of other callers to be refused.
 type Fingerprint struct {
-	// Target stands for the service and target alone; it is cheap, and only sorts out.
+	// Target is a cheap hash of the service and target, for a first lookup.
 	Target uint64
-	// Content stands for method, service, target and body.
+	// Content is a hash of the method, service, target and body.
 	Content uint64
-	// Caller stands for Content and who asks.
+	// Caller is a hash of Content and the caller.
 	Caller uint64
 }
 
-// Target returns the first part of a fingerprint.
+// Target returns the Target of a fingerprint.
 func Target(service, target string) uint64 { return Hash(service, target) }
 
-// FNV-1a, 64 bits.
+// Parameters of 64-bit FNV-1a.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// Hash returns a number for a name of two parts that is the same on all hosts. It is
-// FNV-1a without the allocations of the standard library's.
+// Hash returns a hash of two strings that is the same on all hosts. It is FNV-1a without the
+// allocations of the standard library's implementation.
 func Hash(a, b string) uint64 {
 	h := uint64(fnvOffset)
 	for _, part := range [...]string{a, b} {
@@ -47,8 +48,8 @@
 	return h
 }
 
-// FingerprintOf returns the fingerprint of a request to a service, which is the name of the document
-// whose rule it matched.
+// FingerprintOf returns the fingerprint of a request. The service is the name of the document
+// whose rule the request matched.
 func FingerprintOf(method, service, target string, body []byte, caller string) Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{method, service, target} {
@@ -66,7 +67,8 @@
 	}
 }
 
-// writePart writes a text behind its length, so that two parts never run together.
+// writePart writes a string with its length as a prefix, so that the boundaries of parts are
+// unambiguous.
 func writePart(w io.Writer, part string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
@@ -74,6 +76,6 @@
 	_, _ = io.WriteString(w, part)
 }
 
-// String returns the form in logs: equal first halves are the same request, equal
-// second halves the same request of the same caller.
+// String returns the form for logs. The first half identifies the request, the second half
+// the request and its caller.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x-%016x", f.Content, f.Caller) }
--- a/pkg/poison/fingerprint_test.go
+++ b/pkg/poison/fingerprint_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// TestFingerprint: what makes two requests the same.
+// TestFingerprint: which differences between requests change which parts of a fingerprint.
 func TestFingerprint(t *testing.T) {
 	base := FingerprintOf("GET", "shop", "/lots/1", []byte("b"), "10.0.0.1")
 	for name, test := range map[string]struct {
@@ -19,7 +19,7 @@
 		"another method":      {FingerprintOf("PUT", "shop", "/lots/1", []byte("b"), "10.0.0.1"), true, false, false},
 		"another target":      {FingerprintOf("GET", "shop", "/lots/2", []byte("b"), "10.0.0.1"), false, false, false},
 		"another service":     {FingerprintOf("GET", "yard", "/lots/1", []byte("b"), "10.0.0.1"), false, false, false},
-		"parts that run over": {FingerprintOf("GET", "shop/", "lots/1", []byte("b"), "10.0.0.1"), true, false, false},
+		"other part boundary": {FingerprintOf("GET", "shop/", "lots/1", []byte("b"), "10.0.0.1"), true, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- /dev/null
+++ b/pkg/poison/rebroadcast.go
@@ -0,0 +1,9 @@
+package poison
+
+import "time"
+
+// RebroadcastPeriod is how long a crash is rebroadcast that does not cause its request to be
+// refused. Each crash is sent to all hosts at once, so that the third one is known everywhere
+// within milliseconds. Rebroadcasts cover lost messages and hosts that start, for as long as
+// the crash counts.
+const RebroadcastPeriod = 5 * time.Second
--- a/pkg/poison/table.go
+++ b/pkg/poison/table.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// Crash is the end of an upstream while it ran a request.
+// Crash is the crash of an upstream while it ran a request.
 type Crash struct {
-	// Request is what it ran.
+	// Request is the request that ran.
 	Request Fingerprint
-	// Upstream names it, and Host the entry host that saw it: the same on all hosts.
+	// Upstream identifies the upstream, and Host the entry host that observed the crash. Both
+	// are the same on all hosts.
 	Upstream, Host uint64
 	// SentAt is when the request was sent, and EndedAt when the connection ended, by the
 	// clock of the host that holds this value.
@@ -19,68 +20,71 @@
 }
 
 const (
-	// minEnds is how many upstreams have to end under a request before it is refused.
-	// One or two end under many that were merely there: of 32 such requests of one
-	// incident four had lost two sends.
-	minEnds = 3
-	// minEndsOfAll, minCallers and minSpan are what it takes to refuse a request whoever
-	// asks. A page that many callers ask for is in flight at most upstreams at any time, so
-	// that three ends under another request may meet it: with a bound of three ends and two
-	// callers, one of seven such pages was refused in a simulated incident. Within half a
-	// second and five ends it is answered somewhere.
-	minEndsOfAll = 5
-	minCallers   = 3
-	minSpan      = 500 * time.Millisecond
-	// quarantine is how long a request is refused after the last end, at first. Each
-	// time that an upstream ends under it afterwards, it is quarantineGrowth times as
-	// long: one that stays deadly ends 3 upstreams at once and 4 more within a day.
-	quarantine       = 5 * time.Minute
-	quarantineGrowth = 4
-	maxQuarantine    = 24 * time.Hour
-	// keepFor is how long an end without a quarantine is remembered.
-	keepFor = 30 * time.Minute
-	// sameEnd is the longest time between two reports of one end of an upstream: one
-	// that starts again under its id takes longer to be back and to end once more.
-	sameEnd = time.Second
-	// killSlack is how long it takes to kill many upstreams together: what is sent again
-	// meanwhile may meet the next one. The ends that two hosts saw differ by hostSlack
-	// too, which is what a report's way and a busy host may add.
+	// minCrashes is how many upstreams have to crash under a request before it is refused.
+	// One or two crashes also happen under requests that were only in flight: in one
+	// incident, 4 of 32 such requests had lost two attempts.
+	minCrashes = 3
+	// minCrashesAnyCaller, minCallers and minSpan are the conditions for refusing a request of
+	// any caller. A page that many callers request is in flight at most upstreams at any time,
+	// so that three crashes under another request may coincide with it: with a bound of three
+	// crashes and two callers, one of seven such pages was refused in a simulated incident.
+	// Within half a second and five crashes, such a page is answered by some upstream.
+	minCrashesAnyCaller = 5
+	minCallers          = 3
+	minSpan             = 500 * time.Millisecond
+	// initialQuarantine is how long a request is refused after the last crash. Each later
+	// crash after a quarantine multiplies the duration by quarantineGrowth: a request that
+	// keeps crashing upstreams crashes 3 at first and 4 more within a day.
+	initialQuarantine = 5 * time.Minute
+	quarantineGrowth  = 4
+	maxQuarantine     = 24 * time.Hour
+	// crashRetention is how long a crash without a quarantine is remembered.
+	crashRetention = 30 * time.Minute
+	// sameCrashWindow is the longest time between two reports of one crash of an upstream. An
+	// upstream that restarts under its id takes longer to return and crash again.
+	sameCrashWindow = time.Second
+	// killSlack is how long it takes to kill many upstreams together; a retry in the meantime
+	// may reach the next one that is killed. If different hosts observed the crashes,
+	// hostSlack applies, which allows for the delay of a report and for a busy host.
 	killSlack = 10 * time.Millisecond
 	hostSlack = 50 * time.Millisecond
-	// maxSuspects bounds the requests remembered, and maxDeaths the ends of each: by the
-	// size of a Crash, 88 bytes, 1.4 MB together.
+	// maxSuspects bounds the number of suspects, and maxCrashes the crashes of each. At 88
+	// bytes for a Crash, they take at most 1.4 MB.
 	maxSuspects = 1024
-	maxDeaths   = 16
-	// expireEvery is how often what is long ago is looked for.
-	expireEvery = time.Minute
-	// answeredEvery is how often the others are told again that a suspect was answered.
-	answeredEvery = time.Second
+	maxCrashes  = 16
+	// expireInterval is the interval between removals of expired suspects.
+	expireInterval = time.Minute
+	// answeredInterval is the shortest interval at which other hosts are notified again that
+	// a suspect was answered.
+	answeredInterval = time.Second
 )
 
-// suspect is a request under which upstreams ended.
+// suspect is a request under which upstreams crashed.
 type suspect struct {
-	target uint64
-	deaths []Crash // the oldest end first
-	// answered is when it was last answered, whoever asked.
+	target  uint64
+	crashes []Crash // by EndedAt, oldest first
+	// answered is when the request was last answered, for any caller.
 	answered time.Time
 }
 
-// Table remembers under which requests upstreams ended, here or at other hosts, and
-// says which requests are refused for it. A request is refused if three upstreams ended
-// under it, at least one of them was sent it after another had ended, and it was not
-// answered meanwhile. So upstreams that end together for a reason of their own get no
-// request refused, and neither does a request that was merely there a few times.
+// Table records under which requests upstreams crashed, on this host or on others, and
+// determines which requests are refused. A request is refused if three upstreams crashed
+// under it, at least one of them was sent the request after another had crashed, and the
+// request was not answered in the meantime. Upstreams that crash together for a reason of
+// their own therefore cause no refusals, and neither does a request that was only in flight
+// at a few crashes.
 //
-// What counts is the request of one caller. The requests of other callers with the same
-// content are refused too after five ends over half a second under those of three callers,
-// of which none was answered: then it is not the caller that matters.
+// These rules apply to the request of one caller. Requests of other callers with the same
+// content are refused too after five crashes over at least half a second under requests of
+// three callers, none of which was answered: then the content is the cause, and not the
+// caller.
 type Table struct {
-	count atomic.Int64 // of suspects, so that the usual case takes no lock
+	count atomic.Int64 // of suspects; avoids the lock if there are none
 
 	mu       sync.RWMutex
 	suspects map[uint64]*suspect // by content
-	targets  map[uint64]int      // how many suspects have a target
-	expired  time.Time           // when expire last looked
+	targets  map[uint64]int      // number of suspects by target
+	expired  time.Time           // when expire last ran
 }
 
 // NewTable returns a table without suspects.
@@ -88,9 +92,8 @@
 	return &Table{suspects: make(map[uint64]*suspect), targets: make(map[uint64]int)}
 }
 
-// HasSuspect reports whether some request with this service and target is remembered. Of one
-// that is not, no fingerprint is needed: where nothing is remembered, asking costs 4 ns, and
-// 28 ns where others are.
+// HasSuspect reports whether a suspect has this service and target. If not, the caller needs
+// no fingerprint. The call takes 4 ns if there are no suspects, and 28 ns if there are others.
 func (t *Table) HasSuspect(service, target string) bool {
 	if t.count.Load() == 0 {
 		return false
@@ -101,7 +104,7 @@
 	return t.targets[key] > 0
 }
 
-// RefusedUntil returns until when a request is refused; the zero time if it is not.
+// RefusedUntil returns until when a request is refused, or the zero time if it is not refused.
 func (t *Table) RefusedUntil(now time.Time, f Fingerprint) time.Time {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -113,9 +116,9 @@
 	if s == nil {
 		return time.Time{}
 	}
-	until := refusedUntil(s.of(f.Caller), minEnds)
-	if all := s.unanswered(); whoeverAsks(all) {
-		until = later(until, refusedUntil(all, minEndsOfAll))
+	until := quarantineEnd(s.ofCaller(f.Caller), minCrashes)
+	if all := s.unanswered(); independentOfCaller(all) {
+		until = later(until, quarantineEnd(all, minCrashesAnyCaller))
 	}
 	if !now.Before(until) {
 		return time.Time{}
@@ -123,7 +126,7 @@
 	return until
 }
 
-// CrashCount returns how many upstreams are known to have ended under a request of its caller.
+// CrashCount returns the number of crashes that are known under a request of its caller.
 func (t *Table) CrashCount(f Fingerprint) int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -131,39 +134,39 @@
 	if s == nil {
 		return 0
 	}
-	return len(ends(s.of(f.Caller)))
+	return len(distinct(s.ofCaller(f.Caller)))
 }
 
-// RecordResult says what a report changed.
+// RecordResult is the result of recording a crash.
 type RecordResult struct {
-	// New is true for an end that was not known.
+	// New is true if the crash was not known.
 	New bool
-	// RefusedUntil is until when its request is refused; zero if it is not.
+	// RefusedUntil is until when the request is refused; zero if it is not refused.
 	RefusedUntil time.Time
-	// NewlyRefused is true if that is due to this report.
+	// NewlyRefused is true if the request is refused because of this report.
 	NewlyRefused bool
-	// Crashes is the number of ends known under the request.
+	// Crashes is the number of crashes that are known under the request.
 	Crashes int
 }
 
-// RecordCrash takes in an end.
-func (t *Table) RecordCrash(now time.Time, d Crash) RecordResult {
+// RecordCrash records a crash.
+func (t *Table) RecordCrash(now time.Time, c Crash) RecordResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire(now)
-	s := t.suspects[d.Request.Content]
+	s := t.suspects[c.Request.Content]
 	if s == nil {
-		s = t.add(d.Request)
+		s = t.add(c.Request)
 	}
-	before := t.refusedUntil(now, d.Request)
-	isNew := s.add(d)
-	after := t.refusedUntil(now, d.Request)
-	return RecordResult{New: isNew, RefusedUntil: after, NewlyRefused: before.IsZero() && !after.IsZero(), Crashes: len(ends(s.deaths))}
+	before := t.refusedUntil(now, c.Request)
+	isNew := s.add(c)
+	after := t.refusedUntil(now, c.Request)
+	return RecordResult{New: isNew, RefusedUntil: after, NewlyRefused: before.IsZero() && !after.IsZero(), Crashes: len(distinct(s.crashes))}
 }
 
-// RecordAnswer takes in that a request was answered by an upstream that still runs. It
-// reports whether the other hosts should know, and whether it was refused until now.
-func (t *Table) RecordAnswer(now time.Time, f Fingerprint) (tell, lifted bool) {
+// RecordAnswer records that a request was answered by an upstream that still runs. It reports
+// whether to notify the other hosts, and whether the request was refused until now.
+func (t *Table) RecordAnswer(now time.Time, f Fingerprint) (notify, lifted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.suspects[f.Content]
@@ -171,18 +174,18 @@
 		return false, false
 	}
 	lifted = !t.refusedUntil(now, f).IsZero()
-	mine := len(s.of(f.Caller))
-	tell = mine > 0 || now.Sub(s.answered) >= answeredEvery
+	ofCaller := len(s.ofCaller(f.Caller))
+	notify = ofCaller > 0 || now.Sub(s.answered) >= answeredInterval
 	s.answered = now
-	s.deaths = slices.DeleteFunc(s.deaths, func(d Crash) bool { return d.Request.Caller == f.Caller })
-	if len(s.deaths) == 0 {
+	s.crashes = slices.DeleteFunc(s.crashes, func(c Crash) bool { return c.Request.Caller == f.Caller })
+	if len(s.crashes) == 0 {
 		t.remove(f.Content)
 	}
-	return tell, lifted
+	return notify, lifted
 }
 
-// RecentCrashes returns the ends that a host which missed them should hear of: those under
-// requests that are refused, and those of the last moments.
+// RecentCrashes returns the crashes to rebroadcast: those under requests that are refused, and
+// those within the given time.
 func (t *Table) RecentCrashes(now time.Time, within time.Duration) []Crash {
 	if t.count.Load() == 0 {
 		return nil
@@ -191,16 +194,16 @@
 	defer t.mu.RUnlock()
 	var out []Crash
 	for _, s := range t.suspects {
-		for _, d := range s.deaths {
-			if now.Sub(d.EndedAt) < within || !t.refusedUntil(now, d.Request).IsZero() {
-				out = append(out, d)
+		for _, c := range s.crashes {
+			if now.Sub(c.EndedAt) < within || !t.refusedUntil(now, c.Request).IsZero() {
+				out = append(out, c)
 			}
 		}
 	}
 	return out
 }
 
-// add makes room for a suspect.
+// add adds a suspect. If the table is full, it replaces the oldest one.
 func (t *Table) add(f Fingerprint) *suspect {
 	if len(t.suspects) >= maxSuspects {
 		t.remove(t.oldest())
@@ -221,7 +224,7 @@
 	t.count.Store(int64(len(t.suspects)))
 }
 
-// oldest returns the suspect whose last end is the longest ago.
+// oldest returns the content of the suspect with the oldest last crash.
 func (t *Table) oldest() uint64 {
 	var content uint64
 	var at time.Time
@@ -233,125 +236,126 @@
 	return content
 }
 
-// expire forgets what is long ago. One that was refused is remembered for as long again:
-// the next end renews its quarantine.
+// expire removes expired suspects. A request that was refused is remembered for the duration
+// of its quarantine once more, in which the next crash renews the quarantine.
 func (t *Table) expire(now time.Time) {
-	if now.Sub(t.expired) < expireEvery {
+	if now.Sub(t.expired) < expireInterval {
 		return
 	}
 	t.expired = now
 	for content, s := range t.suspects {
-		if now.Sub(s.last()) > keepFor && now.Sub(s.last()) > 2*length(s.deaths) {
+		if now.Sub(s.last()) > crashRetention && now.Sub(s.last()) > 2*quarantineDuration(s.crashes) {
 			t.remove(content)
 		}
 	}
 }
 
-// add takes in an end in its order, and reports whether it was not known.
-func (s *suspect) add(d Crash) bool {
-	if slices.ContainsFunc(s.deaths, func(known Crash) bool {
-		return known.Request.Caller == d.Request.Caller && same(known, d)
+// add inserts a crash in order, and reports whether it was not known.
+func (s *suspect) add(c Crash) bool {
+	if slices.ContainsFunc(s.crashes, func(known Crash) bool {
+		return known.Request.Caller == c.Request.Caller && sameCrash(known, c)
 	}) {
 		return false
 	}
-	s.deaths = append(s.deaths, d)
-	slices.SortStableFunc(s.deaths, func(a, b Crash) int { return a.EndedAt.Compare(b.EndedAt) })
-	s.deaths = s.deaths[max(0, len(s.deaths)-maxDeaths):]
+	s.crashes = append(s.crashes, c)
+	slices.SortStableFunc(s.crashes, func(a, b Crash) int { return a.EndedAt.Compare(b.EndedAt) })
+	s.crashes = s.crashes[max(0, len(s.crashes)-maxCrashes):]
 	return true
 }
 
-// of returns the ends under the request of one caller.
-func (s *suspect) of(caller uint64) []Crash {
-	return filter(s.deaths, func(d Crash) bool { return d.Request.Caller == caller })
+// ofCaller returns the crashes under the request of one caller.
+func (s *suspect) ofCaller(caller uint64) []Crash {
+	return filter(s.crashes, func(c Crash) bool { return c.Request.Caller == caller })
 }
 
-// unanswered returns the ends since the request was last answered to anyone.
+// unanswered returns the crashes since the request was last answered, for any caller.
 func (s *suspect) unanswered() []Crash {
-	return filter(s.deaths, func(d Crash) bool { return d.EndedAt.After(s.answered) })
+	return filter(s.crashes, func(c Crash) bool { return c.EndedAt.After(s.answered) })
 }
 
-// last returns when an upstream last ended under it.
+// last returns when an upstream last crashed under the request.
 func (s *suspect) last() time.Time {
-	if len(s.deaths) == 0 {
+	if len(s.crashes) == 0 {
 		return s.answered
 	}
-	return s.deaths[len(s.deaths)-1].EndedAt
+	return s.crashes[len(s.crashes)-1].EndedAt
 }
 
-func filter(deaths []Crash, keep func(Crash) bool) []Crash {
+func filter(crashes []Crash, keep func(Crash) bool) []Crash {
 	var out []Crash
-	for _, d := range deaths {
-		if keep(d) {
-			out = append(out, d)
+	for _, c := range crashes {
+		if keep(c) {
+			out = append(out, c)
 		}
 	}
 	return out
 }
 
-// whoeverAsks reports whether ends under the requests of several callers show that the
-// caller does not matter.
-func whoeverAsks(deaths []Crash) bool {
-	if len(deaths) < minEndsOfAll || deaths[len(deaths)-1].EndedAt.Sub(deaths[0].EndedAt) < minSpan {
+// independentOfCaller reports whether crashes under the requests of several callers show that
+// the caller is not the cause.
+func independentOfCaller(crashes []Crash) bool {
+	if len(crashes) < minCrashesAnyCaller || crashes[len(crashes)-1].EndedAt.Sub(crashes[0].EndedAt) < minSpan {
 		return false
 	}
 	callers := make(map[uint64]bool)
-	for _, d := range deaths {
-		callers[d.Request.Caller] = true
+	for _, c := range crashes {
+		callers[c.Request.Caller] = true
 	}
 	return len(callers) >= minCallers
 }
 
-// same reports whether two reports are of one end: several requests ran there.
-func same(a, b Crash) bool {
-	return a.Upstream == b.Upstream && a.EndedAt.Sub(b.EndedAt).Abs() < sameEnd
+// sameCrash reports whether two reports are of one crash of an upstream, at which several
+// requests were in flight.
+func sameCrash(a, b Crash) bool {
+	return a.Upstream == b.Upstream && a.EndedAt.Sub(b.EndedAt).Abs() < sameCrashWindow
 }
 
-// ends returns one report of each end.
-func ends(deaths []Crash) []Crash {
+// distinct returns one report of each crash.
+func distinct(crashes []Crash) []Crash {
 	var out []Crash
-	for _, d := range deaths {
-		if !slices.ContainsFunc(out, func(known Crash) bool { return same(known, d) }) {
-			out = append(out, d)
+	for _, c := range crashes {
+		if !slices.ContainsFunc(out, func(known Crash) bool { return sameCrash(known, c) }) {
+			out = append(out, c)
 		}
 	}
 	return out
 }
 
-// refusedUntil returns until when a request with these ends is refused; the zero time if
-// they prove nothing.
-func refusedUntil(deaths []Crash, least int) time.Time {
-	if len(deaths) < least || len(ends(deaths)) < least || !followed(deaths) {
+// quarantineEnd returns until when a request with these crashes is refused, or the zero time
+// if they don't show that the request is the cause.
+func quarantineEnd(crashes []Crash, least int) time.Time {
+	if len(crashes) < least || len(distinct(crashes)) < least || !sentAfterCrash(crashes) {
 		return time.Time{}
 	}
-	return deaths[len(deaths)-1].EndedAt.Add(length(deaths))
+	return crashes[len(crashes)-1].EndedAt.Add(quarantineDuration(crashes))
 }
 
-// followed reports whether an upstream was sent the request after another had ended
-// under it. Upstreams that a failure domain takes with it end without that.
-func followed(deaths []Crash) bool {
-	for i, first := range deaths {
-		if slices.ContainsFunc(deaths[i+1:], first.before) {
+// sentAfterCrash reports whether an upstream was sent the request after another had crashed
+// under it. That is not the case for upstreams that are lost with their failure domain.
+func sentAfterCrash(crashes []Crash) bool {
+	for i, first := range crashes {
+		if slices.ContainsFunc(crashes[i+1:], first.precedes) {
 			return true
 		}
 	}
 	return false
 }
 
-// before reports whether an upstream had ended when the request of the next was sent.
-func (d Crash) before(next Crash) bool {
+// precedes reports whether an upstream had crashed when the request was sent to the next.
+func (c Crash) precedes(next Crash) bool {
 	slack := killSlack
-	if next.Host != d.Host {
+	if next.Host != c.Host {
 		slack = hostSlack
 	}
-	return next.SentAt.Sub(d.EndedAt) >= slack
+	return next.SentAt.Sub(c.EndedAt) >= slack
 }
 
-// length returns how long a request with these ends is refused: longer for each time
-// that one ended after a quarantine.
-func length(deaths []Crash) time.Duration {
-	out := quarantine
-	for i := 1; i < len(deaths) && out < maxQuarantine; i++ {
-		if deaths[i].EndedAt.Sub(deaths[i-1].EndedAt) >= quarantine {
+// quarantineDuration returns how long a request with these crashes is refused. It grows with
+// each crash after a quarantine.
+func quarantineDuration(crashes []Crash) time.Duration {
+	out := initialQuarantine
+	for i := 1; i < len(crashes) && out < maxQuarantine; i++ {
+		if crashes[i].EndedAt.Sub(crashes[i-1].EndedAt) >= initialQuarantine {
 			out *= quarantineGrowth
 		}
 	}
--- a/pkg/poison/times.go
+++ b/pkg/poison/times.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// maxAge bounds the age of an end that a host tells of: the longest quarantine and the
-// time in which one end renews it.
+// maxAge bounds the ages that are accepted from another host: the longest quarantine, and the
+// time in which one more crash renews it.
 const maxAge = 3 * maxQuarantine
 
-// ParseTimes returns when a request was sent and when its upstream ended from their ages in
-// microseconds, and false for ages that no host tells.
-func ParseTimes(now time.Time, began, ended int64) (beganAt, endedAt time.Time, ok bool) {
-	if ended < 0 || began < ended || began > maxAge.Microseconds() {
+// ParseTimes returns when a request was sent and when its upstream crashed, given their ages
+// in microseconds. It returns false for ages out of range.
+func ParseTimes(now time.Time, sentAge, endedAge int64) (sentAt, endedAt time.Time, ok bool) {
+	if endedAge < 0 || sentAge < endedAge || sentAge > maxAge.Microseconds() {
 		return time.Time{}, time.Time{}, false
 	}
-	return now.Add(-time.Duration(began) * time.Microsecond), now.Add(-time.Duration(ended) * time.Microsecond), true
+	return now.Add(-time.Duration(sentAge) * time.Microsecond), now.Add(-time.Duration(endedAge) * time.Microsecond), true
 }
