--- a/internal/poisonsync/poisonsync.go
+++ b/internal/poisonsync/poisonsync.go
@@ -1,5 +1,5 @@
-// Package poisonsync tells the other entry hosts, over gRPC, of requests under which
-// upstreams end, as pkg/poison asks for.
+// Package poisonsync sends the crashes of upstreams, and the requests that were answered
+// since, to the other entry hosts over gRPC; see pkg/poison.
 package poisonsync
 
 import (
@@ -20,9 +20,9 @@
 )
 
 const (
-	// maxDeaths bounds the ends of one message; 50 KB.
-	maxDeaths = 1024
-	// callTimeout bounds one call. What it would have told is repeated.
+	// maxCrashes bounds the number of crashes in one message, which is then at most 50 KB.
+	maxCrashes = 1024
+	// callTimeout bounds one call. The crashes of a call that fails are sent again.
 	callTimeout = 500 * time.Millisecond
 )
 
@@ -30,102 +30,103 @@
 type Config struct {
 	// Loop is the control loop; New must be called before it runs.
 	Loop *control.Loop
-	// Server is where peers reach this host; New must be called before it serves.
+	// Server is the gRPC server for peers; New must be called before it serves.
 	Server *peer.Server
-	// Pool connects to peers.
+	// Pool holds the connections to peers.
 	Pool *peer.Pool
-	// Peers returns the addresses of the other entry hosts. It runs on any goroutine.
+	// Peers returns the addresses of the other entry hosts. It may be called from any
+	// goroutine.
 	Peers func() []string
-	// Recent returns the ends that a host which missed them should hear of.
+	// Recent returns the crashes to rebroadcast; see poison.Table.RecentCrashes.
 	Recent func(now time.Time, within time.Duration) []poison.Crash
-	// OnUpdate takes in what a peer tells. It runs on any goroutine.
-	OnUpdate func(died []poison.Crash, answered []poison.Fingerprint)
+	// OnUpdate is called with the update of a peer. It may be called from any goroutine.
+	OnUpdate func(crashes []poison.Crash, answered []poison.Fingerprint)
 }
 
-// Broadcaster implements proxy.PoisonNews.
+// Broadcaster sends updates to peers and receives theirs. It implements proxy.PoisonNotifier.
 type Broadcaster struct {
 	poisonv1.UnimplementedPoisonServer
 	conf Config
 }
 
-// New registers a teller with the loop and the peers' server.
+// New returns a Broadcaster that is registered with the control loop and the server for peers.
 func New(conf Config) *Broadcaster {
-	t := &Broadcaster{conf: conf}
-	poisonv1.RegisterPoisonServer(conf.Server, t)
-	conf.Loop.Every(gossip.RepeatInterval, t.repeat)
-	return t
+	b := &Broadcaster{conf: conf}
+	poisonv1.RegisterPoisonServer(conf.Server, b)
+	conf.Loop.Every(gossip.RepeatInterval, b.repeat)
+	return b
 }
 
-// Died implements proxy.PoisonNews.
-func (t *Broadcaster) Died(d poison.Crash) {
-	t.tell(t.conf.Peers(), &poisonv1.TellRequest{Died: encodeDeaths(clock.Now(), []poison.Crash{d})})
+// Died implements proxy.PoisonNotifier.
+func (b *Broadcaster) Died(c poison.Crash) {
+	b.send(b.conf.Peers(), &poisonv1.TellRequest{Died: encodeCrashes(clock.Now(), []poison.Crash{c})})
 }
 
-// Answered implements proxy.PoisonNews.
-func (t *Broadcaster) Answered(f poison.Fingerprint) {
-	t.tell(t.conf.Peers(), &poisonv1.TellRequest{Answered: []*poisonv1.Fingerprint{encodeFingerprint(f)}})
+// Answered implements proxy.PoisonNotifier.
+func (b *Broadcaster) Answered(f poison.Fingerprint) {
+	b.send(b.conf.Peers(), &poisonv1.TellRequest{Answered: []*poisonv1.Fingerprint{encodeFingerprint(f)}})
 }
 
-// repeat tells a few hosts what they may have missed.
-func (t *Broadcaster) repeat(now time.Time) {
-	deaths := t.conf.Recent(now, poison.RebroadcastPeriod)
-	if len(deaths) == 0 {
+// repeat sends recent crashes again to a few hosts, which may have missed them.
+func (b *Broadcaster) repeat(now time.Time) {
+	crashes := b.conf.Recent(now, poison.RebroadcastPeriod)
+	if len(crashes) == 0 {
 		return
 	}
-	told := encodeDeaths(now, gossip.Sample(deaths, maxDeaths, rand.IntN))
-	t.tell(gossip.Sample(t.conf.Peers(), gossip.RepeatFanOut, rand.IntN), &poisonv1.TellRequest{Died: told})
+	encoded := encodeCrashes(now, gossip.Sample(crashes, maxCrashes, rand.IntN))
+	b.send(gossip.Sample(b.conf.Peers(), gossip.RepeatFanOut, rand.IntN), &poisonv1.TellRequest{Died: encoded})
 }
 
-// tell sends a message to each of the hosts, beside the caller. One that is not reached
-// hears it again.
-func (t *Broadcaster) tell(peers []string, req *poisonv1.TellRequest) {
-	t.conf.Pool.CallAll(peers, callTimeout, func(ctx context.Context, c *grpc.ClientConn) error {
+// send sends an update to each of the hosts, without waiting for them. A host that can't be
+// reached receives crashes again by repeat.
+func (b *Broadcaster) send(peers []string, req *poisonv1.TellRequest) {
+	b.conf.Pool.CallAll(peers, callTimeout, func(ctx context.Context, c *grpc.ClientConn) error {
 		_, err := poisonv1.NewPoisonClient(c).Tell(ctx, req)
 		return err
 	})
 }
 
 // Tell implements poisonv1.PoisonServer.
-func (t *Broadcaster) Tell(_ context.Context, req *poisonv1.TellRequest) (*poisonv1.TellResponse, error) {
+func (b *Broadcaster) Tell(_ context.Context, req *poisonv1.TellRequest) (*poisonv1.TellResponse, error) {
 	now := clock.Now()
-	var died []poison.Crash
+	var crashes []poison.Crash
 	for _, m := range req.GetDied() {
-		d, ok := decodeDeath(now, m)
+		c, ok := decodeCrash(now, m)
 		if !ok {
 			return nil, status.Error(codes.InvalidArgument, "an end before its request was sent, or in the future")
 		}
-		died = append(died, d)
+		crashes = append(crashes, c)
 	}
 	var answered []poison.Fingerprint
 	for _, m := range req.GetAnswered() {
 		answered = append(answered, decodeFingerprint(m))
 	}
-	t.conf.OnUpdate(died, answered)
+	b.conf.OnUpdate(crashes, answered)
 	return new(poisonv1.TellResponse), nil
 }
 
-func encodeDeaths(now time.Time, deaths []poison.Crash) []*poisonv1.Death {
+func encodeCrashes(now time.Time, crashes []poison.Crash) []*poisonv1.Death {
 	var out []*poisonv1.Death
-	for _, d := range deaths {
+	for _, c := range crashes {
 		out = append(out, &poisonv1.Death{
-			Request:    encodeFingerprint(d.Request),
-			Upstream:   d.Upstream,
-			Host:       d.Host,
-			BeganAgeUs: now.Sub(d.SentAt).Microseconds(),
-			EndedAgeUs: now.Sub(d.EndedAt).Microseconds(),
+			Request:    encodeFingerprint(c.Request),
+			Upstream:   c.Upstream,
+			Host:       c.Host,
+			BeganAgeUs: now.Sub(c.SentAt).Microseconds(),
+			EndedAgeUs: now.Sub(c.EndedAt).Microseconds(),
 		})
 	}
 	return out
 }
 
-func decodeDeath(now time.Time, m *poisonv1.Death) (poison.Crash, bool) {
-	began, ended, ok := poison.ParseTimes(now, m.GetBeganAgeUs(), m.GetEndedAgeUs())
+func decodeCrash(now time.Time, m *poisonv1.Death) (poison.Crash, bool) {
+	sentAt, endedAt, ok := poison.ParseTimes(now, m.GetBeganAgeUs(), m.GetEndedAgeUs())
 	return poison.Crash{
 		Request:  decodeFingerprint(m.GetRequest()),
 		Upstream: m.GetUpstream(),
 		Host:     m.GetHost(),
-		SentAt:   began,
-		EndedAt:  ended,
+		SentAt:   sentAt,
+		EndedAt:  endedAt,
 	}, ok
 }
 
--- a/internal/poisonsync/poisonsync_test.go
+++ b/internal/poisonsync/poisonsync_test.go
@@ -15,39 +15,39 @@
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 )
 
-// heard is one message that a host took in.
-type heard struct {
-	died     []poison.Crash
+// update is one update that a host received.
+type update struct {
+	crashes  []poison.Crash
 	answered []poison.Fingerprint
 }
 
-// begin starts a host that tells those whose addresses are given. Its repeats begin
-// with its loop.
-func begin(t *testing.T, recent []poison.Crash, peers ...string) (*Broadcaster, string, chan heard, *control.Loop) {
+// startHost starts a host that sends updates to the given addresses. It sends recent crashes
+// again only while its loop runs.
+func startHost(t *testing.T, recent []poison.Crash, peers ...string) (*Broadcaster, string, chan update, *control.Loop) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = ln.Close()
 	server := peer.NewServer(ln.Addr().String(), nil)
-	messages := make(chan heard, 16)
+	updates := make(chan update, 16)
 	loop := control.NewLoop()
-	teller := New(Config{
+	broadcaster := New(Config{
 		Loop:     loop,
 		Server:   server,
 		Pool:     peer.NewPool(nil),
 		Peers:    func() []string { return append([]string(nil), peers...) },
 		Recent:   func(time.Time, time.Duration) []poison.Crash { return recent },
-		OnUpdate: func(d []poison.Crash, a []poison.Fingerprint) { messages <- heard{d, a} },
+		OnUpdate: func(c []poison.Crash, a []poison.Fingerprint) { updates <- update{c, a} },
 	})
 	if err := server.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(server.Stop)
-	return teller, ln.Addr().String(), messages, loop
+	return broadcaster, ln.Addr().String(), updates, loop
 }
 
-func death() poison.Crash {
+func crash() poison.Crash {
 	now := time.Now()
 	return poison.Crash{
 		Request:  poison.FingerprintOf("GET", "shop", "/", nil, "caller"),
@@ -56,38 +56,38 @@
 	}
 }
 
-// TestTold: an end, an answer, and what is repeated to a host that missed it.
-func TestTold(t *testing.T) {
+// TestUpdates: a crash and an answer reach the other host, and a recent crash is sent again.
+func TestUpdates(t *testing.T) {
 	is := is.New(t)
-	_, address, messages, _ := begin(t, nil)
-	want := death()
-	teller, _, _, loop := begin(t, []poison.Crash{want}, address)
-	check := func(got heard) {
-		is.Equal(len(got.died), 1)
-		d := got.died[0]
-		is.Equal(d.Request, want.Request)
-		is.Equal([]uint64{d.Upstream, d.Host}, []uint64{want.Upstream, want.Host})
-		is.Equal(d.EndedAt.Sub(d.SentAt), time.Second)
+	_, address, updates, _ := startHost(t, nil)
+	want := crash()
+	broadcaster, _, _, loop := startHost(t, []poison.Crash{want}, address)
+	check := func(got update) {
+		is.Equal(len(got.crashes), 1)
+		c := got.crashes[0]
+		is.Equal(c.Request, want.Request)
+		is.Equal([]uint64{c.Upstream, c.Host}, []uint64{want.Upstream, want.Host})
+		is.Equal(c.EndedAt.Sub(c.SentAt), time.Second)
 	}
-	teller.Died(want)
-	check(<-messages)
-	teller.Answered(want.Request)
-	is.Equal((<-messages).answered, []poison.Fingerprint{want.Request})
+	broadcaster.Died(want)
+	check(<-updates)
+	broadcaster.Answered(want.Request)
+	is.Equal((<-updates).answered, []poison.Fingerprint{want.Request})
 	go loop.Run(t.Context())
-	check(<-messages)
+	check(<-updates)
 }
 
-// TestRefusedMessages: ages that no host tells.
-func TestRefusedMessages(t *testing.T) {
-	teller, _, messages, _ := begin(t, nil)
+// TestInvalidAges: a message with ages out of range is refused.
+func TestInvalidAges(t *testing.T) {
+	broadcaster, _, updates, _ := startHost(t, nil)
 	for _, d := range []*poisonv1.Death{
 		{BeganAgeUs: 1, EndedAgeUs: 2},
 		{BeganAgeUs: -1, EndedAgeUs: -2},
 		{BeganAgeUs: 1 << 62},
 	} {
 		is := is.New(t)
-		_, err := teller.Tell(t.Context(), &poisonv1.TellRequest{Died: []*poisonv1.Death{d}})
+		_, err := broadcaster.Tell(t.Context(), &poisonv1.TellRequest{Died: []*poisonv1.Death{d}})
 		is.Equal(status.Code(err), codes.InvalidArgument)
-		is.Equal(len(messages), 0)
+		is.Equal(len(updates), 0)
 	}
 }
