--- a/pkg/customers/customers.go
+++ b/pkg/customers/customers.go
@@ -1,19 +1,19 @@
-// Package customers finds the customer that a key belongs to.
+// Package customers finds the customer that an API key belongs to.
 //
-// Keys are compared by their digests: they are kept nowhere, so that no log, metric, event
-// or dump of memory can show one that was only configured.
+// Keys are compared by their digests and are not stored, so that no log, metric, event or
+// memory dump can show a key that was only configured.
 package customers
 
 import "github.com/dapplespindle/dapplespindle/pkg/config"
 
-// Table finds customers. It is immutable.
+// Table finds customers by key or name. It is immutable.
 type Table struct {
 	byKey  map[config.KeyDigest]*config.Customer
 	byName map[string]*config.Customer
 }
 
-// ambiguous stands for a key that several customers have: nobody knows whose a request with
-// it is.
+// ambiguous is the entry of a key that several customers have, since the customer of a
+// request with such a key is unknown.
 var ambiguous = &config.Customer{Unserved: "several customers have the key"}
 
 // Compile builds a table of validated customers.
@@ -36,13 +36,14 @@
 	return t
 }
 
-// ByKey returns the customer that has a key; nil if none has.
+// ByKey returns the customer that has a key, or nil if none has it. For a key that several
+// customers have, it returns a customer with Unserved set.
 func (t *Table) ByKey(key config.KeyDigest) *config.Customer { return t.byKey[key] }
 
-// ByName returns the customer with a name; nil if there is none.
+// ByName returns the customer with a name, or nil if there is none.
 func (t *Table) ByName(name string) *config.Customer { return t.byName[name] }
 
-// Ambiguous returns how many keys several customers have.
+// Ambiguous returns the number of keys that several customers have.
 func (t *Table) Ambiguous() int {
 	n := 0
 	for _, c := range t.byKey {
--- a/pkg/customers/customers_test.go
+++ b/pkg/customers/customers_test.go
@@ -26,13 +26,14 @@
 	is.Equal(table.ByKey(config.DigestKey("k1")).Name, "a")
 	is.Equal(table.ByKey(config.DigestKey("k3")).Name, "b")
 	is.Equal(table.ByKey(config.DigestKey("k4")), nil)
-	is.True(table.ByKey(config.DigestKey("k2")).Unserved != "") // of two customers
+	is.True(table.ByKey(config.DigestKey("k2")).Unserved != "") // a key of two customers
 	is.Equal(table.Ambiguous(), 1)
 	is.Equal(table.ByName("b").Name, "b")
 	is.Equal(table.ByName("c"), nil)
 }
 
-// TestDigestAsText: hosts hand configurations to one another as JSON.
+// TestDigestAsText: key digests survive the JSON encoding in which hosts exchange
+// configurations.
 func TestDigestAsText(t *testing.T) {
 	is := is.New(t)
 	c := customer("a", "secret-key")
@@ -65,7 +66,7 @@
 	is.True(whole.Validate() != nil) // customers without keys
 }
 
-// BenchmarkFind finds one of 100,000 keys, its digest included.
+// BenchmarkFind looks up one of 100,000 keys, including the computation of its digest.
 func BenchmarkFind(b *testing.B) {
 	var list []config.Customer
 	for i := range 100_000 {
