--- a/internal/gateway/apply_bench_test.go
+++ b/internal/gateway/apply_bench_test.go
@@ -13,13 +13,13 @@
 	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 )
 
-// noStore is never asked.
-type noStore struct{ storewatch.Store }
+// unusedStore is never called by the benchmark, except for its revision.
+type unusedStore struct{ storewatch.Store }
 
-func (noStore) Revision(context.Context) (uint64, error) { return 0, nil }
+func (unusedStore) Revision(context.Context) (uint64, error) { return 0, nil }
 
-// BenchmarkApply puts a batch of changes of upstreams in force: six upstreams of one service
-// leave, of so many in three services.
+// BenchmarkApply applies a batch of upstream changes: new entries for six upstreams of one
+// service, out of n upstreams in three services.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{600, 6003, 15_000} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
@@ -27,7 +27,7 @@
 				Host: "127.0.0.1", FailureDomain: "here", LogLevel: "error",
 				Listen: "127.0.0.1:1", ReadyListen: "127.0.0.1:2",
 				StopTimeout: 3 * time.Second, MaxChangeDelay: 2 * time.Second, MaxLeaveDelay: 2 * time.Second,
-			}, noStore{}, proxy.OwnDialect(), io.Discard)
+			}, unusedStore{}, proxy.OwnDialect(), io.Discard)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -48,7 +48,7 @@
 					Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), FailureDomain: fmt.Sprintf("d-%d", i%6),
 				})
 			}
-			g.control.read(state)
+			g.control.applyState(state)
 			revision := uint64(1)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -60,7 +60,7 @@
 					changes.Events = append(changes.Events, storewatch.Event{Upstream: &u, Revision: revision})
 				}
 				changes.Revision = revision
-				g.control.changed(changes)
+				g.control.applyChanges(changes)
 			}
 		})
 	}
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -18,87 +18,87 @@
 )
 
 const (
-	// tickEvery is how often unreachable and vanished upstreams are looked at.
-	tickEvery = 500 * time.Millisecond
-	// returnGrace is how long a vanished entry is kept after this host noticed
-	// that the store is back: living upstreams register again within about two
-	// seconds of its return, which is noticed up to a second late. Three seconds
-	// after its return an upstream that is gone must get nothing any more.
-	returnGrace = 1500 * time.Millisecond
-	// forgetMargin is how much longer the id of an upstream that is gone is remembered than
-	// that one of its starts has left. That is told by the number of the start: an id whose
-	// starts were counted anew earlier would count as having left already.
-	forgetMargin = 10 * time.Minute
-	// earlierAfter is how long an entry of an earlier start has to stand before it is
-	// believed: three writes of a living upstream, which are 1.5 seconds apart.
-	earlierAfter = 4500 * time.Millisecond
+	// tickInterval is how often unreachable and vanished upstreams are checked.
+	tickInterval = 500 * time.Millisecond
+	// recoveryGrace is how long a vanished entry is kept after this host noticed that
+	// the store has recovered. Live upstreams register again within about two seconds
+	// of the recovery, which is noticed up to a second late. Three seconds after the
+	// recovery, an upstream that is gone must no longer receive requests.
+	recoveryGrace = 1500 * time.Millisecond
+	// tombstoneMargin is how much longer the ID of a removed upstream is retained than the
+	// notice that one of its starts is leaving. Notices identify a start by its number: if
+	// the count of an ID's starts began again earlier, a new start would count as leaving.
+	tombstoneMargin = 10 * time.Minute
+	// earlierStartDelay is how long an entry of an earlier start must remain before it is
+	// accepted: three writes of a live upstream, which are 1.5 seconds apart.
+	earlierStartDelay = 4500 * time.Millisecond
 )
 
-// controller owns the configuration in force and the registered upstreams. Its
-// methods run on the control goroutine, but for those in upstreams.go.
+// controller owns the current configuration and the registered upstreams. Its
+// methods run on the control goroutine, except those in upstreams.go.
 type controller struct {
-	gateway *Gateway
-	config  *config.Configuration // in force; nil before the first
-	set     *discovery.Set
-	listed  bool // the upstreams were read once
-	// evacuated holds the failure domains that get nothing new.
+	gateway        *Gateway
+	config         *config.Configuration // nil before the first
+	set            *discovery.Set
+	upstreamsKnown bool // the upstreams were read at least once
+	// evacuated holds the failure domains that receive no new requests.
 	evacuated evacuation.Set
 	registry  *lifecycle.Registry
-	revision  uint64 // counts the listings given to registry
+	revision  uint64 // counts the calls of registry.Configure
 	pools     *pools
 	snapshot  atomic.Pointer[lifecycle.Snapshot]
-	served    chan struct{} // closed when the host may serve
-	// sharedAmong is the number of hosts among which connections were shared last.
-	sharedAmong int
-	ready       bool
+	readyCh   chan struct{} // closed when the host may serve
+	// connectionHostCount is the number of hosts among which connections were last divided.
+	connectionHostCount int
+	ready               bool
 }
 
 func newController(g *Gateway) *controller {
 	upstreams := lifecycle.DefaultConfig()
 	c := &controller{
 		gateway:  g,
-		set:      discovery.NewSet(registeredConfig(upstreams)),
+		set:      discovery.NewSet(discoveryConfig(upstreams)),
 		registry: lifecycle.NewRegistry(upstreams, g.sink),
 		pools:    newPools(g.conf.Host, g.conf.FailureDomain),
-		served:   make(chan struct{}),
+		readyCh:  make(chan struct{}),
 	}
 	c.snapshot.Store(new(lifecycle.Snapshot))
 	return c
 }
 
-// registeredConfig returns the bounds of what is kept of upstreams that register
-// themselves, beside what is kept of their lifecycle.
-func registeredConfig(upstreams lifecycle.Config) discovery.Config {
+// discoveryConfig returns the retention periods for upstreams that register themselves,
+// derived from those of their lifecycle.
+func discoveryConfig(upstreams lifecycle.Config) discovery.Config {
 	return discovery.Config{
-		RecoveryGrace:      returnGrace,
-		TombstoneRetention: upstreams.NoticeRetention + forgetMargin,
-		EarlierStartDelay:  earlierAfter,
+		RecoveryGrace:      recoveryGrace,
+		TombstoneRetention: upstreams.NoticeRetention + tombstoneMargin,
+		EarlierStartDelay:  earlierStartDelay,
 	}
 }
 
-// read takes in everything that is published.
-func (c *controller) read(s *storewatch.State) {
+// applyState applies the full state.
+func (c *controller) applyState(s *storewatch.State) {
 	c.gateway.emit(event.Event{Code: event.UpstreamsRead, Value: int64(len(s.Upstreams))})
 	c.set.Replace(clock.Now(), s.Upstreams, s.Revision)
-	c.evacuate(c.evacuated.Replace(s.Evacuated, s.Revision)...)
-	c.listed = true
-	fresh := c.configure(s.Configuration)
-	c.publish(fresh)
+	c.applyEvacuations(c.evacuated.Replace(s.Evacuated, s.Revision)...)
+	c.upstreamsKnown = true
+	configured := c.setConfiguration(s.Configuration)
+	c.publish(configured)
 }
 
-// enoughUpstreams is how many upstreams of each service a host must know to serve
-// before it knows all: it asks up to six before a choice, and home sets have eight.
-const enoughUpstreams = 4
+// minInitialUpstreams is how many upstreams of each service a host must know to serve
+// before it knows all of them. For comparison, a pick queries up to six, and a home set
+// has eight.
+const minInitialUpstreams = 4
 
-// readPart takes in a part of everything that is published. The parts of a fleet's
-// hosts differ, so that a part is as good a choice as all, and a host that has just
-// started serves by as much earlier as the rest takes: where 473 hosts started at once
-// with 719 upstreams and 1,200 routes, the middle one was ready after 0.41 s, and after
-// 0.74 s when each read a page of 500 first.
-//
-// It reports whether the host serves with it.
-func (c *controller) readPart(s *storewatch.State) bool {
-	if c.listed || !servesWith(s) {
+// applyInitialState applies the initial part of the state and reports whether the host
+// serves with it. The hosts of a fleet receive different parts, so balancing over a part
+// is as good as over all upstreams, and a host that has just started serves earlier by
+// the time that reading the remainder takes. When 473 hosts started at once with 719
+// upstreams and 1,200 routes, the median host was ready after 0.41 s, compared with
+// 0.74 s when each host read a page of 500 first.
+func (c *controller) applyInitialState(s *storewatch.State) bool {
+	if c.upstreamsKnown || !canServeWith(s) {
 		return false
 	}
 	c.gateway.emit(event.Event{Code: event.UpstreamsRead, Reason: "part", Value: int64(len(s.Upstreams))})
@@ -106,15 +106,15 @@
 	for _, u := range s.Upstreams {
 		c.set.Put(now, u)
 	}
-	c.evacuate(c.evacuated.Replace(s.Evacuated, s.Revision)...)
-	c.listed = true
-	c.publish(c.configure(s.Configuration))
+	c.applyEvacuations(c.evacuated.Replace(s.Evacuated, s.Revision)...)
+	c.upstreamsKnown = true
+	c.publish(c.setConfiguration(s.Configuration))
 	return true
 }
 
-// servesWith reports whether a part of what is published has enough upstreams of each
-// service.
-func servesWith(s *storewatch.State) bool {
+// canServeWith reports whether the initial part of the state has enough upstreams of
+// each service.
+func canServeWith(s *storewatch.State) bool {
 	if s.Configuration == nil {
 		return false
 	}
@@ -126,7 +126,7 @@
 	}
 	for _, service := range s.Configuration.Services {
 		for i := range service.Groups {
-			if known[service.Groups[i].Registered] < enoughUpstreams {
+			if known[service.Groups[i].Registered] < minInitialUpstreams {
 				return false
 			}
 		}
@@ -134,25 +134,25 @@
 	return true
 }
 
-// changed takes in what has changed, and puts it in force at once.
-func (c *controller) changed(changes *storewatch.Changes) {
+// applyChanges applies changes of the store and publishes the result at once.
+func (c *controller) applyChanges(changes *storewatch.Changes) {
 	now := clock.Now()
 	for i := range changes.Events {
-		c.change(now, &changes.Events[i])
+		c.applyChange(now, &changes.Events[i])
 	}
-	fresh := false
+	configured := false
 	for _, newer := range changes.Configurations {
-		fresh = c.configure(newer) || fresh
+		configured = c.setConfiguration(newer) || configured
 	}
-	c.publish(fresh)
+	c.publish(configured)
 }
 
-// change takes in one change.
-func (c *controller) change(now time.Time, e *storewatch.Event) {
+// applyChange applies one change of the store.
+func (c *controller) applyChange(now time.Time, e *storewatch.Event) {
 	switch {
 	case e.Evacuation != nil:
 		if c.evacuated.Apply(*e.Evacuation, e.Revision) {
-			c.evacuate(*e.Evacuation)
+			c.applyEvacuations(*e.Evacuation)
 		}
 	case e.Upstream == nil:
 		c.set.Remove(now, e.Removed, e.Revision)
@@ -163,9 +163,9 @@
 	}
 }
 
-// evacuate lists the upstreams anew of failure domains whose evacuation has begun or
-// ended.
-func (c *controller) evacuate(changes ...evacuation.Change) {
+// applyEvacuations marks the upstreams of failure domains whose evacuation has begun or
+// ended as changed.
+func (c *controller) applyEvacuations(changes ...evacuation.Change) {
 	for _, change := range changes {
 		code := event.DomainEvacuated
 		if change.Ended {
@@ -183,16 +183,16 @@
 	return "ready"
 }
 
-// returned is told since when the store answers again.
-func (c *controller) returned(at time.Time) {
+// storeRecovered records the time since which the store responds again.
+func (c *controller) storeRecovered(at time.Time) {
 	c.set.StoreRecovered(at)
-	time.AfterFunc(clock.Until(at.Add(returnGrace)), func() {
+	time.AfterFunc(clock.Until(at.Add(recoveryGrace)), func() {
 		c.gateway.loop.Post(func() { c.tick(clock.Now()) })
 	})
 }
 
-// configure takes a configuration in if it is newer than the one in force.
-func (c *controller) configure(next *config.Configuration) bool {
+// setConfiguration replaces the current configuration if next is newer.
+func (c *controller) setConfiguration(next *config.Configuration) bool {
 	if next == nil {
 		return false
 	}
@@ -206,19 +206,19 @@
 	return true
 }
 
-// tick looks after what only time changes.
+// tick applies changes that depend only on time.
 func (c *controller) tick(now time.Time) {
 	c.set.Tick(now)
 	c.registry.Tick(now)
-	c.pools.rests.Tick(now)
+	c.pools.backoffs.Tick(now)
 	c.pools.limits.Tick(now)
 	c.publish(false)
 }
 
-// publish hands what has changed to the traffic goroutines: the lifecycle
-// first, then the pickers that reflect it, then the routes that lead to them.
+// publish makes changes visible to the goroutines that serve requests: the lifecycle
+// first, then the pickers that reflect it, then the routes that use them.
 func (c *controller) publish(configured bool) {
-	c.relist()
+	c.configureRegistry()
 	if s, _ := c.registry.Flush(); s != nil {
 		c.snapshot.Store(s)
 	}
@@ -228,20 +228,20 @@
 		c.republish(service)
 	}
 	if configured {
-		c.enforce()
+		c.applyConfiguration()
 	}
-	if grown := c.pools.takeGrown(); configured || grown {
+	if grown := c.pools.takeNewAddresses(); configured || grown {
 		c.shareConnections()
 	}
-	if !c.ready && c.config != nil && c.listed {
+	if !c.ready && c.config != nil && c.upstreamsKnown {
 		c.ready = true
-		close(c.served)
+		close(c.readyCh)
 		c.gateway.emit(event.Event{Code: event.ProcessReady})
 	}
 }
 
-// relist tells the registry of the services whose entries changed.
-func (c *controller) relist() {
+// configureRegistry passes the services whose entries changed to the registry.
+func (c *controller) configureRegistry() {
 	now := clock.Now()
 	for _, service := range c.set.Changed() {
 		c.revision++
@@ -258,7 +258,7 @@
 	}
 }
 
-// republish replaces the picker of a service in the table in force.
+// republish replaces the picker of a service in the current routing table.
 func (c *controller) republish(service string) {
 	if c.config == nil {
 		return
@@ -273,8 +273,8 @@
 	}
 }
 
-// enforce puts the newest configuration in force.
-func (c *controller) enforce() {
+// applyConfiguration makes the newest configuration the current one.
+func (c *controller) applyConfiguration() {
 	table := routing.Compile(c.config.Version, c.config.Services, c.pools)
 	if c.config.Keyed {
 		table.Customers = customers.Compile(c.config.Customers)
@@ -289,11 +289,11 @@
 		})
 	}
 	c.gateway.emit(event.Event{Code: event.ConfigurationInForce, Value: int64(c.config.Version)})
-	c.tellUnserved(table)
+	c.reportUnserved(table)
 }
 
-// tellUnserved writes down what of the configuration in force is refused.
-func (c *controller) tellUnserved(t *routing.Table) {
+// reportUnserved emits an event for each part of the current configuration that is refused.
+func (c *controller) reportUnserved(t *routing.Table) {
 	version := int64(c.config.Version)
 	for _, s := range c.config.Services {
 		if s.Unserved != "" {
@@ -313,8 +313,8 @@
 	}
 }
 
-// connectionShare returns one host's part of an upstream's bound on connections, of hosts of
-// which so many are known; 0 is an unknown number.
+// connectionShare returns one host's share of an upstream's connection limit, given the
+// number of known hosts; 0 means that the number is unknown.
 func connectionShare(bound, hosts int) int {
 	least := minConnections
 	if hosts > connectionHosts {
@@ -323,28 +323,27 @@
 	return min(max(bound/max(hosts, connectionHosts), least), connectionsPerUpstream)
 }
 
-// hostsChanged shares connections anew where the number of hosts has changed by an eighth: it
-// takes a look at each upstream.
+// hostsChanged divides the connections again if the number of hosts has changed by more than
+// an eighth. Smaller changes are ignored because the division visits every upstream.
 func (c *controller) hostsChanged(hosts int) {
 	const part = 8
-	if change := hosts - c.sharedAmong; change*part > c.sharedAmong || -change*part > c.sharedAmong {
+	if change := hosts - c.connectionHostCount; change*part > c.connectionHostCount || -change*part > c.connectionHostCount {
 		c.shareConnections()
 	}
 }
 
-// shareConnections gives this host its part of each upstream's published bound
-// on connections.
+// shareConnections sets this host's share of each upstream's published connection limit.
 func (c *controller) shareConnections() {
 	if c.config == nil {
 		return
 	}
-	c.sharedAmong = c.gateway.hosts
+	c.connectionHostCount = c.gateway.hostCount
 	limits := make(map[string]int)
 	for _, s := range c.config.Services {
 		for i := range s.Groups {
 			g := &s.Groups[i]
 			for _, u := range c.pools.pool(g.Registered).records {
-				limits[u.Address] = connectionShare(g.MaxConnections, c.gateway.hosts)
+				limits[u.Address] = connectionShare(g.MaxConnections, c.gateway.hostCount)
 			}
 		}
 	}
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -10,9 +10,9 @@
 	"github.com/dapplespindle/dapplespindle/pkg/discovery"
 )
 
-// TestServesWith: a host that knows a part of the upstreams serves with it if each
-// service that requests lead to has enough of them.
-func TestServesWith(t *testing.T) {
+// TestCanServeWith checks that a host serves with the initial part of the upstreams only
+// if every routed service has enough of them.
+func TestCanServeWith(t *testing.T) {
 	is := is.New(t)
 	upstreams := func(service string, n int, draining bool) []discovery.Upstream {
 		out := make([]discovery.Upstream, n)
@@ -21,23 +21,23 @@
 		}
 		return out
 	}
-	s := &storewatch.State{Upstreams: upstreams("catalogue", enoughUpstreams, false)}
-	is.True(!servesWith(s)) // nothing says where requests go
+	s := &storewatch.State{Upstreams: upstreams("catalogue", minInitialUpstreams, false)}
+	is.True(!canServeWith(s)) // no configuration, so no routes
 	s.Configuration = &config.Configuration{Services: []*config.Service{
 		{Groups: []config.Group{{Registered: "catalogue"}}},
 	}}
-	is.True(servesWith(s))
+	is.True(canServeWith(s))
 	s.Configuration.Services = append(s.Configuration.Services,
 		&config.Service{Groups: []config.Group{{Registered: "catalogue"}, {Registered: "ledger"}}})
-	is.True(!servesWith(s))
-	s.Upstreams = append(s.Upstreams, upstreams("ledger", enoughUpstreams, true)...)
-	is.True(!servesWith(s)) // those that leave take no requests
-	s.Upstreams = append(s.Upstreams, upstreams("ledger", enoughUpstreams, false)...)
-	is.True(servesWith(s))
+	is.True(!canServeWith(s))
+	s.Upstreams = append(s.Upstreams, upstreams("ledger", minInitialUpstreams, true)...)
+	is.True(!canServeWith(s)) // draining upstreams accept no requests
+	s.Upstreams = append(s.Upstreams, upstreams("ledger", minInitialUpstreams, false)...)
+	is.True(canServeWith(s))
 }
 
-// TestConnectionShare: all hosts together stay within an upstream's bound, as far as each can
-// have a request and a question there.
+// TestConnectionShare checks that all hosts together stay within an upstream's connection
+// limit, as far as each keeps its minimum for requests and a load query.
 func TestConnectionShare(t *testing.T) {
 	is := is.New(t)
 	for _, bound := range []int{100, 260, 880, 3600} {
@@ -47,7 +47,7 @@
 			is.True(share >= minConnections || hosts > connectionHosts && share >= minConnectionsOfMany)
 			is.True(share*hosts <= bound || share <= minConnections)
 		}
-		is.Equal(connectionShare(bound, 0), connectionShare(bound, 18)) // how many there are is not known
+		is.Equal(connectionShare(bound, 0), connectionShare(bound, 18)) // the number of hosts is unknown
 	}
 	is.Equal(connectionShare(3600, 587), 6)
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -19,29 +19,29 @@
 )
 
 const (
-	// memberPeriod is the time between two probes of membership. What it finds
-	// only orders the hosts, so that it may be slow, and cheap.
+	// memberPeriod is the time between two membership probes. Membership only determines
+	// the order of the hosts here, so it may be slow and cheap.
 	memberPeriod = 2 * time.Second
-	// leaveTimeout bounds telling the peers that this host leaves.
+	// leaveTimeout bounds the notification to peers that this host is leaving.
 	leaveTimeout = 100 * time.Millisecond
 )
 
-// fleet is what this host has to do with the other entry hosts: membership, and
-// the news of the store that they tell one another.
+// fleet connects this host with the other entry hosts: membership, and the transport
+// for the updates that the hosts send to each other.
 type fleet struct {
-	gateway *Gateway
-	address netip.AddrPort // of membership
-	port    uint16         // of news, on all hosts
-	members *members.Members
-	news    *peertransport.Transport
-	version uint64 // of the snapshot given to the follower
-	joined  time.Time
-	settled bool // as given to the follower
-	// others are the news addresses of the other hosts that are not known to be dead.
+	gateway   *Gateway
+	address   netip.AddrPort // for membership
+	port      uint16         // of the peer transport, the same on all hosts
+	members   *members.Members
+	transport *peertransport.Transport
+	version   uint64 // of the snapshot given to the watcher
+	joined    time.Time
+	converged bool // as given to the watcher
+	// others are the transport addresses of the other hosts that are not known to be dead.
 	others atomic.Pointer[[]netip.AddrPort]
-	// inTurn are the news addresses of all hosts in the order of their turns; zero for those
-	// held for dead, which lend nothing.
-	inTurn atomic.Pointer[[]netip.AddrPort]
+	// slotOrder are the transport addresses of all hosts in the order of their time slots;
+	// zero for those considered dead, which lend no time slots.
+	slotOrder atomic.Pointer[[]netip.AddrPort]
 }
 
 // newFleet returns nil for a host that has no peers.
@@ -55,7 +55,7 @@
 	}
 	f := &fleet{gateway: g, address: address, port: g.conf.PeerTransportPort}
 	f.others.Store(new([]netip.AddrPort))
-	f.inTurn.Store(new([]netip.AddrPort))
+	f.slotOrder.Store(new([]netip.AddrPort))
 	f.members, err = members.New(members.Config{
 		Address:       address,
 		FailureDomain: g.conf.FailureDomain,
@@ -68,15 +68,15 @@
 	if err != nil {
 		return nil, err
 	}
-	f.news = peertransport.New(peertransport.Config{
-		Address:   f.newsAddress(address),
-		OnMessage: func(t *storewatch.PeerMessage) { g.follower.ApplyPeerMessage(t) },
+	f.transport = peertransport.New(peertransport.Config{
+		Address:   f.transportAddress(address),
+		OnMessage: func(t *storewatch.PeerMessage) { g.watcher.ApplyPeerMessage(t) },
 		ServeFetch: func(ctx context.Context, after uint64) (*storewatch.PeerMessage, error) {
-			return g.follower.ServeFetch(ctx, after)
+			return g.watcher.ServeFetch(ctx, after)
 		},
 		Events: g.sink,
 
-		OnLimits:     g.heardLimits,
+		OnLimits:     g.applyPeerLimits,
 		GrantQuota:   g.quotas.Answer,
 		LendTimeSlot: func(s ratelimit.Server) bool { return g.control.pools.limits.Lend(clock.Now(), s) },
 		OnPoison:     func(died []poison.Crash, answered []poison.Fingerprint) { g.proxy.Heard(died, answered) },
@@ -84,12 +84,13 @@
 	return f, nil
 }
 
-// newsAddress is where a host whose membership address is given is told news.
-func (f *fleet) newsAddress(member netip.AddrPort) netip.AddrPort {
+// transportAddress returns the address of a host's peer transport, given its membership
+// address.
+func (f *fleet) transportAddress(member netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(member.Addr(), f.port)
 }
 
-// seeds are the membership addresses of the settings that can be used.
+// seeds returns the membership addresses in the settings.
 func (f *fleet) seeds() []netip.AddrPort {
 	f.gateway.confMu.Lock()
 	defer f.gateway.confMu.Unlock()
@@ -105,53 +106,53 @@
 	return out, nil
 }
 
-// self is this host as the others reach it for news.
+// self describes this host by its transport address.
 func (f *fleet) self() storesync.Host {
-	return storesync.Host{Address: f.newsAddress(f.address), FailureDomain: f.gateway.conf.FailureDomain}
+	return storesync.Host{Address: f.transportAddress(f.address), FailureDomain: f.gateway.conf.FailureDomain}
 }
 
-// refresh gives the follower the hosts when they have changed. It runs on the
+// refresh passes the hosts to the watcher when they have changed. It runs on the
 // control goroutine.
 func (f *fleet) refresh(s *membership.Snapshot) {
 	now := clock.Now()
 	if s.Joined && f.joined.IsZero() {
 		f.joined = now
 	}
-	settled := s.Joined && now.Sub(f.joined) >= settleAfter
-	f.knowOthers(s)
-	if s.Version == f.version && settled == f.settled || !f.gateway.follower.SetHosts(f.hosts(s), settled) {
+	settled := s.Joined && now.Sub(f.joined) >= convergeDelay
+	f.updateOthers(s)
+	if s.Version == f.version && settled == f.converged || !f.gateway.watcher.SetHosts(f.hosts(s), settled) {
 		return
 	}
-	f.version, f.settled = s.Version, settled
-	f.quotaFleet(s, settled)
+	f.version, f.converged = s.Version, settled
+	f.setQuotaFleet(s, settled)
 	if settled {
-		f.count(s)
+		f.updateHostCount(s)
 	}
 }
 
-// count takes in how many hosts the fleet may have. Those held for dead count too:
-// they may be on the other side of a split, and serve there.
-func (f *fleet) count(s *membership.Snapshot) {
-	f.gateway.hosts = len(s.Members)
-	if f.gateway.hosts == 1 {
-		f.gateway.hosts = 0 // it has found none, which says nothing
+// updateHostCount records how many hosts the fleet may have. Hosts considered dead count
+// too: they may be on the other side of a network partition and serve there.
+func (f *fleet) updateHostCount(s *membership.Snapshot) {
+	f.gateway.hostCount = len(s.Members)
+	if f.gateway.hostCount == 1 {
+		f.gateway.hostCount = 0 // it has found no other host yet, so the number is unknown
 	}
 	f.gateway.shareRetries()
-	f.gateway.control.hostsChanged(f.gateway.hosts)
+	f.gateway.control.hostsChanged(f.gateway.hostCount)
 	self := slices.IndexFunc(s.Members, func(m membership.Member) bool { return m.Address == s.Self.Address })
-	inTurn := make([]netip.AddrPort, len(s.Members))
+	order := make([]netip.AddrPort, len(s.Members))
 	for i := range s.Members {
 		if s.Members[i].State != membership.Dead {
-			inTurn[i] = f.newsAddress(s.Members[i].Address)
+			order[i] = f.transportAddress(s.Members[i].Address)
 		}
 	}
-	f.inTurn.Store(&inTurn)
+	f.slotOrder.Store(&order)
 	f.gateway.control.pools.options.Schedule.Set(clock.Now(), timeslot.Position{Self: self, Hosts: len(s.Members)})
 }
 
-// settleAfter is how long after it found a first peer a host knows most others: of
-// 142 hosts that started together it took two to three seconds.
-const settleAfter = 3 * time.Second
+// convergeDelay is the time after finding the first peer by which a host knows most
+// others. It took two to three seconds for 142 hosts that started together.
+const convergeDelay = 3 * time.Second
 
 // hosts returns the hosts that are not known to be dead, or the seeds until this
 // host has found others.
@@ -163,7 +164,7 @@
 			continue
 		}
 		out = append(out, storesync.Host{
-			Address:       f.newsAddress(m.Address),
+			Address:       f.transportAddress(m.Address),
 			FailureDomain: m.FailureDomain,
 			Leaving:       m.Leaving,
 		})
@@ -172,53 +173,53 @@
 		return out
 	}
 	for _, a := range f.seeds() {
-		out = append(out, storesync.Host{Address: f.newsAddress(a)})
+		out = append(out, storesync.Host{Address: f.transportAddress(a)})
 	}
 	return out
 }
 
-// startTimes returns how long this host leaves the store, and its peers, alone when
-// it starts. Where the whole fleet starts for the first time, a few hosts read the
-// store and tell the others. A host that restarts reads it by itself: it has callers
-// waiting, and what it needs is large.
-func (f *fleet) startTimes() (readAfter, askAfter time.Duration) {
+// startDelays returns how long this host waits after its start before it reads the store,
+// and before it fetches from peers. If the whole fleet starts for the first time, a few
+// hosts read the store and send the state to the others. A host that restarts reads the
+// store itself: callers are waiting, and the state it needs is large.
+func (f *fleet) startDelays() (readDelay, fetchDelay time.Duration) {
 	switch {
 	case !f.gateway.conf.FirstStart:
-		return 0, storeTime
+		return 0, startFetchDelay
 	case slices.Contains(f.seeds(), f.address):
 		return 0, 0
 	}
-	return firstPeerWait, 0
+	return startReadDelay, 0
 }
 
 const (
-	// firstPeerWait leaves the first hosts of a fleet time to read the store. The
-	// platforms known send requests eight seconds after the first start.
-	firstPeerWait = 2 * time.Second
-	// storeTime is what a store that works takes for everything, some pages long, on a
-	// busy host. Peers are asked later than that: what they hand over is large and
-	// mostly crosses failure domains.
-	storeTime = 300 * time.Millisecond
+	// startReadDelay leaves the seed hosts of a fleet time to read the store. The known
+	// platforms send requests eight seconds after the first start.
+	startReadDelay = 2 * time.Second
+	// startFetchDelay is how long reading the full state, which has several pages, takes on
+	// a busy host if the store works. Fetches from peers start only after that, because
+	// their responses are large and mostly cross failure domains.
+	startFetchDelay = 300 * time.Millisecond
 )
 
 func (f *fleet) start() error {
-	if err := f.news.Start(); err != nil { // what membership finds is told over it
+	if err := f.transport.Start(); err != nil { // updates to the members that are found need it
 		return err
 	}
 	return f.members.Start()
 }
 
-// leave tells the peers that this host is about to go.
+// leave notifies the peers that this host is leaving.
 func (f *fleet) leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	_ = f.members.Leave(ctx) // they find out by themselves
+	_ = f.members.Leave(ctx) // on failure, membership probes detect it
 }
 
-// stop tells the peers that this host is gone.
+// stop notifies the peers that this host is gone and stops the transport.
 func (f *fleet) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	f.members.Stop(ctx)
-	f.news.Stop()
+	f.transport.Stop()
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,9 +1,9 @@
-// Package gateway assembles an entry host that takes everything it knows from
-// one store: the operators' configuration and the upstreams that register
-// themselves. The hosts of a fleet tell one another what the store told them.
+// Package gateway assembles an entry host that reads all its state from one store: the
+// operators' configuration and the upstreams that register themselves. The hosts of a
+// fleet forward to each other what they read from the store.
 //
-// internal/entry assembles the entry host of the product's own platform, whose
-// hosts tell one another what they know.
+// internal/entry assembles the entry host of the product's own platform, whose hosts
+// exchange their own observations.
 package gateway
 
 import (
@@ -41,52 +41,52 @@
 
 // Gateway is one entry host. New builds its parts; Run starts and stops them.
 type Gateway struct {
-	confMu  sync.Mutex
-	conf    Settings // guarded by confMu once the process runs
-	stopper *shutdown.Stopper
-	sink    event.Sink
-	metrics *metrics.Sink
-	output  *logging.NonBlockingWriter
-	trails  *logging.RequestLogger
+	confMu        sync.Mutex
+	conf          Settings // guarded by confMu once the process runs
+	stopper       *shutdown.Stopper
+	sink          event.Sink
+	metrics       *metrics.Sink
+	output        *logging.NonBlockingWriter
+	requestLogger *logging.RequestLogger
 
-	loop     *control.Loop
-	control  *controller
-	follower *storewatch.Watcher
-	fleet    *fleet // nil without peers
-	hosts    int    // known to be in the fleet, 0 while unknown; of the control goroutine
-	quotas   *quotas.Enforcer
-	client   *upstream.Client
-	proxy    *proxy.Proxy
-	// keysKnownWithin is the setting, for traffic goroutines.
-	keysKnownWithin atomic.Int64
+	loop      *control.Loop
+	control   *controller
+	watcher   *storewatch.Watcher
+	fleet     *fleet // nil without peers
+	hostCount int    // in the fleet, 0 while unknown; owned by the control goroutine
+	quotas    *quotas.Enforcer
+	client    *upstream.Client
+	proxy     *proxy.Proxy
+	// maxKeyStaleness is the setting, for the goroutines that serve requests.
+	maxKeyStaleness atomic.Int64
 	server          *httpwire.Server
-	ready           *admin.Server
-	figures         *admin.Server // nil without metrics
+	readyServer     *admin.Server
+	metricsServer   *admin.Server // nil without metrics
 }
 
-// New assembles an entry host from checked settings. Logs go to w.
+// New assembles an entry host from validated settings. Logs are written to w.
 func New(conf Settings, store storewatch.Store, dialect *proxy.Dialect, w io.Writer) (*Gateway, error) {
 	if err := clock.Check(); err != nil {
 		return nil, errors.Wrap(err, "boot clock")
 	}
 	g := &Gateway{conf: conf, loop: control.NewLoop()}
-	g.keysKnownWithin.Store(int64(conf.MaxKeyStaleness))
+	g.maxKeyStaleness.Store(int64(conf.MaxKeyStaleness))
 	if err := g.buildEvents(w); err != nil {
 		return nil, err
 	}
-	g.buildCallPath(dialect)
+	g.buildRequestPath(dialect)
 	if err := g.buildControl(store); err != nil {
 		return nil, err
 	}
-	g.ready = admin.New(admin.Config{Address: conf.ReadyListen, ReadyPath: conf.ReadyPath})
+	g.readyServer = admin.New(admin.Config{Address: conf.ReadyListen, ReadyPath: conf.ReadyPath})
 	if conf.MetricsListen != "" {
-		g.figures = admin.New(admin.Config{Address: conf.MetricsListen, Metrics: g.metrics})
+		g.metricsServer = admin.New(admin.Config{Address: conf.MetricsListen, Metrics: g.metrics})
 	}
 	g.stopper = shutdown.New(shutdown.Config{
-		Timeouts:   stopTimes(conf),
+		Timeouts:   shutdownTimeouts(conf),
 		Server:     g.server,
-		Ready:      g.control.served,
-		SetReady:   g.ready.SetReady,
+		Ready:      g.control.readyCh,
+		SetReady:   g.readyServer.SetReady,
 		OnDraining: g.leave,
 		Emit:       g.emit,
 	})
@@ -101,9 +101,9 @@
 	g.metrics = metrics.New()
 	g.output = logging.NonBlocking(w)
 	log := logging.New(g.output, level)
-	g.trails = logging.NewRequestLogger(log)
+	g.requestLogger = logging.NewRequestLogger(log)
 	other := logging.NewProcessLogger(log)
-	g.metrics.AddLog(func() int64 { return g.output.Dropped() + other.Dropped() }, g.trails.Dropped)
+	g.metrics.AddLog(func() int64 { return g.output.Dropped() + other.Dropped() }, g.requestLogger.Dropped)
 	g.sink = hostSink{g.conf.Host, events.Fanout{other, g.metrics}}
 	logging.CaptureLibrary(g.sink)
 	return nil
@@ -124,100 +124,105 @@
 	s.next.Emit(e)
 }
 
-// Bounds of the call path.
+// Limits on the request path.
 const (
-	// dialTimeout bounds a connection to an upstream: round trips are below 10 ms,
-	// and a host that does not answer by then is down or cut off.
+	// dialTimeout bounds connecting to an upstream. Round trips take less than 10 ms; a
+	// host that does not respond in time is down or cut off.
 	dialTimeout = 250 * time.Millisecond
-	// maxAnswerBytes bounds an upstream's answer.
-	maxAnswerBytes = 16 << 20
-	// maxRequestBytes bounds a request's body unless the configuration says less.
+	// maxResponseBytes bounds an upstream's response.
+	maxResponseBytes = 16 << 20
+	// maxRequestBytes bounds a request body unless the configuration sets a lower limit.
 	maxRequestBytes = 64 << 20
 	// connectionsPerUpstream bounds this host's connections to one upstream, which
-	// serves few requests at once.
+	// serves few requests concurrently.
 	connectionsPerUpstream = 12
-	// minConnections is the least for one upstream: the usual slots and a question; and
-	// minConnectionsOfMany that where there are more hosts than connectionHosts, each of which
-	// has few requests at a time: one of them and a question.
+	// minConnections is the least number of connections to one upstream: one for each of
+	// the usual number of slots and one for a load query. minConnectionsOfMany replaces it
+	// if there are more hosts than connectionHosts: each host then has few requests at a
+	// time, and needs one connection for a request and one for a load query.
 	minConnections       = 4
 	minConnectionsOfMany = 2
 	// connectionHosts is the least number of hosts among which an upstream's published
-	// bound is divided; how many there are is not known. Few use their part.
+	// connection limit is divided, because the actual number is not known. Few hosts use
+	// their whole share.
 	connectionHosts = 40
-	// upstreamIdle closes a connection that carried no request for that long.
-	upstreamIdle = 20 * time.Second
-	// keptPart is the part of the memory that bodies may take: upstreams' answers take as much
-	// again while they are received, and the collector lets all of it double.
-	keptPart = 6
+	// upstreamIdleTimeout closes a connection that carried no request for that long.
+	upstreamIdleTimeout = 20 * time.Second
+	// bufferedBytesDivisor divides the memory into the part that buffered bodies may use.
+	// Upstreams' responses take as much again while they are received, and the garbage
+	// collector lets the total double.
+	bufferedBytesDivisor = 6
 	// bodyTimeout bounds receiving a request body.
 	bodyTimeout = 20 * time.Second
 )
 
-func (g *Gateway) buildCallPath(dialect *proxy.Dialect) {
+func (g *Gateway) buildRequestPath(dialect *proxy.Dialect) {
 	g.control = newController(g)
-	g.quotas = quotas.New(roomPeers{g})
+	g.quotas = quotas.New(quotaPeers{g})
 	g.client = upstream.New(upstream.Config{
 		DialTimeout:      dialTimeout,
-		IdleTimeout:      upstreamIdle,
+		IdleTimeout:      upstreamIdleTimeout,
 		MaxConnections:   connectionsPerUpstream,
-		MaxResponseBytes: maxAnswerBytes,
+		MaxResponseBytes: maxResponseBytes,
 		Mine:             dialect.Mine,
 	})
 	g.proxy = proxy.New(g.conf.Host, strconv.FormatInt(time.Now().UnixNano(), 36), g.client, g.sink,
 		proxy.WithDialect(dialect),
-		proxy.WithAsker(&asker{client: g.client, dialect: dialect, events: g.sink, told: g.control, random: rand.Uint64}),
+		proxy.WithAsker(&loadQuerier{client: g.client, dialect: dialect, events: g.sink, upstreams: g.control, random: rand.Uint64}),
 		proxy.WithUpstreams(g.control),
 		proxy.WithStartHold(),
-		proxy.WithTrails(g.trails),
+		proxy.WithTrails(g.requestLogger),
 		proxy.WithSharedBudget(retryShare(g.conf, 0)),
-		proxy.WithPoisonNews(poisonNews{g}),
-		proxy.WithLenders(lenders{g}),
-		proxy.WithQuotas(&countedQuotas{Enforcer: g.quotas, events: g.sink}),
-		proxy.WithKeysKnown(g.keysKnown),
+		proxy.WithPoisonNews(poisonNotifier{g}),
+		proxy.WithLenders(slotBorrower{g}),
+		proxy.WithQuotas(&reportingQuotas{Enforcer: g.quotas, events: g.sink}),
+		proxy.WithKeysKnown(g.keysCurrent),
 	)
 	g.server = httpwire.NewServer(httpwire.ServerConfig{
 		Address:      g.conf.Listen,
 		MaxBodyBytes: maxRequestBytes,
-		MaxKeptBytes: g.conf.MemoryBytes / keptPart,
+		MaxKeptBytes: g.conf.MemoryBytes / bufferedBytesDivisor,
 		BodyTimeout:  bodyTimeout,
 		Handler:      g.proxy,
 		Refuse:       g.proxy.RefuseUnread,
 	})
 }
 
-// Times of following the store.
+// Timing of the watch on the store and of the synchronization with peers.
 const (
-	watchWait   = 30 * time.Second // the most that the platforms known allow
-	readTimeout = 2 * time.Second
-	// restTimeout bounds all calls that read the rest of what is published, each of which has
-	// its own bound: a store keeps the changes that came meanwhile for about that long.
-	restTimeout = 15 * time.Second
-	// restWithin is the time over which hosts that serve with a part of the upstreams
-	// spread their reads of the others: at 108 KB for each of 473 hosts, a link of 1 Gbit/s
-	// is busy with them for half of that.
-	restWithin = 800 * time.Millisecond
-	// aloneEvery is how long the watch of a host without peers can be behind when
-	// it lost its store unseen. On the platforms known, what changed before must be
-	// in force three seconds after.
-	aloneEvery   = 2600 * time.Millisecond
-	checkTimeout = 700 * time.Millisecond
-	// peerTimeout bounds a question to a peer: the store can still be asked in time.
-	peerTimeout = 200 * time.Millisecond
-	watchSlack  = 150 * time.Millisecond
-	settleMin   = 150 * time.Millisecond
-	// settleShare is the longest pause between two watches of a host without peers,
-	// as a share of the time in which changes must be in force: the rest is for the
-	// call and for slack.
-	settleShare = 0.65
-	retryMin    = 150 * time.Millisecond
-	// retryMax is the longest pause before the host that looks for all asks again
-	// whether the store is back: upstreams that lapsed register again within two seconds.
+	watchWait          = 30 * time.Second // longest wait that the known platforms allow
+	initialReadTimeout = 2 * time.Second
+	// fullReadTimeout bounds all calls together that read the remainder of the full state;
+	// each call has its own timeout too. A store retains the changes made in the meantime
+	// for about that long.
+	fullReadTimeout = 15 * time.Second
+	// fullReadSpread is the time over which hosts that serve with the initial part of the
+	// upstreams spread their reads of the others. At 108 KB for each of 473 hosts, these
+	// reads occupy a link of 1 Gbit/s for half of that time.
+	fullReadSpread = 800 * time.Millisecond
+	// soloCheckInterval is how far the watch of a host without peers can be behind after an
+	// undetected loss of the store. The known platforms require that a change is applied
+	// within three seconds.
+	soloCheckInterval = 2600 * time.Millisecond
+	checkTimeout      = 700 * time.Millisecond
+	// fetchTimeout bounds a fetch from a peer and leaves time to read the store instead.
+	fetchTimeout  = 200 * time.Millisecond
+	maxWatchDelay = 150 * time.Millisecond
+	debounceMin   = 150 * time.Millisecond
+	// debounceShare is the longest pause between two watches of a host without peers, as a
+	// share of the time within which changes must be applied. The remainder covers the call
+	// and its delay.
+	debounceShare = 0.65
+	retryMin      = 150 * time.Millisecond
+	// retryMax is the longest pause before the host that checks the store for the whole
+	// fleet checks again whether it has recovered. Upstreams whose lease has expired
+	// register again within two seconds.
 	retryMax = 500 * time.Millisecond
-	// minOutage is shorter than any lease less the time to notice an outage.
+	// minOutage is shorter than any lease minus the time to notice an outage.
 	minOutage = 500 * time.Millisecond
-	// returnedFor is how long peers are told of the end of an outage: each of them
-	// is told something by then.
-	returnedFor = 3 * time.Second
+	// recoveryAnnouncePeriod is how long updates announce the end of an outage. Each peer
+	// receives at least one update within that time.
+	recoveryAnnouncePeriod = 3 * time.Second
 )
 
 func (g *Gateway) buildControl(store storewatch.Store) error {
@@ -227,77 +232,77 @@
 	}
 	conf := storewatch.Config{
 		Store:              store,
-		Follow:             g.followConfig(),
-		OnRead:             func(s *storewatch.State) { g.surely(func() { g.control.read(s) }) },
-		OnInitialRead:      g.readPart,
-		FullReadSpread:     restWithin,
-		OnChanges:          func(c *storewatch.Changes) { g.surely(func() { g.control.changed(c) }) },
-		OnRecovery:         func(at time.Time) { g.surely(func() { g.control.returned(at) }) },
+		Follow:             g.syncConfig(),
+		OnRead:             func(s *storewatch.State) { g.mustPost(func() { g.control.applyState(s) }) },
+		OnInitialRead:      g.applyInitialState,
+		FullReadSpread:     fullReadSpread,
+		OnChanges:          func(c *storewatch.Changes) { g.mustPost(func() { g.control.applyChanges(c) }) },
+		OnRecovery:         func(at time.Time) { g.mustPost(func() { g.control.storeRecovered(at) }) },
 		Events:             g.sink,
 		WatchWait:          watchWait,
-		InitialReadTimeout: readTimeout,
-		FullReadTimeout:    restTimeout,
+		InitialReadTimeout: initialReadTimeout,
+		FullReadTimeout:    fullReadTimeout,
 		CheckTimeout:       checkTimeout,
-		FetchTimeout:       peerTimeout,
+		FetchTimeout:       fetchTimeout,
 	}
 	if fleet == nil {
 		g.control.pools.options.Schedule.Set(clock.Now(), timeslot.Position{Hosts: 1})
 	} else {
 		g.fleet = fleet
-		fleet.quotaSeeds()
-		conf.Peers = fleet.news
+		fleet.setQuotaSeeds()
+		conf.Peers = fleet.transport
 		conf.Self = fleet.self()
-		conf.Follow.StartReadDelay, conf.Follow.StartFetchDelay = fleet.startTimes()
+		conf.Follow.StartReadDelay, conf.Follow.StartFetchDelay = fleet.startDelays()
 	}
-	g.follower = storewatch.NewWatcher(conf)
-	g.loop.Every(tickEvery, g.control.tick)
-	g.loop.Every(gossip.RepeatInterval, g.repeatDeaths)
-	g.loop.Every(gossip.RepeatInterval, g.repeatLimits)
-	g.loop.Every(quotasEvery, g.quotas.Tick)
+	g.watcher = storewatch.NewWatcher(conf)
+	g.loop.Every(tickInterval, g.control.tick)
+	g.loop.Every(gossip.RepeatInterval, g.rebroadcastCrashes)
+	g.loop.Every(gossip.RepeatInterval, g.rebroadcastLimits)
+	g.loop.Every(quotaTickInterval, g.quotas.Tick)
 	g.loop.Every(retry.TickInterval, func(time.Time) { g.proxy.Tick() })
 	return nil
 }
 
-func (g *Gateway) followConfig() storesync.Config {
+func (g *Gateway) syncConfig() storesync.Config {
 	return storesync.Config{
-		MaxChangeDelay:         g.conf.knownWithin(),
-		SoloCheckInterval:      aloneEvery,
-		MaxWatchDelay:          watchSlack,
-		DebounceMin:            settleMin,
-		DebounceMax:            time.Duration(settleShare * float64(g.conf.knownWithin())),
+		MaxChangeDelay:         g.conf.maxLearnDelay(),
+		SoloCheckInterval:      soloCheckInterval,
+		MaxWatchDelay:          maxWatchDelay,
+		DebounceMin:            debounceMin,
+		DebounceMax:            time.Duration(debounceShare * float64(g.conf.maxLearnDelay())),
 		MinOutage:              minOutage,
-		RecoveryAnnouncePeriod: returnedFor,
+		RecoveryAnnouncePeriod: recoveryAnnouncePeriod,
 		RetryMin:               retryMin,
 		RetryMax:               retryMax,
 		Jitter:                 rand.Float64,
 	}
 }
 
-// readPart puts a part of what is published in force, and reports whether this host
-// serves with it.
-func (g *Gateway) readPart(s *storewatch.State) bool {
+// applyInitialState applies the initial part of the state on the control goroutine, and
+// reports whether this host serves with it.
+func (g *Gateway) applyInitialState(s *storewatch.State) bool {
 	serves := make(chan bool, 1)
-	g.surely(func() { serves <- g.control.readPart(s) })
+	g.mustPost(func() { serves <- g.control.applyInitialState(s) })
 	return <-serves
 }
 
-// surely queues control work that must not be dropped. The follower's goroutine
-// waits while the queue is full.
-func (g *Gateway) surely(f func()) {
+// mustPost queues control work that must not be dropped. The watcher's goroutine waits
+// while the queue is full.
+func (g *Gateway) mustPost(f func()) {
 	for !g.loop.Post(f) {
-		time.Sleep(postPause)
+		time.Sleep(postRetryDelay)
 	}
 }
 
-// postPause is the pause before a full queue is tried again.
-const postPause = time.Millisecond
+// postRetryDelay is the delay before another attempt to post to a full queue.
+const postRetryDelay = time.Millisecond
 
-// Run serves until a planned stop is over. A first signal begins the stop, a
-// second one ends it at once.
+// Run serves until a graceful shutdown has ended. The first signal begins the shutdown,
+// the second one ends it at once.
 func (g *Gateway) Run(ctx context.Context, signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer func() { _ = g.output.Close() }() // writes what waits
+	defer func() { _ = g.output.Close() }() // flushes queued lines
 	if err := g.start(ctx); err != nil {
 		return err
 	}
@@ -311,44 +316,45 @@
 }
 
 const (
-	// acceptWhileStopping is how long a stopping host takes new connections: the
-	// platform's balancer asks each second and believes two answers in a row.
-	acceptWhileStopping = 2800 * time.Millisecond
-	// stopMargin is the time before the end of a stop in which the process ends.
-	stopMargin = 150 * time.Millisecond
+	// shutdownGrace is how long a host that is shutting down accepts new connections. The
+	// platform's load balancer checks readiness each second and acts on two equal responses
+	// in a row.
+	shutdownGrace = 2800 * time.Millisecond
+	// shutdownMargin is the part of the shutdown timeout that is left for the process to exit.
+	shutdownMargin = 150 * time.Millisecond
 )
 
-func stopTimes(s Settings) lifecycle.HostConfig {
-	deadline := s.StopTimeout - stopMargin
-	return lifecycle.HostConfig{Grace: min(acceptWhileStopping, deadline/2), Deadline: deadline}
+func shutdownTimeouts(s Settings) lifecycle.HostConfig {
+	deadline := s.StopTimeout - shutdownMargin
+	return lifecycle.HostConfig{Grace: min(shutdownGrace, deadline/2), Deadline: deadline}
 }
 
-// start opens the sockets. What callers reach comes last.
+// start opens the sockets. The fleet's and the metrics sockets follow those for callers.
 func (g *Gateway) start(ctx context.Context) error {
 	go g.loop.Run(ctx)
-	steps := []func() error{g.client.Start, g.ready.Start, g.server.Start}
+	steps := []func() error{g.client.Start, g.readyServer.Start, g.server.Start}
 	if g.fleet != nil {
 		steps = append(steps, g.fleet.start)
 	}
-	if g.figures != nil {
-		steps = append(steps, g.figures.Start)
+	if g.metricsServer != nil {
+		steps = append(steps, g.metricsServer.Start)
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			return err
 		}
 	}
-	go g.follower.Run(ctx)
+	go g.watcher.Run(ctx)
 	return nil
 }
 
-// resumed is called when the machine was suspended.
+// resumed is called after the machine was suspended.
 func (g *Gateway) resumed(suspended time.Duration) {
 	g.emit(event.Event{Code: event.HostSuspended, Value: suspended.Milliseconds()})
-	g.follower.Resumed()
+	g.watcher.Resumed()
 }
 
-// leave is called when the planned stop begins.
+// leave is called when the graceful shutdown begins.
 func (g *Gateway) leave() {
 	if g.fleet != nil {
 		g.fleet.leave()
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -12,15 +12,16 @@
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
 )
 
-// TestIdThatReturnsAfterItsStartLeft: an upstream says in its answers that it leaves, and
-// goes; another start under its id comes later, when its number may have been forgotten. It
-// takes requests, however long after.
+// TestIdThatReturnsAfterItsStartLeft guards against a new start being taken for one that
+// left: an upstream announces in its responses that it is leaving and goes away, and another
+// start registers under the same ID after the number of the first may have been discarded.
+// The new start must accept requests after any pause.
 func TestIdThatReturnsAfterItsStartLeft(t *testing.T) {
 	for _, pause := range []time.Duration{time.Second, 5 * time.Minute, 30 * time.Minute, 59 * time.Minute, 65 * time.Minute, 75 * time.Minute, 3 * time.Hour} {
 		t.Run(pause.String(), func(t *testing.T) {
 			is := is.New(t)
 			conf := lifecycle.DefaultConfig()
-			set := discovery.NewSet(registeredConfig(conf))
+			set := discovery.NewSet(discoveryConfig(conf))
 			registry := lifecycle.NewRegistry(conf, event.Discard{})
 			now, revision := time.Now(), uint64(0)
 			list := func() {
@@ -31,17 +32,17 @@
 				}
 				registry.Configure(now, "s", revision, listings)
 			}
-			takes := func() bool {
+			accepts := func() bool {
 				s, _ := registry.Flush()
 				return s.AcceptsRequests(lifecycle.UpstreamKey{Service: "s", Upstream: "u"})
 			}
 			set.Put(now, discovery.Upstream{ID: "u", Service: "s", Born: 1, Revision: 1})
 			list()
-			is.True(takes())
+			is.True(accepts())
 			registry.Refused(now, lifecycle.UpstreamKey{Service: "s", Upstream: "u"}, 1)
-			is.True(!takes())
-			list() // its entry still says ready
-			is.True(!takes())
+			is.True(!accepts())
+			list() // its entry still says that it is ready
+			is.True(!accepts())
 			set.Remove(now, "u", 2)
 			list()
 			for end := now.Add(pause); now.Before(end); now = now.Add(time.Second) {
@@ -50,14 +51,14 @@
 			}
 			set.Put(now, discovery.Upstream{ID: "u", Service: "s", Born: 2, Revision: 3})
 			list()
-			is.True(takes())
+			is.True(accepts())
 		})
 	}
 }
 
-// TestRestOutlivesRecords: what an upstream asked for holds when its entry was missing for a
-// while, and not for its next start.
-func TestRestOutlivesRecords(t *testing.T) {
+// TestBackoffOutlivesRecords checks that a backoff still holds after the upstream's entry was
+// missing for a while, and that it does not apply to the next start.
+func TestBackoffOutlivesRecords(t *testing.T) {
 	is := is.New(t)
 	p := newPools("host", "here")
 	entry := discovery.Upstream{ID: "u", Service: "s", Start: 1, Address: "10.0.0.1:80"}
@@ -66,7 +67,7 @@
 	p.refreshPool(pl, []discovery.Upstream{entry}, forget)
 	now := time.Now()
 	until := pl.records["u"].Backoff.Begin(now, time.Minute, 0)
-	p.rests.Extend(restKey("u", 1), until)
+	p.backoffs.Extend(backoffKey("u", 1), until)
 	p.refreshPool(pl, nil, forget)
 	p.refreshPool(pl, []discovery.Upstream{entry}, forget)
 	is.Equal(pl.records["u"].Backoff.Delay(now), until.Sub(now))
@@ -75,8 +76,8 @@
 	is.Equal(pl.records["u"].Backoff.Delay(now), time.Duration(0))
 }
 
-// TestLimitOutlivesRecords: what an upstream names, and the turns that are used, hold when
-// its entry was missing for a while, and not for its next start.
+// TestLimitOutlivesRecords checks that an upstream's limit and the used time slots still hold
+// after its entry was missing for a while, and that they do not apply to the next start.
 func TestLimitOutlivesRecords(t *testing.T) {
 	is := is.New(t)
 	p := newPools("host", "here")
@@ -95,9 +96,9 @@
 	is.True(pl.records["u"].Limit != known)
 	is.True(!pl.records["u"].Limit.Limited())
 
-	// What hosts tell of the earlier start does not touch the next one.
-	told, ok := known.Update(now)
+	// Peers' updates about the earlier start do not affect the next one.
+	update, ok := known.Update(now)
 	is.True(ok)
-	is.Equal(len(p.limits.ApplyPeerUpdates(now.Add(time.Second), []ratelimit.Update{told})), 0)
+	is.Equal(len(p.limits.ApplyPeerUpdates(now.Add(time.Second), []ratelimit.Update{update})), 0)
 	is.True(!pl.records["u"].Limit.Limited())
 }
--- a/internal/gateway/asker.go
+++ b/internal/gateway/loadquerier.go
@@ -18,39 +18,39 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// askTimeout bounds asking one upstream. The farthest is a few milliseconds
-// away; one that takes longer is not worth waiting for.
-const askTimeout = 25 * time.Millisecond
+// queryTimeout bounds the load query to one upstream. The round trip to the farthest
+// takes a few milliseconds; a slower response is not worth waiting for.
+const queryTimeout = 25 * time.Millisecond
 
-// asker implements proxy.Asker over the upstreams' health path.
-type asker struct {
-	client  *upstream.Client
-	dialect *proxy.Dialect
-	events  event.Sink
-	told    proxy.Upstreams // is told what answers say of leaving and of rest
-	random  func() uint64
+// loadQuerier implements proxy.Asker with requests to the upstreams' health path.
+type loadQuerier struct {
+	client    *upstream.Client
+	dialect   *proxy.Dialect
+	events    event.Sink
+	upstreams proxy.Upstreams // receives the leaving marks and backoffs in responses
+	random    func() uint64
 }
 
 // Ask implements proxy.Asker.
-func (a *asker) Ask(ctx context.Context, group *routing.Group, upstreams []*balancer.Upstream) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (a *loadQuerier) Ask(ctx context.Context, group *routing.Group, upstreams []*balancer.Upstream) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var others sync.WaitGroup
 	for _, u := range upstreams[1:] {
-		others.Go(func() { a.ask(ctx, group, u) })
+		others.Go(func() { a.query(ctx, group, u) })
 	}
-	a.ask(ctx, group, upstreams[0])
+	a.query(ctx, group, upstreams[0])
 	others.Wait()
 }
 
-// ask records what one upstream says of its load.
-func (a *asker) ask(ctx context.Context, group *routing.Group, u *balancer.Upstream) {
+// query records the load that one upstream reports.
+func (a *loadQuerier) query(ctx context.Context, group *routing.Group, u *balancer.Upstream) {
 	sent, mark := clock.Now(), u.Mark()
-	resp, err := a.question(ctx, group, u)
+	resp, err := a.fetchLoad(ctx, group, u)
 	if err != nil && err.Kind == errkind.UpstreamBroken {
-		// Upstreams may forget idle connections and reset what comes on them; a
-		// question may be asked twice, and the next one is on another connection.
-		resp, err = a.question(ctx, group, u)
+		// Upstreams may drop idle connections and reset what arrives on them. A load query
+		// is safe to repeat, and the second attempt uses another connection.
+		resp, err = a.fetchLoad(ctx, group, u)
 	}
 	now := clock.Now()
 	feedback := balancer.Feedback{Now: now, Latency: now.Sub(sent), ProbeSentAt: mark}
@@ -59,11 +59,11 @@
 		feedback.Outcome = balancer.Failed
 		a.events.Emit(event.Event{Code: event.ProbeFailed, Service: group.Config.Registered, Upstream: u.ID,
 			Reason: err.Kind.String(), Detail: err.Error(), Value: int64(now.Sub(sent))})
-	case a.another(resp, u):
+	case a.fromOtherUpstream(resp, u):
 		feedback.Outcome = balancer.Failed
 		a.events.Emit(event.Event{Code: event.ProbeFailed, Service: group.Config.Registered, Upstream: u.ID,
 			Reason: "another-upstream", Detail: a.dialect.Instance(resp.Header), Value: int64(now.Sub(sent))})
-	case a.listen(group, u, resp, now):
+	case a.recordLeavingAndBackoff(group, u, resp, now):
 		feedback.Outcome = balancer.Refused
 	case resp.Status != http.StatusOK:
 		feedback.Outcome = balancer.Failed
@@ -71,7 +71,7 @@
 			Reason: "unhealthy", Value: int64(now.Sub(sent))})
 	default:
 		feedback.Report = a.dialect.Load(resp.Header)
-		a.limited(group, u, now, sent, resp)
+		a.recordLimit(group, u, now, sent, resp)
 		if left, ok := a.dialect.Cold(resp.Header); ok {
 			u.Cold.SetCold(now, left)
 		}
@@ -79,19 +79,19 @@
 	balancer.FinishProbe(group.Picker, u, feedback)
 }
 
-// another reports whether another upstream answered at the address: it says nothing of
-// the one that was asked.
-func (a *asker) another(resp *httpwire.Response, u *balancer.Upstream) bool {
+// fromOtherUpstream reports whether another upstream responded at the address. Its
+// response says nothing about u.
+func (a *loadQuerier) fromOtherUpstream(resp *httpwire.Response, u *balancer.Upstream) bool {
 	id := a.dialect.Instance(resp.Header)
 	return id != "" && id != u.ID
 }
 
-// listen takes in what an answer says of leaving and of rest, and reports whether it asks
-// for rest.
-func (a *asker) listen(group *routing.Group, u *balancer.Upstream, resp *httpwire.Response, now time.Time) bool {
+// recordLeavingAndBackoff applies the leaving mark and the backoff in a response, and
+// reports whether the response asks for a backoff.
+func (a *loadQuerier) recordLeavingAndBackoff(group *routing.Group, u *balancer.Upstream, resp *httpwire.Response, now time.Time) bool {
 	service := group.Config.Registered
 	if a.dialect.Leaving(resp.Status, resp.Header) {
-		a.told.Leaving(lifecycle.UpstreamKey{Service: service, Upstream: u.ID}, u.Activation)
+		a.upstreams.Leaving(lifecycle.UpstreamKey{Service: service, Upstream: u.ID}, u.Activation)
 	}
 	d, err := a.dialect.Rest(resp.Status, resp.Header)
 	if err != nil {
@@ -101,22 +101,22 @@
 		return false
 	}
 	a.events.Emit(event.Event{Code: event.RestAsked, Service: service, Upstream: u.ID, Reason: "probe", Value: d.Milliseconds()})
-	a.told.Rests(u, u.Backoff.Begin(now, d, a.random()))
+	a.upstreams.Rests(u, u.Backoff.Begin(now, d, a.random()))
 	return true
 }
 
-// limited takes in what an answer says of the upstream's limit.
-func (a *asker) limited(group *routing.Group, u *balancer.Upstream, now, sent time.Time, resp *httpwire.Response) {
-	e, news := a.dialect.HearLimit(u, now, sent, resp, ratelimit.Probe)
-	if !news {
+// recordLimit applies the rate limit that the upstream announces in a response.
+func (a *loadQuerier) recordLimit(group *routing.Group, u *balancer.Upstream, now, sent time.Time, resp *httpwire.Response) {
+	e, changed := a.dialect.HearLimit(u, now, sent, resp, ratelimit.Probe)
+	if !changed {
 		return
 	}
 	e.Service = group.Config.Registered
 	a.events.Emit(e)
-	a.told.LimitHeard(u)
+	a.upstreams.LimitHeard(u)
 }
 
-func (a *asker) question(ctx context.Context, group *routing.Group, u *balancer.Upstream) (*httpwire.Response, *errkind.Error) {
+func (a *loadQuerier) fetchLoad(ctx context.Context, group *routing.Group, u *balancer.Upstream) (*httpwire.Response, *errkind.Error) {
 	return a.client.Do(ctx, u.Address, &httpwire.Request{
 		Method: http.MethodGet,
 		Target: group.Config.HealthPath,
--- a/internal/gateway/poison.go
+++ b/internal/gateway/poison.go
@@ -12,40 +12,41 @@
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 )
 
-// poisonNews implements proxy.PoisonNews over the hosts' datagrams.
-type poisonNews struct {
+// poisonNotifier implements proxy.PoisonNews over the peer transport.
+type poisonNotifier struct {
 	gateway *Gateway
 }
 
 // Died implements proxy.PoisonNews.
-func (n poisonNews) Died(d poison.Crash) {
+func (n poisonNotifier) Died(d poison.Crash) {
 	if f := n.gateway.fleet; f != nil {
-		f.news.SendDeaths(*f.others.Load(), []poison.Crash{d})
+		f.transport.SendDeaths(*f.others.Load(), []poison.Crash{d})
 	}
 }
 
 // Answered implements proxy.PoisonNews.
-func (n poisonNews) Answered(p poison.Fingerprint) {
+func (n poisonNotifier) Answered(p poison.Fingerprint) {
 	if f := n.gateway.fleet; f != nil {
-		f.news.SendAnswered(*f.others.Load(), p)
+		f.transport.SendAnswered(*f.others.Load(), p)
 	}
 }
 
-// repeatDeaths tells a few hosts what they may have missed, as much as one message holds.
-func (g *Gateway) repeatDeaths(now time.Time) {
+// rebroadcastCrashes sends recent crashes that hosts may have missed to a few of them, as
+// many as fit into one message.
+func (g *Gateway) rebroadcastCrashes(now time.Time) {
 	if g.fleet == nil {
 		return
 	}
-	deaths := g.proxy.RecentDeaths(now, poison.RebroadcastPeriod)
-	if len(deaths) == 0 {
+	crashes := g.proxy.RecentDeaths(now, poison.RebroadcastPeriod)
+	if len(crashes) == 0 {
 		return
 	}
 	others := slices.Clone(*g.fleet.others.Load())
-	g.fleet.news.SendDeaths(gossip.Sample(others, gossip.RepeatFanOut, rand.IntN), gossip.Sample(deaths, peertransport.DeathsPerMessage, rand.IntN))
+	g.fleet.transport.SendDeaths(gossip.Sample(others, gossip.RepeatFanOut, rand.IntN), gossip.Sample(crashes, peertransport.DeathsPerMessage, rand.IntN))
 }
 
-// knowOthers takes in the other hosts. It runs on the control goroutine.
-func (f *fleet) knowOthers(s *membership.Snapshot) {
+// updateOthers records the other hosts. It runs on the control goroutine.
+func (f *fleet) updateOthers(s *membership.Snapshot) {
 	if s.Version == f.version {
 		return
 	}
@@ -53,7 +54,7 @@
 	for i := range s.Members {
 		m := &s.Members[i]
 		if m.State != membership.Dead && m.Address != s.Self.Address {
-			others = append(others, f.newsAddress(m.Address))
+			others = append(others, f.transportAddress(m.Address))
 		}
 	}
 	f.others.Store(&others)
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -17,7 +17,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
-// pool is what outlives snapshots of one registered service: the policy and
+// pool is the state of one registered service that outlives snapshots: the policy and
 // the records of its upstreams.
 type pool struct {
 	policyName string
@@ -27,48 +27,48 @@
 	records    map[string]*balancer.Upstream
 	// entries are the revisions of the entries that records reflect, by id.
 	entries map[string]uint64
-	// coldRate is what an upstream bears while it is cold, in requests a second.
+	// coldRate is the rate that an upstream tolerates while it is cold, in requests per second.
 	coldRate float64
 	// lifecycle is the version of the service's views that picker reflects.
 	lifecycle uint64
 }
 
-// pools implements routing.Groups for registered services. It belongs to the
+// pools implements routing.Groups for registered services. It is owned by the
 // control goroutine.
 type pools struct {
 	options   balancer.Options
 	lifecycle *lifecycle.Snapshot
 	services  map[string]*pool
-	// rests are by restKey.
-	rests  *backoff.Registry
-	limits *ratelimit.Registry
-	// grown is true when there are records of addresses that had none.
-	grown bool
+	// backoffs are keyed by backoffKey.
+	backoffs *backoff.Registry
+	limits   *ratelimit.Registry
+	// hasNewAddresses is true when addresses that had no record have one.
+	hasNewAddresses bool
 }
 
-// takeGrown reports whether there are new addresses since the last call.
-func (p *pools) takeGrown() bool {
-	grown := p.grown
-	p.grown = false
-	return grown
+// takeNewAddresses reports whether there are new addresses since the last call.
+func (p *pools) takeNewAddresses() bool {
+	added := p.hasNewAddresses
+	p.hasNewAddresses = false
+	return added
 }
 
-// restKey names one start of an upstream: the next one did not ask for anything.
-func restKey(id string, start uint64) string { return id + "/" + strconv.FormatUint(start, 10) }
+// backoffKey identifies one start of an upstream; a backoff does not apply to the next start.
+func backoffKey(id string, start uint64) string { return id + "/" + strconv.FormatUint(start, 10) }
 
 func newPools(host, failureDomain string) *pools {
-	mine := timeslot.New(host)
-	limits := ratelimit.NewRegistry(mine)
+	schedule := timeslot.New(host)
+	limits := ratelimit.NewRegistry(schedule)
 	return &pools{
-		options:   balancer.Options{Host: host, FailureDomain: failureDomain, Schedule: mine, Limits: limits},
+		options:   balancer.Options{Host: host, FailureDomain: failureDomain, Schedule: schedule, Limits: limits},
 		lifecycle: new(lifecycle.Snapshot),
 		services:  make(map[string]*pool),
-		rests:     backoff.NewRegistry(),
+		backoffs:  backoff.NewRegistry(),
 		limits:    limits,
 	}
 }
 
-// pool returns the pool of a service and makes it if it is new.
+// pool returns the pool of a service and creates it if there is none.
 func (p *pools) pool(service string) *pool {
 	pl := p.services[service]
 	if pl == nil {
@@ -79,8 +79,8 @@
 	return pl
 }
 
-// setPolicy builds a policy by its name; one that this version does not know
-// falls back to the default.
+// setPolicy builds a policy by its name. A name that this version does not know falls
+// back to the default.
 func (pl *pool) setPolicy(name string, o balancer.Options) {
 	b, err := registry.Lookup(name)
 	if err != nil {
@@ -100,13 +100,12 @@
 		pl.setPolicy(g.Policy, p.options)
 		pl.rebuild(g.Registered, p.lifecycle)
 	}
-	pl.bear(g.ColdRate)
+	pl.setColdRate(g.ColdRate)
 	return &routing.Group{Config: g, Picker: pl.picker, Upstreams: pl.members, Lifecycle: p.lifecycle.Version}
 }
 
-// refresh brings the pools in line with the lifecycle. It returns the services
-// whose pickers changed, and calls forget for the addresses of upstreams that
-// are gone.
+// refresh updates the pools to the current lifecycle. It returns the services whose
+// pickers changed, and calls forget with the addresses of upstreams that are gone.
 func (p *pools) refresh(set *discovery.Set, forget func(address string)) []string {
 	var changed []string
 	for _, service := range p.lifecycle.Services() {
@@ -123,8 +122,9 @@
 	return changed
 }
 
-// refreshPool makes records for new upstreams, and for new starts of known ones, and
-// forgets those that are gone: cost, failures, load and connections are of one start.
+// refreshPool creates records for new upstreams and for new starts of known ones, and
+// removes those of upstreams that are gone. A record holds the cost, failures, load and
+// connections of one start.
 func (p *pools) refreshPool(pl *pool, list []discovery.Upstream, forget func(string)) {
 	now := clock.Now()
 	known := make(map[string]*balancer.Upstream, len(list))
@@ -133,9 +133,9 @@
 		u := pl.records[entry.ID]
 		if u == nil || u.Activation != entry.Start || u.Address != upstream.InstanceTarget(entry.ID, entry.Address) {
 			u = newRecord(entry)
-			p.grown = true
+			p.hasNewAddresses = true
 			u.Cold.SetRate(u.ID, pl.coldRate)
-			u.Backoff.Extend(p.rests.Until(restKey(entry.ID, entry.Start)))
+			u.Backoff.Extend(p.backoffs.Until(backoffKey(entry.ID, entry.Start)))
 			u.Limit = p.limits.Acquire(entry.ID, entry.Born)
 		}
 		if pl.entries[entry.ID] != entry.Revision {
@@ -152,8 +152,8 @@
 	pl.records, pl.entries = known, entries
 }
 
-// bear takes in what an upstream bears while it is cold.
-func (pl *pool) bear(coldRate float64) {
+// setColdRate sets the rate that an upstream tolerates while it is cold.
+func (pl *pool) setColdRate(coldRate float64) {
 	if coldRate == pl.coldRate {
 		return
 	}
@@ -163,8 +163,8 @@
 	}
 }
 
-// newRecord makes the record of an upstream. How slow it is while it is cold it says
-// itself, in the slowdown of its load reports.
+// newRecord creates the record of an upstream. The upstream itself reports how slow it
+// is while it is cold, as the slowdown in its load reports.
 func newRecord(entry discovery.Upstream) *balancer.Upstream {
 	return &balancer.Upstream{
 		ID:            entry.ID,
@@ -175,8 +175,8 @@
 	}
 }
 
-// rebuild makes the picker anew of those that take requests; those that can't
-// be reached only if there are no others.
+// rebuild creates a new picker of the upstreams that accept requests. Unreachable ones
+// are included only if there are no others.
 func (pl *pool) rebuild(service string, s *lifecycle.Snapshot) {
 	var reachable, unreachable []*balancer.Upstream
 	for id, u := range pl.records {
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -15,42 +15,43 @@
 )
 
 const (
-	// quotasEvery is how often what is unused of quotas is forgotten.
-	quotasEvery = 10 * time.Second
-	// overEvery is the pause between two lines about one customer that is over its quota.
-	overEvery = 10 * time.Second
+	// quotaTickInterval is how often unused quota state is discarded.
+	quotaTickInterval = 10 * time.Second
+	// overQuotaInterval is the least time between two events about one customer that is
+	// over its quota.
+	overQuotaInterval = 10 * time.Second
 )
 
-// roomPeers implements quotas.Peers over the hosts' datagrams.
-type roomPeers struct {
+// quotaPeers implements quotas.Peers over the peer transport.
+type quotaPeers struct {
 	gateway *Gateway
 }
 
 // RequestQuota implements quotas.Peers.
-func (p roomPeers) RequestQuota(ctx context.Context, host netip.AddrPort, q quotas.Request) (quota.Answer, bool) {
+func (p quotaPeers) RequestQuota(ctx context.Context, host netip.AddrPort, q quotas.Request) (quota.Answer, bool) {
 	f := p.gateway.fleet
 	if f == nil {
 		return quota.Answer{}, false
 	}
-	return f.news.RequestQuota(ctx, host, q)
+	return f.transport.RequestQuota(ctx, host, q)
 }
 
-// countedQuotas writes a line now and then about customers that are over their quotas.
-type countedQuotas struct {
+// reportingQuotas emits rate-limited events about customers that are over their quotas.
+type reportingQuotas struct {
 	*quotas.Enforcer
 	events event.Sink
 
-	mu   sync.Mutex
-	over map[string]*overCount
+	mu       sync.Mutex
+	refusals map[string]*refusalCount
 }
 
-type overCount struct {
-	refused int64
-	next    time.Time // of the next line
+type refusalCount struct {
+	refused    int64
+	nextReport time.Time // earliest time of the next event
 }
 
 // Take implements proxy.Quotas.
-func (q *countedQuotas) Take(ctx context.Context, c *config.Customer) (time.Duration, bool) {
+func (q *reportingQuotas) Take(ctx context.Context, c *config.Customer) (time.Duration, bool) {
 	wait, ok := q.Enforcer.Take(ctx, c)
 	if !ok && ctx.Err() == nil {
 		q.refused(clock.Now(), c.Name)
@@ -58,29 +59,30 @@
 	return wait, ok
 }
 
-func (q *countedQuotas) refused(now time.Time, customer string) {
+func (q *reportingQuotas) refused(now time.Time, customer string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.over == nil {
-		q.over = make(map[string]*overCount)
+	if q.refusals == nil {
+		q.refusals = make(map[string]*refusalCount)
 	}
-	n := q.over[customer]
+	n := q.refusals[customer]
 	if n == nil {
-		n = new(overCount)
-		q.over[customer] = n
+		n = new(refusalCount)
+		q.refusals[customer] = n
 	}
 	n.refused++
-	if now.Before(n.next) {
+	if now.Before(n.nextReport) {
 		return
 	}
 	q.events.Emit(event.Event{Code: event.CustomerOver, At: time.Now(), Reason: customer, Value: n.refused})
-	n.refused, n.next = 0, now.Add(overEvery)
+	n.refused, n.nextReport = 0, now.Add(overQuotaInterval)
 }
 
-// quotaFleet gives the quotas the hosts of the fleet. It runs on the control goroutine.
-func (f *fleet) quotaFleet(s *membership.Snapshot, settled bool) {
+// setQuotaFleet passes the hosts of the fleet to the quota enforcer. It runs on the
+// control goroutine.
+func (f *fleet) setQuotaFleet(s *membership.Snapshot, settled bool) {
 	out := quotas.Fleet{Known: len(s.Members), Converged: settled}
-	out.Self = quota.Host{Address: f.newsAddress(f.address), FailureDomain: f.gateway.conf.FailureDomain}
+	out.Self = quota.Host{Address: f.transportAddress(f.address), FailureDomain: f.gateway.conf.FailureDomain}
 	for _, h := range f.hosts(s) {
 		if h.Address != out.Self.Address && !h.Leaving {
 			out.Others = append(out.Others, quota.Host{Address: h.Address, FailureDomain: h.FailureDomain})
@@ -89,20 +91,22 @@
 	f.gateway.quotas.SetFleet(out)
 }
 
-// quotaSeeds gives the quotas the hosts of the settings, until more are known.
-func (f *fleet) quotaSeeds() {
-	out := quotas.Fleet{Self: quota.Host{Address: f.newsAddress(f.address), FailureDomain: f.gateway.conf.FailureDomain}, Known: 1}
+// setQuotaSeeds passes the seed hosts of the settings to the quota enforcer, until more
+// are known.
+func (f *fleet) setQuotaSeeds() {
+	out := quotas.Fleet{Self: quota.Host{Address: f.transportAddress(f.address), FailureDomain: f.gateway.conf.FailureDomain}, Known: 1}
 	for _, a := range f.seeds() {
 		if a != f.address {
-			out.Others = append(out.Others, quota.Host{Address: f.newsAddress(a)})
+			out.Others = append(out.Others, quota.Host{Address: f.transportAddress(a)})
 			out.Known++
 		}
 	}
 	f.gateway.quotas.SetFleet(out)
 }
 
-// keysKnown reports whether this host knows all keys that were revoked, or need not.
-func (g *Gateway) keysKnown() bool {
-	within := g.keysKnownWithin.Load()
-	return within == 0 || clock.Since(g.follower.AsOf()) <= time.Duration(within)
+// keysCurrent reports whether this host knows all revoked keys as of the staleness limit,
+// or whether no limit is set.
+func (g *Gateway) keysCurrent() bool {
+	limit := g.maxKeyStaleness.Load()
+	return limit == 0 || clock.Since(g.watcher.AsOf()) <= time.Duration(limit)
 }
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -13,21 +13,22 @@
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
 )
 
-// This file tells the other hosts what upstreams say of their limits, and asks them for
-// turns.
+// This file sends the limits that upstreams announce to the other hosts, and borrows
+// time slots from them.
 
-// tellLimit tells all hosts what is now known of a limit.
-func (g *Gateway) tellLimit(s *ratelimit.State) {
+// broadcastLimit sends the current state of a limit to all hosts.
+func (g *Gateway) broadcastLimit(s *ratelimit.State) {
 	if g.fleet == nil {
 		return
 	}
-	if told, ok := s.Update(clock.Now()); ok {
-		g.fleet.news.SendLimits(*g.fleet.others.Load(), []ratelimit.Update{told})
+	if update, ok := s.Update(clock.Now()); ok {
+		g.fleet.transport.SendLimits(*g.fleet.others.Load(), []ratelimit.Update{update})
 	}
 }
 
-// repeatLimits tells a few hosts what they may have missed, as much as one message holds.
-func (g *Gateway) repeatLimits(now time.Time) {
+// rebroadcastLimits sends limits that hosts may have missed to a few of them, as many as
+// fit into one message.
+func (g *Gateway) rebroadcastLimits(now time.Time) {
 	if g.fleet == nil {
 		return
 	}
@@ -36,28 +37,28 @@
 		return
 	}
 	others := slices.Clone(*g.fleet.others.Load())
-	g.fleet.news.SendLimits(gossip.Sample(others, gossip.RepeatFanOut, rand.IntN), gossip.Sample(known, peertransport.LimitsPerMessage, rand.IntN))
+	g.fleet.transport.SendLimits(gossip.Sample(others, gossip.RepeatFanOut, rand.IntN), gossip.Sample(known, peertransport.LimitsPerMessage, rand.IntN))
 }
 
-// heardLimits takes in what another host tells.
-func (g *Gateway) heardLimits(told []ratelimit.Update) {
+// applyPeerLimits applies the limits in another host's update.
+func (g *Gateway) applyPeerLimits(updates []ratelimit.Update) {
 	now := clock.Now()
-	for _, s := range g.control.pools.limits.ApplyPeerUpdates(now, told) {
+	for _, s := range g.control.pools.limits.ApplyPeerUpdates(now, updates) {
 		g.emit(proxy.LimitEvent(s.ID(), s.Limit(), ratelimit.Peer))
 	}
 }
 
-// lenders implements proxy.Lenders over the hosts' datagrams.
-type lenders struct {
+// slotBorrower implements proxy.Lenders over the peer transport.
+type slotBorrower struct {
 	gateway *Gateway
 }
 
 // Borrow implements proxy.Lenders.
-func (l lenders) Borrow(ctx context.Context, host int, server ratelimit.Server) bool {
+func (l slotBorrower) Borrow(ctx context.Context, host int, server ratelimit.Server) bool {
 	f := l.gateway.fleet
 	if f == nil {
 		return false
 	}
-	inTurn := *f.inTurn.Load()
-	return host < len(inTurn) && inTurn[host].IsValid() && f.news.Borrow(ctx, inTurn[host], server)
+	order := *f.slotOrder.Load()
+	return host < len(order) && order[host].IsValid() && f.transport.Borrow(ctx, order[host], server)
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -8,8 +8,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/event"
 )
 
-// Reload puts changed settings in force, or refuses them whole and says why in
-// one event. A nil next with an error reports settings that could not be read.
+// Reload applies changed settings, or rejects all of them and emits one event with the
+// reason. A nil next with an error reports settings that could not be read.
 func (g *Gateway) Reload(next *Settings, err error) {
 	if err == nil {
 		err = g.reload(*next)
@@ -31,13 +31,14 @@
 		return errors.Newf("%s: can't change while the process runs", name)
 	}
 	g.conf = next
-	g.keysKnownWithin.Store(int64(next.MaxKeyStaleness))
+	g.maxKeyStaleness.Store(int64(next.MaxKeyStaleness))
 	g.loop.Post(g.shareRetries)
-	g.stopper.SetTimeouts(stopTimes(next))
+	g.stopper.SetTimeouts(shutdownTimeouts(next))
 	return nil
 }
 
-// fixedChange names the first setting that only a start can change.
+// fixedChange returns the name of the first changed setting that requires a restart, or
+// an empty string.
 func (s *Settings) fixedChange(next Settings) string {
 	for _, f := range []struct{ name, old, new string }{
 		{"host", s.Host, next.Host},
--- a/internal/gateway/retries.go
+++ b/internal/gateway/retries.go
@@ -1,35 +1,36 @@
 package gateway
 
 const (
-	// retryUse is the part of the fleet's retry budget that is used: requests are
-	// counted here when they are first sent, there when callers send them.
-	retryUse = 0.85
-	// reserveUse is the part of the fixed part of that budget that the hosts share:
-	// one that sees half of the others takes twice its part.
-	reserveUse = 0.5
-	// minReserve is a host's part of the fixed part, in sends, at the least and while
-	// it does not know the other hosts. On the platforms known the fixed part is 1.5
-	// to 4.3 sends a host.
+	// budgetUtilization is the part of the fleet's retry budget that is used. This host
+	// counts a request at its first attempt, whereas the budget counts it when the caller
+	// sends it.
+	budgetUtilization = 0.85
+	// reserveUtilization is the part of the budget's fixed reserve that the hosts divide: a
+	// host that sees half of the others takes twice its share.
+	reserveUtilization = 0.5
+	// minReserve is a host's least share of the reserve, in attempts. It also applies while
+	// the host does not know the others. On the known platforms the reserve is 1.5 to 4.3
+	// attempts per host.
 	minReserve = 1
-	// percent is the whole of a percentage.
+	// percent converts a ratio to a percentage.
 	percent = 100
 )
 
-// retryShare returns this host's part of the fleet's retry budget: extra sends in
-// percent of first ones, and a reserve. 0 hosts are an unknown number.
+// retryShare returns this host's share of the fleet's retry budget: retries in percent of
+// first attempts, and a reserve. 0 hosts means that the number is unknown.
 func retryShare(s Settings, hosts int) (share, reserve float64) {
-	share = s.RetryBudgetRatio * retryUse * percent
+	share = s.RetryBudgetRatio * budgetUtilization * percent
 	if hosts == 0 {
 		return share, minReserve
 	}
-	return share, max(minReserve, s.RetryReserve*reserveUse/float64(hosts))
+	return share, max(minReserve, s.RetryReserve*reserveUtilization/float64(hosts))
 }
 
-// shareRetries takes in a changed number of hosts, or changed settings. It runs on
-// the control goroutine.
+// shareRetries applies a changed number of hosts or changed settings to the retry
+// budget. It runs on the control goroutine.
 func (g *Gateway) shareRetries() {
 	g.confMu.Lock()
-	share, reserve := retryShare(g.conf, g.hosts)
+	share, reserve := retryShare(g.conf, g.hostCount)
 	g.confMu.Unlock()
 	g.proxy.SetSharedBudget(share, reserve)
 }
--- a/internal/gateway/retries_test.go
+++ b/internal/gateway/retries_test.go
@@ -14,7 +14,7 @@
 		is.Equal(share, 17.0)
 		is.Equal(reserve, want)
 	}
-	// All hosts together stay within the fixed part, also where each sees half.
+	// All hosts together stay within the reserve even if each sees only half of them.
 	_, half := retryShare(conf, 9)
 	is.True(18*half <= conf.RetryReserve)
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -8,24 +8,24 @@
 	"github.com/rs/zerolog"
 )
 
-// Settings are what an entry host needs to know when it starts.
+// Settings holds the settings of an entry host.
 type Settings struct {
 	// Host is this host's IP, for events.
 	Host string
-	// FailureDomain is where this host runs.
+	// FailureDomain is the failure domain of this host.
 	FailureDomain string
 	// Listen is the IP:port for callers.
 	Listen string
-	// ReadyListen is the IP:port where readiness is asked.
+	// ReadyListen is the IP:port of the readiness endpoint.
 	ReadyListen string
-	// ReadyPath is the path of readiness; empty is the product's own.
+	// ReadyPath is the path of the readiness endpoint; empty means the default path.
 	ReadyPath string
-	// MetricsListen is the IP:port for metrics; empty serves none.
+	// MetricsListen is the IP:port for metrics; empty disables them.
 	MetricsListen string
-	// PeerListen is the IP:port where peers find this host; empty for a host that
-	// has none. The IP is also where they tell it news.
+	// PeerListen is the IP:port for membership; empty for a host without peers. The
+	// peer transport uses the same IP.
 	PeerListen string
-	// PeerTransportPort is the port of news among hosts, the same on all of them.
+	// PeerTransportPort is the port of the peer transport, the same on all hosts.
 	PeerTransportPort uint16
 	// Seeds are the PeerListen of some hosts; they may be out of date.
 	Seeds []netip.AddrPort
@@ -33,27 +33,27 @@
 	FirstStart bool
 	// LogLevel is debug, info, warn or error.
 	LogLevel string
-	// StopTimeout is the time after a signal in which the process must have ended.
+	// StopTimeout is the time after a signal within which the process must exit.
 	StopTimeout time.Duration
-	// MaxChangeDelay is the time in which a published change must be in force.
+	// MaxChangeDelay is the time within which a published change must be applied.
 	MaxChangeDelay time.Duration
-	// MaxLeaveDelay is the time after which an upstream that leaves must get no new
-	// requests.
+	// MaxLeaveDelay is the time after which an upstream that is leaving must receive no
+	// new requests.
 	MaxLeaveDelay time.Duration
-	// MemoryBytes is what the process may take in all. Default: 0, not known.
+	// MemoryBytes is the memory limit of the process; 0, the default, means unknown.
 	MemoryBytes int64
-	// MaxKeyStaleness is the time after which requests with a customer's key are refused if
-	// it is not certain that all keys that were revoked are known. Default: 0, they are
-	// served by what is known.
+	// MaxKeyStaleness is how old this host's knowledge of revoked keys may be; requests with
+	// a customer's key are refused if it is older. With 0, the default, they are served with
+	// the keys that are known.
 	MaxKeyStaleness time.Duration
-	// RetryBudgetRatio bounds the sends beyond the first to a service, over all
+	// RetryBudgetRatio bounds the attempts beyond the first to a service, over all
 	// entry hosts, as a share of its requests.
 	RetryBudgetRatio float64
-	// RetryReserve is the fixed part of that bound, in sends.
+	// RetryReserve is the fixed part of that budget, in attempts.
 	RetryReserve float64
 }
 
-// Validate reports the first setting that is wrong.
+// Validate reports the first invalid setting.
 func (s *Settings) Validate() error {
 	addresses := []struct{ name, value string }{
 		{"listen", s.Listen},
@@ -79,14 +79,14 @@
 	if _, err := zerolog.ParseLevel(s.LogLevel); err != nil {
 		return errors.Newf("log-level: %q is not debug, info, warn or error", s.LogLevel)
 	}
-	if s.StopTimeout <= minStop {
-		return errors.Newf("stop-within: %s is not above %s", s.StopTimeout, minStop)
+	if s.StopTimeout <= minStopTimeout {
+		return errors.Newf("stop-within: %s is not above %s", s.StopTimeout, minStopTimeout)
 	}
-	if s.MaxChangeDelay < minChange {
-		return errors.Newf("change-within: %s is below %s", s.MaxChangeDelay, minChange)
+	if s.MaxChangeDelay < minChangeDelay {
+		return errors.Newf("change-within: %s is below %s", s.MaxChangeDelay, minChangeDelay)
 	}
-	if s.MaxLeaveDelay < minChange {
-		return errors.Newf("leave-within: %s is below %s", s.MaxLeaveDelay, minChange)
+	if s.MaxLeaveDelay < minChangeDelay {
+		return errors.Newf("leave-within: %s is below %s", s.MaxLeaveDelay, minChangeDelay)
 	}
 	if s.MemoryBytes < 0 {
 		return errors.Newf("memory-bytes: %d is negative", s.MemoryBytes)
@@ -103,12 +103,12 @@
 	return nil
 }
 
-// knownWithin is the time in which any change of the store must be known.
-func (s *Settings) knownWithin() time.Duration { return min(s.MaxChangeDelay, s.MaxLeaveDelay) }
+// maxLearnDelay is the time within which this host must learn of any change of the store.
+func (s *Settings) maxLearnDelay() time.Duration { return min(s.MaxChangeDelay, s.MaxLeaveDelay) }
 
-// minChange is the shortest time in which a change can be learned: the calls of a
-// watch and the pause before it fit in.
-const minChange = time.Second
+// minChangeDelay is the shortest time within which a change can be learned: the calls of
+// a watch and the pause before it take less.
+const minChangeDelay = time.Second
 
-// minStop is the shortest planned stop that can be carried out.
-const minStop = time.Second
+// minStopTimeout is the shortest graceful shutdown that is supported.
+const minStopTimeout = time.Second
--- a/internal/gateway/upstreams.go
+++ b/internal/gateway/upstreams.go
@@ -8,8 +8,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 )
 
-// The methods in this file implement proxy.Upstreams. Traffic goroutines call
-// them; news goes to the control goroutine over its queue.
+// The methods in this file implement proxy.Upstreams. The goroutines that serve requests
+// call them; updates go to the control goroutine through its queue.
 
 // Snapshot implements proxy.Upstreams.
 func (c *controller) Snapshot() *lifecycle.Snapshot { return c.snapshot.Load() }
@@ -43,15 +43,15 @@
 
 // Rests implements proxy.Upstreams.
 func (c *controller) Rests(u *balancer.Upstream, until time.Time) {
-	c.gateway.loop.Post(func() { c.pools.rests.Extend(restKey(u.ID, u.Activation), until) })
+	c.gateway.loop.Post(func() { c.pools.backoffs.Extend(backoffKey(u.ID, u.Activation), until) })
 }
 
 // LimitHeard implements proxy.Upstreams.
-func (c *controller) LimitHeard(u *balancer.Upstream) { c.gateway.tellLimit(u.Limit) }
+func (c *controller) LimitHeard(u *balancer.Upstream) { c.gateway.broadcastLimit(u.Limit) }
 
 // Reported implements proxy.Upstreams.
 func (c *controller) Reported(string, time.Time) {}
 
-// Waking implements proxy.Upstreams. What a paused process missed it learns
-// from the store, which it follows by itself.
+// Waking implements proxy.Upstreams. After a pause, the process learns what it missed
+// through its own watch on the store.
 func (c *controller) Waking() bool { return false }
