--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -38,12 +38,12 @@
 	"github.com/dapplespindle/dapplespindle/pkg/routing"
 )
 
-// credentials reads the files of one role; nil means without TLS.
+// credentials loads the TLS files of one role and returns nil if TLS is not configured.
 func (e *Entry) credentials(t settings.TLS) (credentials.TransportCredentials, error) {
 	if !t.Files.Enabled() {
 		return nil, nil
 	}
-	r, err := tlsconf.Load(t.Files, tlsconf.Options{OnReload: e.reloaded})
+	r, err := tlsconf.Load(t.Files, tlsconf.Options{OnReload: e.onCertificateReload})
 	if err != nil {
 		return nil, err
 	}
@@ -51,13 +51,13 @@
 	return r.Credentials(t.ServerName), nil
 }
 
-// callerTLS reads the files for callers; nil means without TLS.
+// callerTLS loads the TLS files for callers and returns nil if TLS is not configured.
 func (e *Entry) callerTLS() (*tls.Config, error) {
 	t := e.conf.CallerTLS
 	if !t.Files.Enabled() {
 		return nil, nil
 	}
-	r, err := tlsconf.LoadCallers(t.Files, tlsconf.Options{OnReload: e.reloaded})
+	r, err := tlsconf.LoadCallers(t.Files, tlsconf.Options{OnReload: e.onCertificateReload})
 	if err != nil {
 		return nil, err
 	}
@@ -65,13 +65,13 @@
 	return r.CallerConfig(), nil
 }
 
-// upstreamTLS reads the files for upstreams; nil means that none is set.
+// upstreamTLS loads the TLS files for upstreams and returns nil if none is set.
 func (e *Entry) upstreamTLS() (func(string) *tls.Config, error) {
 	t := e.conf.UpstreamTLS
 	if !t.Files.Enabled() {
 		return nil, nil
 	}
-	r, err := tlsconf.LoadUpstreams(t.Files, tlsconf.Options{OnReload: e.reloaded})
+	r, err := tlsconf.LoadUpstreams(t.Files, tlsconf.Options{OnReload: e.onCertificateReload})
 	if err != nil {
 		return nil, err
 	}
@@ -79,15 +79,15 @@
 	return func(name string) *tls.Config { return r.UpstreamConfig(cmp.Or(name, t.ServerName)) }, nil
 }
 
-// warnExpired reports a certificate that the other side will refuse.
+// warnExpired reports an expired certificate, which the other side will refuse.
 func (e *Entry) warnExpired(file string, r *tlsconf.Reloader) {
 	if at := r.Expires(); !at.IsZero() && at.Before(time.Now()) {
 		e.emit(event.Event{Code: event.CertificateExpired, Detail: file + " expired at " + at.UTC().Format(time.RFC3339)})
 	}
 }
 
-// reloaded reports a change of the certificate files.
-func (e *Entry) reloaded(err error) {
+// onCertificateReload reports the result of reloading changed certificate files.
+func (e *Entry) onCertificateReload(err error) {
 	if err != nil {
 		e.emit(event.Event{Code: event.CertificatesRejected, Detail: err.Error()})
 		return
@@ -115,7 +115,7 @@
 		FailureDomain: e.conf.FailureDomain,
 		Keys:          keys,
 		Hosts: &hostSource{e.newPlatform(), func(l *platform.HostList) {
-			e.loop.Post(func() { e.control.hostsListed(l) })
+			e.loop.Post(func() { e.control.applyHostList(l) })
 		}},
 		Loop:   e.loop,
 		Events: e.sink,
@@ -162,7 +162,7 @@
 	return nil
 }
 
-func (e *Entry) buildCallPath() error {
+func (e *Entry) buildRequestPath() error {
 	limits := e.conf.Limits
 	callerTLS, err := e.callerTLS()
 	if err != nil {
@@ -182,9 +182,9 @@
 		EntryHost:    e.host,
 		Sender:       e.client,
 		Events:       e.sink,
-		Report:       e.control.probed,
+		Report:       e.control.recordProbe,
 		ParseBackoff: proxy.OwnDialect().Rest,
-		OnBackoff:    e.control.rested,
+		OnBackoff:    e.control.recordBackoff,
 		Limited:      e.control.groups.limits.Limited,
 		Path:         e.conf.Probe.Path,
 		Timeout:      e.conf.Probe.Timeout,
@@ -203,9 +203,9 @@
 		Server:    e.peerServer,
 		Pool:      e.pool,
 		Peers:     e.peerAddresses,
-		SlotOrder: e.hostsInTurn,
+		SlotOrder: e.slotOrder,
 		Book:      e.control.groups.limits,
-		OnUpdate:  e.heardLimits,
+		OnUpdate:  e.reportPeerLimits,
 	})
 	incarnation := strconv.FormatInt(time.Now().UnixNano(), 36)
 	e.proxy = proxy.New(e.host, incarnation, e.client, e.sink,
@@ -239,7 +239,7 @@
 		Pool:   e.pool,
 		Peers:  e.peerAddresses,
 		Known:  e.control.registry.Notices,
-		Merge:  e.control.merge,
+		Merge:  e.control.mergeNotices,
 		Waking: e.control.Waking,
 	})
 	e.feed = configfeed.New(ctx, configfeed.Config{
@@ -254,9 +254,9 @@
 		Platform: e.newPlatform(),
 		Members:  e.configMembers,
 		Events:   e.sink,
-		OnChange: e.control.configured,
+		OnChange: e.control.applyConfiguration,
 	})
-	e.loop.Every(heartbeatEvery, e.control.tick)
+	e.loop.Every(heartbeatInterval, e.control.tick)
 	e.admin = admin.New(admin.Config{Address: e.conf.AdminListen, Metrics: e.metrics, Profiles: e.conf.AdminPprof})
 	return nil
 }
--- a/internal/entry/capacity_test.go
+++ b/internal/entry/capacity_test.go
@@ -19,16 +19,16 @@
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 )
 
-// fleetSize is a number of services, the upstreams of all together, and the
-// measuring budget in percent of the slot time; 0 sends no probes.
+// fleetSize is the number of services, the number of upstreams of all of them, and the
+// probe budget in percent of the slot time; 0 sends no probes.
 type fleetSize struct {
 	services, upstreams int
 	percent             float64
 }
 
-// capacitySizes end at the target of docs/DEVELOPERS.md, without and with
-// probes. The second and third have the same services, the third and fourth the
-// same upstreams, so that the two slopes come apart.
+// capacitySizes end at the target in docs/DEVELOPERS.md, without and with probes. The
+// second and third have the same number of services, the third and fourth the same number
+// of upstreams, so that the costs per upstream and per service can be told apart.
 var capacitySizes = []fleetSize{{10, 366, 0}, {100, 3659, 0}, {100, 15000, 0}, {410, 15000, 0}, {410, 15000, 1}}
 
 func (s fleetSize) String() string {
@@ -66,8 +66,8 @@
 	return out
 }
 
-// newIdleEntry returns an entry host whose parts are real and not started; the
-// test runs on behalf of its control goroutine.
+// newIdleEntry returns an entry host whose real components are not started; the test
+// takes the place of its control goroutine.
 func newIdleEntry(tb testing.TB) *Entry {
 	var conf settings.Entry
 	fs := pflag.NewFlagSet("capacity", pflag.ContinueOnError)
@@ -84,10 +84,10 @@
 	return e
 }
 
-// configuredEntry returns an entry host with the documents of s in force.
+// configuredEntry returns an entry host with the documents of s as the current ones.
 func configuredEntry(tb testing.TB, s fleetSize) (*Entry, configfeed.Snapshot) {
 	e, snapshot := newIdleEntry(tb), s.snapshot()
-	e.control.configured(snapshot)
+	e.control.applyConfiguration(snapshot)
 	if !e.control.ready {
 		tb.Fatal("not ready")
 	}
@@ -100,30 +100,31 @@
 	}
 }
 
-// BenchmarkStart is what the first configuration costs the control goroutine.
+// BenchmarkStart measures building an entry host and applying its first configuration on
+// the control goroutine.
 func BenchmarkStart(b *testing.B) {
 	eachSize(b, func(b *testing.B, s fleetSize) {
 		snapshot := s.snapshot()
 		for b.Loop() {
-			newIdleEntry(b).control.configured(snapshot)
+			newIdleEntry(b).control.applyConfiguration(snapshot)
 		}
 	})
 }
 
-// BenchmarkChange is what one changed document costs it.
+// BenchmarkChange measures applying one changed document on the control goroutine.
 func BenchmarkChange(b *testing.B) {
 	eachSize(b, func(b *testing.B, s fleetSize) {
 		e, snapshot := configuredEntry(b, s)
 		for n := 0; b.Loop(); n++ {
-			snapshot = changed(s, snapshot, n%s.services)
-			e.control.configured(snapshot)
+			snapshot = withChangedDocument(s, snapshot, n%s.services)
+			e.control.applyConfiguration(snapshot)
 		}
 	})
 }
 
-// changed returns snapshot with a new revision of document i, in which the
+// withChangedDocument returns snapshot with a new revision of document i, in which the
 // state of one upstream has changed.
-func changed(s fleetSize, snapshot configfeed.Snapshot, i int) configfeed.Snapshot {
+func withChangedDocument(s fleetSize, snapshot configfeed.Snapshot, i int) configfeed.Snapshot {
 	docs := append([]configsync.Document(nil), snapshot.InForce...)
 	service := *docs[i].Service
 	service.Groups = append([]config.Group(nil), service.Groups...)
@@ -141,8 +142,8 @@
 	return snapshot
 }
 
-// BenchmarkLifecycle is what news of one upstream costs it: connections failed
-// and then one succeeded, which are two publications.
+// BenchmarkLifecycle measures the control work for updates about one upstream: failed
+// connections and then a successful one, which cause two publications.
 func BenchmarkLifecycle(b *testing.B) {
 	eachSize(b, func(b *testing.B, s fleetSize) {
 		e, snapshot := configuredEntry(b, s)
@@ -159,7 +160,8 @@
 	})
 }
 
-// BenchmarkTickSecond is the work of once a second without news.
+// BenchmarkTickSecond measures the tick that also runs the work of once a second, without
+// updates.
 func BenchmarkTickSecond(b *testing.B) {
 	eachSize(b, func(b *testing.B, s fleetSize) {
 		e, _ := configuredEntry(b, s)
@@ -171,7 +173,7 @@
 	})
 }
 
-// BenchmarkTick is the work of every heartbeatEvery besides.
+// BenchmarkTick measures the other ticks, which run every heartbeatInterval.
 func BenchmarkTick(b *testing.B) {
 	eachSize(b, func(b *testing.B, s fleetSize) {
 		e, _ := configuredEntry(b, s)
@@ -183,7 +185,7 @@
 	})
 }
 
-// BenchmarkFleetChange is what a joining or leaving entry host costs it.
+// BenchmarkFleetChange measures the control work when an entry host joins or leaves.
 func BenchmarkFleetChange(b *testing.B) {
 	eachSize(b, func(b *testing.B, s fleetSize) {
 		e, _ := configuredEntry(b, s)
@@ -191,14 +193,14 @@
 			hosts := 13 + n%2
 			e.proxy.SetEntryHosts(hosts)
 			e.control.shareConnections(hosts)
-			if e.control.groups.share(0, hosts) {
+			if e.control.groups.setFleet(0, hosts) {
 				e.control.publish()
 			}
 		}
 	})
 }
 
-// BenchmarkGroup is one group built anew, against its size.
+// BenchmarkGroup measures rebuilding one group of different sizes.
 func BenchmarkGroup(b *testing.B) {
 	for _, n := range []int{10, 37, 100, 1000} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
@@ -212,18 +214,18 @@
 	}
 }
 
-// BenchmarkMemory is the heap of an entry host that serves nothing, documents
-// included, before and after a change of each document.
+// BenchmarkMemory reports the heap of an idle entry host, including documents, before and
+// after a change of each document.
 func BenchmarkMemory(b *testing.B) {
 	eachSize(b, func(b *testing.B, s fleetSize) {
 		for b.Loop() {
-			logging.CaptureLibrary(event.Discard{}) // lets go of the entry host before
+			logging.CaptureLibrary(event.Discard{}) // drops the reference to the previous entry host
 			before := heapBytes()
 			e, snapshot := configuredEntry(b, s)
 			b.ReportMetric(float64(heapBytes()-before)/1e6, "MB")
 			for i := range s.services {
-				snapshot = changed(s, snapshot, i)
-				e.control.configured(snapshot)
+				snapshot = withChangedDocument(s, snapshot, i)
+				e.control.applyConfiguration(snapshot)
 			}
 			b.ReportMetric(float64(heapBytes()-before)/1e6, "MB-changed")
 			runtime.KeepAlive(e)
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	heartbeatEvery = 100 * time.Millisecond
-	registryEvery  = time.Second
-	// pausedAfter is the silence of the control goroutine after which the
-	// process is taken to have been paused.
-	pausedAfter = 2 * time.Second
-	// wakeWait bounds waiting for a peer's notices after a pause.
-	wakeWait = 2 * time.Second
+	heartbeatInterval    = 100 * time.Millisecond
+	registryTickInterval = time.Second
+	// pauseThreshold is the time without a heartbeat of the control goroutine after which
+	// the process is considered to have been paused.
+	pauseThreshold = 2 * time.Second
+	// resumeTimeout bounds waiting for a peer's notices after a pause.
+	resumeTimeout = 2 * time.Second
 )
 
-// controller owns the configuration in force and the lifecycle of upstreams.
-// Its methods run on the control goroutine, but for those in upstreams.go.
+// controller owns the current configuration and the lifecycle of upstreams. Its
+// methods run on the control goroutine, except those in upstreams.go.
 type controller struct {
 	entry     *Entry
 	groups    *groupStore
@@ -40,26 +40,26 @@
 	snapshot  atomic.Pointer[lifecycle.Snapshot]
 	published *operator.Published
 
-	config    configfeed.Snapshot
-	addresses int               // of upstreams, as a hint
-	revisions map[string]uint64 // of the documents that the registry has
-	// publishing is true while a publication waits in the loop's queue.
-	publishing bool
+	config       configfeed.Snapshot
+	addressCount int               // of upstreams, as a size hint
+	revisions    map[string]uint64 // of the documents in the registry
+	// publishPending is true while a publication is in the loop's queue.
+	publishPending bool
 
-	ready     bool
-	served    chan struct{} // closed when ready
-	readyBy   time.Time     // serve without a peer's notices from then on
-	nextTick  time.Time
-	watermark configsync.Watermark
-	fleet     uint64 // version of the membership that the shares reflect
-	placed    uint64 // version of the membership that the turns reflect
-	// hostsRevision is that of the newest list of hosts that was read.
+	ready           bool
+	readyCh         chan struct{} // closed when ready
+	readyBy         time.Time     // when to serve even without a peer's notices
+	nextTick        time.Time
+	watermark       configsync.Watermark
+	sharesVersion   uint64 // version of the membership that the shares reflect
+	positionVersion uint64 // version of the membership that the time slots reflect
+	// hostsRevision is the revision of the newest host list that was read.
 	hostsRevision uint64
 
 	started   time.Time
-	heartbeat atomic.Int64 // nanoseconds after started
-	waking    atomic.Bool  // paused, and no peer's notices were taken in since
-	wakeBy    time.Time    // serve without them from then on
+	heartbeat atomic.Int64 // nanoseconds since started
+	resuming  atomic.Bool  // was paused and has not merged a peer's notices since
+	resumeBy  time.Time    // when to serve even without them
 }
 
 func newController(e *Entry) *controller {
@@ -70,29 +70,29 @@
 		published: new(operator.Published),
 		revisions: make(map[string]uint64),
 		started:   clock.Now(),
-		served:    make(chan struct{}),
+		readyCh:   make(chan struct{}),
 	}
 	c.readyBy = c.started.Add(e.conf.JoinTimeout)
 	c.snapshot.Store(new(lifecycle.Snapshot))
 	return c
 }
 
-// configured takes the documents in force into the registry and publishes.
-func (c *controller) configured(s configfeed.Snapshot) {
+// applyConfiguration updates the registry to the current documents and publishes.
+func (c *controller) applyConfiguration(s configfeed.Snapshot) {
 	now := clock.Now()
 	c.config = s
-	c.list(now)
+	c.configureRegistry(now)
 	c.groups.prune(services(s), now)
 	c.publish()
 	_, hosts := rank(c.entry.members.Snapshot())
 	c.shareConnections(hosts)
-	c.tellOperators()
+	c.publishToOperators()
 	c.entry.prober.SetTargets(prober.Targets(services(s), c.entry.conf.MaxEntryHosts, c.entry.conf.Probe.MaxLateness))
 }
 
-// list takes the documents that are new into the registry, and out of it the
-// services that have none any more.
-func (c *controller) list(now time.Time) {
+// configureRegistry passes new and changed documents to the registry, and removes the
+// services that no longer have a document.
+func (c *controller) configureRegistry(now time.Time) {
 	present := make(map[string]uint64, len(c.config.InForce))
 	for _, d := range c.config.InForce {
 		present[d.Name] = d.Revision
@@ -118,11 +118,11 @@
 	return out
 }
 
-// publish hands a new lifecycle and the routing table that reflects it to the
-// traffic goroutines, in this order.
+// publish makes a new lifecycle, and then the routing table that reflects it, visible
+// to the goroutines that serve requests.
 func (c *controller) publish() {
-	snapshot, news := c.registry.Flush()
-	c.entry.notices.Broadcast(news)
+	snapshot, notices := c.registry.Flush()
+	c.entry.notices.Broadcast(notices)
 	if snapshot != nil {
 		c.snapshot.Store(snapshot)
 	}
@@ -133,13 +133,13 @@
 	c.entry.proxy.SetTable(routing.Compile(c.config.Frontier, services(c.config), c.groups))
 	if !c.ready {
 		c.ready = true
-		close(c.served)
+		close(c.readyCh)
 		c.entry.emit(event.Event{Code: event.ProcessReady})
 	}
 }
 
-// mayServe reports whether the host has a configuration, and has heard from a
-// peer which upstreams are leaving, or waited long enough for one.
+// mayServe reports whether the host has a configuration, and has either fetched a
+// peer's notices of leaving upstreams or waited for them long enough.
 func (c *controller) mayServe() bool {
 	if c.ready || !c.config.Ready {
 		return c.ready
@@ -147,14 +147,14 @@
 	return c.entry.notices.Fetched() || len(c.entry.peerAddresses()) == 0 || clock.Now().After(c.readyBy)
 }
 
-// tick runs every heartbeatEvery.
+// tick runs every heartbeatInterval.
 func (c *controller) tick(now time.Time) {
-	c.stepWake(now)
+	c.updateResuming(now)
 	c.heartbeat.Store(int64(clock.Since(c.started)))
 	if now.After(c.nextTick) {
-		c.nextTick = now.Add(registryEvery)
+		c.nextTick = now.Add(registryTickInterval)
 		c.registry.Tick(now)
-		c.groups.rests.Tick(now)
+		c.groups.backoffs.Tick(now)
 		c.groups.limits.Tick(now)
 		c.reportDrained(now)
 		c.publishChanged()
@@ -162,37 +162,37 @@
 	if !c.ready {
 		c.publish()
 	}
-	c.shareFleet()
-	c.takePlace(now)
-	c.tellPeers()
+	c.updateShares()
+	c.updatePosition(now)
+	c.publishWatermark()
 }
 
-// silent is how long the control goroutine has not run.
-func (c *controller) silent() time.Duration {
+// sinceHeartbeat returns the time since the control goroutine last ran.
+func (c *controller) sinceHeartbeat() time.Duration {
 	return clock.Since(c.started) - time.Duration(c.heartbeat.Load())
 }
 
-// stepWake asks peers which upstreams left while this process was paused. It
-// runs before the heartbeat, so that Waking has no gap.
-func (c *controller) stepWake(now time.Time) {
-	if c.ready && c.silent() > pausedAfter {
-		c.waking.Store(true)
-		c.wakeBy = now.Add(wakeWait)
+// updateResuming fetches from peers which upstreams left while this process was paused.
+// It runs before the heartbeat, so that Waking has no gap.
+func (c *controller) updateResuming(now time.Time) {
+	if c.ready && c.sinceHeartbeat() > pauseThreshold {
+		c.resuming.Store(true)
+		c.resumeBy = now.Add(resumeTimeout)
 		c.entry.notices.Refetch()
 	}
-	if c.waking.Load() && (c.entry.notices.Fetched() || len(c.entry.peerAddresses()) == 0 || now.After(c.wakeBy)) {
-		c.waking.Store(false)
+	if c.resuming.Load() && (c.entry.notices.Fetched() || len(c.entry.peerAddresses()) == 0 || now.After(c.resumeBy)) {
+		c.resuming.Store(false)
 	}
 }
 
-// shareFleet adapts this host's shares to the entry hosts that are alive. No
-// promise rests on them: they bound queues and connections.
-func (c *controller) shareFleet() {
+// updateShares adapts this host's shares to the entry hosts that are alive. No
+// guarantee depends on the shares: they only bound queues and connections.
+func (c *controller) updateShares() {
 	s := c.entry.members.Snapshot()
-	if s.Version == c.fleet {
+	if s.Version == c.sharesVersion {
 		return
 	}
-	c.fleet = s.Version
+	c.sharesVersion = s.Version
 	self, hosts := rank(s)
 	c.entry.proxy.SetEntryHosts(hosts)
 	for i := range s.Members {
@@ -201,25 +201,25 @@
 		}
 	}
 	c.shareConnections(hosts)
-	if c.groups.share(self, hosts) && c.ready {
+	if c.groups.setFleet(self, hosts) && c.ready {
 		c.publish()
 	}
 }
 
-// takePlace takes in this host's number for its turns at upstreams, once it knows others or
-// has waited for them. Those held for dead count too: they may be on the other side of a
-// split, and serve there.
-func (c *controller) takePlace(now time.Time) {
+// updatePosition sets this host's position in the schedule of time slots, once it knows
+// other hosts or has waited for them. Hosts considered dead count too: they may be on the
+// other side of a network partition and serve there.
+func (c *controller) updatePosition(now time.Time) {
 	s := c.entry.members.Snapshot()
-	if s.Version == c.placed || !s.Joined && now.Before(c.readyBy) {
+	if s.Version == c.positionVersion || !s.Joined && now.Before(c.readyBy) {
 		return
 	}
-	c.placed = s.Version
+	c.positionVersion = s.Version
 	self := slices.IndexFunc(s.Members, func(m membership.Member) bool { return m.Address == s.Self.Address })
 	c.groups.options.Schedule.Set(now, timeslot.Position{Self: self, Hosts: len(s.Members)})
 }
 
-// rank returns this host's place among the usable members, and their number.
+// rank returns this host's position among the usable members, and their number.
 func rank(s *membership.Snapshot) (self, hosts int) {
 	for i := range s.Members {
 		m := &s.Members[i]
@@ -233,10 +233,10 @@
 	return self, max(hosts, 1)
 }
 
-// shareConnections divides each upstream's connections among the entry hosts,
-// and closes those to upstreams that are gone.
+// shareConnections divides each upstream's connections among the entry hosts, and
+// closes connections to upstreams that are gone.
 func (c *controller) shareConnections(hosts int) {
-	limits := make(map[string]int, c.addresses)
+	limits := make(map[string]int, c.addressCount)
 	for _, d := range c.config.InForce {
 		for g := range d.Groups {
 			for _, u := range d.Groups[g].Upstreams {
@@ -244,35 +244,34 @@
 			}
 		}
 	}
-	c.addresses = len(limits)
+	c.addressCount = len(limits)
 	c.entry.client.SetLimits(limits)
 }
 
-// publishChanged publishes if the registry has anything new.
+// publishChanged publishes if the registry has changed.
 func (c *controller) publishChanged() {
 	if c.registry.Changed() {
 		c.publish()
 	}
 }
 
-// publishSoon publishes what is new after the news that already waits in the
-// queue: many upstreams that are lost at once cost one publication. Nothing
-// that comes later delays it.
+// publishSoon publishes changes after the updates that are already queued, so that
+// losing many upstreams at once costs one publication. Later updates do not delay it.
 func (c *controller) publishSoon() {
-	if c.publishing || !c.registry.Changed() {
+	if c.publishPending || !c.registry.Changed() {
 		return
 	}
-	c.publishing = c.entry.loop.Post(func() {
-		c.publishing = false
+	c.publishPending = c.entry.loop.Post(func() {
+		c.publishPending = false
 		c.publishChanged()
 	})
-	if !c.publishing {
+	if !c.publishPending {
 		c.publishChanged()
 	}
 }
 
-// reportDrained tells the registry which leaving upstreams have nothing of this
-// host in flight, in any group of their service.
+// reportDrained tells the registry which leaving upstreams have no requests of this host
+// in flight in any group of their service.
 func (c *controller) reportDrained(now time.Time) {
 	idle := make(map[lifecycle.UpstreamKey]bool)
 	leaving := c.registry.Leaving()
@@ -292,28 +291,28 @@
 	}
 }
 
-// merge takes in notices of a peer.
-func (c *controller) merge(now time.Time, list []lifecycle.Notice) {
+// mergeNotices merges a peer's notices into the registry.
+func (c *controller) mergeNotices(now time.Time, list []lifecycle.Notice) {
 	for _, n := range list {
 		c.registry.Merge(now, n)
 	}
 	c.publishSoon()
 }
 
-// tellPeers publishes the watermark with this host's membership entry.
-func (c *controller) tellPeers() {
+// publishWatermark publishes the watermark in this host's membership entry.
+func (c *controller) publishWatermark() {
 	w := c.entry.feed.Watermark()
 	if w == c.watermark {
 		return
 	}
 	if c.entry.members.SetMetadata(w.Encode()) == nil {
 		c.watermark = w
-		c.tellOperators()
+		c.publishToOperators()
 	}
 }
 
-// tellOperators publishes the configuration in force to the operators' service.
-func (c *controller) tellOperators() {
+// publishToOperators publishes the current configuration to the operators' service.
+func (c *controller) publishToOperators() {
 	w := c.entry.feed.Watermark()
 	state := &plan.State{Revision: w.Frontier, Digest: w.Digest}
 	for _, d := range c.config.InForce {
@@ -322,8 +321,8 @@
 	c.published.Store(state)
 }
 
-// observe adds to an operator's view of an upstream what this host knows. It
-// runs on any goroutine.
+// observe adds this host's observations of an upstream to its status for operators. It
+// may run on any goroutine.
 func (c *controller) observe(service, group string, out *operatorv1.UpstreamStatus) {
 	view, ok := c.snapshot.Load().View(lifecycle.UpstreamKey{Service: service, Upstream: out.Id})
 	if ok {
@@ -331,7 +330,7 @@
 	}
 }
 
-// hostSink adds this host's name to the events of a part that has none.
+// hostSink adds this host's name to the events of components that do not set it.
 type hostSink struct {
 	entry *Entry
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -66,8 +66,8 @@
 	admin          *admin.Server
 }
 
-// New assembles an entry host from checked settings. Logs go to w. The parts
-// that work in the background end with ctx.
+// New assembles an entry host from validated settings. Logs are written to w. Background
+// work ends with ctx.
 func New(ctx context.Context, conf settings.Entry, build string, w io.Writer) (*Entry, error) {
 	if err := clock.Check(); err != nil {
 		return nil, errors.Wrap(err, "boot clock")
@@ -77,7 +77,7 @@
 		func(context.Context) error { return e.buildEvents(w) },
 		e.buildTracing,
 		func(context.Context) error { return e.buildPeers() },
-		func(context.Context) error { return e.buildCallPath() },
+		func(context.Context) error { return e.buildRequestPath() },
 		e.buildControl,
 		func(context.Context) error { return e.buildOperators() },
 	}
@@ -89,8 +89,8 @@
 	return e, nil
 }
 
-// Check does what New does short of reaching out: the key files of every role
-// are read, and what is wrong with a certificate is logged to w.
+// Check does what New does, but opens no connections: it reads the key files of every
+// role and logs problems with certificates to w.
 func Check(conf settings.Entry, w io.Writer) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -126,8 +126,8 @@
 	return err
 }
 
-// Run serves until a planned stop is over. A first signal begins the stop, a
-// second one ends it at once.
+// Run serves until a graceful shutdown has ended. The first signal begins the shutdown,
+// the second one ends it at once.
 func (e *Entry) Run(ctx context.Context, signals <-chan os.Signal) error {
 	loopCtx, stopLoop := context.WithCancel(ctx)
 	defer stopLoop()
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// start opens the sockets. What callers reach comes last.
+// start opens the sockets. The listener for callers comes last.
 func (e *Entry) start(ctx context.Context) error {
 	go e.loop.Run(ctx)
 	steps := []func() error{
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// closeTimeout bounds what is told to peers and collectors at the end.
+// closeTimeout bounds the last messages to peers and trace collectors on exit.
 const closeTimeout = time.Second
 
 func (e *Entry) close() {
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -8,8 +8,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/ratelimit"
 )
 
-// configMembers gives the configuration feed the entry hosts that are not
-// known to be dead; false until a first list or peer was heard.
+// configMembers provides the configuration feed with the entry hosts that are not known
+// to be dead. It returns false until a host list or a message from a peer has arrived.
 func (e *Entry) configMembers() ([]configsync.Member, bool) {
 	s := e.members.Snapshot()
 	if !s.Joined {
@@ -38,9 +38,9 @@
 	return out
 }
 
-// hostsInTurn returns the addresses of all hosts in the order of their turns; empty for
-// those held for dead, which lend nothing.
-func (e *Entry) hostsInTurn() []string {
+// slotOrder returns the addresses of all hosts in the order of their time slots; empty
+// for those considered dead, which lend no time slots.
+func (e *Entry) slotOrder() []string {
 	s := e.members.Snapshot()
 	out := make([]string, len(s.Members))
 	for i := range s.Members {
@@ -51,8 +51,8 @@
 	return out
 }
 
-// heardLimits reports what a peer's news have changed.
-func (e *Entry) heardLimits(changed []*ratelimit.State) {
+// reportPeerLimits emits an event for each limit that a peer's update has changed.
+func (e *Entry) reportPeerLimits(changed []*ratelimit.State) {
 	for _, s := range changed {
 		e.emit(proxy.LimitEvent(s.ID(), s.Limit(), ratelimit.Peer))
 	}
--- a/internal/entry/groups.go
+++ b/internal/entry/groups.go
@@ -17,7 +17,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/timeslot"
 )
 
-// groupKey identifies a group over changes of configuration.
+// groupKey identifies a group across changes of the configuration.
 type groupKey struct {
 	service, group string
 }
@@ -35,33 +35,33 @@
 	lifecycle uint64
 }
 
-// groupStore implements routing.Groups. It belongs to the control goroutine.
+// groupStore implements routing.Groups. It is owned by the control goroutine.
 type groupStore struct {
-	// options are what policies are told of this entry host.
+	// options describe this entry host to the policies.
 	options balancer.Options
-	// lifecycle says which upstreams take new requests.
+	// lifecycle determines which upstreams accept new requests.
 	lifecycle *lifecycle.Snapshot
 	groups    map[groupKey]*groupState
-	// rests are by "IP:port".
-	rests *backoff.Registry
-	// limits are by "IP:port" too.
+	// backoffs are keyed by "IP:port".
+	backoffs *backoff.Registry
+	// limits are keyed by "IP:port" too.
 	limits *ratelimit.Registry
 }
 
 func newGroupStore(host, failureDomain string) *groupStore {
-	mine := timeslot.New(host)
-	limits := ratelimit.NewRegistry(mine)
+	schedule := timeslot.New(host)
+	limits := ratelimit.NewRegistry(schedule)
 	return &groupStore{
-		options: balancer.Options{FailureDomain: failureDomain, Schedule: mine, Limits: limits},
-		groups:  make(map[groupKey]*groupState),
-		rests:   backoff.NewRegistry(),
-		limits:  limits,
+		options:  balancer.Options{FailureDomain: failureDomain, Schedule: schedule, Limits: limits},
+		groups:   make(map[groupKey]*groupState),
+		backoffs: backoff.NewRegistry(),
+		limits:   limits,
 	}
 }
 
-// rest takes in until when the server at an address wants nothing from this host.
-func (s *groupStore) rest(address string, until time.Time) {
-	s.rests.Extend(address, until)
+// extendBackoff extends the backoff of all upstreams with the server's address to until.
+func (s *groupStore) extendBackoff(address string, until time.Time) {
+	s.backoffs.Extend(address, until)
 	for _, st := range s.groups {
 		for _, u := range st.upstreams {
 			if upstream.HostOf(u.Address) == address {
@@ -71,9 +71,9 @@
 	}
 }
 
-// share tells the policies how many entry hosts there are. It reports whether
-// that changed; the policies are then built anew, and the records stay.
-func (s *groupStore) share(self, hosts int) bool {
+// setFleet sets this host's position and the number of entry hosts for the policies. It
+// reports whether they changed; if so, the policies are rebuilt and the records stay.
+func (s *groupStore) setFleet(self, hosts int) bool {
 	if s.options.Self == self && s.options.EntryHosts == hosts {
 		return false
 	}
@@ -85,9 +85,9 @@
 	return true
 }
 
-// Group implements routing.Groups. The picker stays while neither the group's
-// document nor anything about the service's upstreams has changed; it then
-// reflects the newest lifecycle too.
+// Group implements routing.Groups. The picker is reused while neither the group's
+// document nor the lifecycle of the service's upstreams has changed; it then reflects
+// the newest lifecycle too.
 func (s *groupStore) Group(svc *config.Service, g *config.Group) *routing.Group {
 	key := groupKey{svc.Name, g.Name}
 	st := s.groups[key]
@@ -103,7 +103,7 @@
 	return &routing.Group{Config: g, Picker: st.picker, Upstreams: st.members, Lifecycle: s.lifecycle.Version}
 }
 
-// prune forgets the groups that no document has any more.
+// prune removes the groups that are no longer in any document.
 func (s *groupStore) prune(services []*config.Service, now time.Time) {
 	present := make(map[groupKey]bool, len(s.groups))
 	for _, svc := range services {
@@ -119,27 +119,27 @@
 	})
 }
 
-// release gives up what a group that is gone holds.
+// release releases the limits of a removed group's upstreams.
 func (s *groupStore) release(st *groupState, now time.Time) {
 	for _, u := range st.upstreams {
 		s.limits.Release(now, u.Limit)
 	}
 }
 
-// rebuild makes the picker of a group anew.
+// rebuild creates a new picker for a group.
 func (s *groupStore) rebuild(service string, g *config.Group, st *groupState) {
 	if st.policyName != g.Policy {
 		st.policyName = g.Policy
 		st.policy = s.buildPolicy(g)
 	}
 	s.refresh(st, g, clock.Now())
-	st.members = s.taking(service, g, st)
+	st.members = s.acceptingUpstreams(service, g, st)
 	st.picker = st.policy.Update(st.members)
 }
 
-// buildPolicy returns the policy that the group names. A name that this
-// version does not know falls back to the product's own policy: the document
-// was accepted, so its upstreams must be served.
+// buildPolicy returns the policy that the group names. If this version does not know
+// the name, it falls back to the product's own policy: the document was accepted, so
+// requests to its upstreams must be served.
 func (s *groupStore) buildPolicy(g *config.Group) balancer.Policy {
 	options := s.options
 	options.SlowStart = g.SlowStart.Std()
@@ -150,9 +150,9 @@
 	return b.Build(options)
 }
 
-// taking returns the members that take new requests; those that can't be
-// reached only if there are no others.
-func (s *groupStore) taking(service string, g *config.Group, st *groupState) []*balancer.Upstream {
+// acceptingUpstreams returns the members that accept new requests. Unreachable ones are
+// returned only if there are no others.
+func (s *groupStore) acceptingUpstreams(service string, g *config.Group, st *groupState) []*balancer.Upstream {
 	var reachable, unreachable []*balancer.Upstream
 	for i := range g.Upstreams {
 		id := g.Upstreams[i].ID
@@ -171,20 +171,19 @@
 	return reachable
 }
 
-// refresh makes records for new members and forgets those that are no longer
-// configured. An upstream that joins a group which already had members starts
-// slowly.
+// refresh creates records for new members and removes those of upstreams that are no
+// longer configured. An upstream that joins a group with members gets a slow start.
 func (s *groupStore) refresh(st *groupState, g *config.Group, now time.Time) {
-	joined := len(st.upstreams) > 0
+	hadMembers := len(st.upstreams) > 0
 	known := make(map[string]*balancer.Upstream, len(g.Upstreams))
 	for i := range g.Upstreams {
 		cu := &g.Upstreams[i]
 		u := st.upstreams[cu.ID]
 		if u == nil || u.Address != upstream.Target(cu.Address, g.TLS) {
 			u = newUpstream(cu, g.TLS)
-			u.Backoff.Extend(s.rests.Until(upstream.HostOf(u.Address)))
+			u.Backoff.Extend(s.backoffs.Until(upstream.HostOf(u.Address)))
 			u.Limit = s.limits.Acquire(upstream.HostOf(u.Address), 0)
-			if joined {
+			if hadMembers {
 				u.Added = now
 			}
 		}
--- a/internal/entry/groups_test.go
+++ b/internal/entry/groups_test.go
@@ -20,7 +20,7 @@
 	return g
 }
 
-// groupFleet is a store with the registry that it takes the lifecycle from.
+// groupFleet is a group store with the registry that provides its lifecycle.
 type groupFleet struct {
 	store    *groupStore
 	registry *lifecycle.Registry
@@ -36,7 +36,7 @@
 	}
 }
 
-// publish takes a document into force and returns the picker of its group.
+// publish makes a document the current one and returns the picker of its group.
 func (f *groupFleet) publish(g *config.Group) balancer.Picker {
 	f.revision++
 	f.service.Groups = []config.Group{*g}
@@ -52,30 +52,30 @@
 	f := newGroupFleet()
 	f.publish(groupOf("spindle", "a", "b"))
 	a := f.state().upstreams["a"]
-	is.True(a.Added.IsZero()) // there from the start
+	is.True(a.Added.IsZero()) // member since the group was created
 
 	f.publish(groupOf("spindle", "a", "c"))
 	is.Equal(f.state().upstreams["a"], a)                         // the same record
-	is.True(!f.state().upstreams["c"].Added.IsZero())             // starts slowly
+	is.True(!f.state().upstreams["c"].Added.IsZero())             // gets a slow start
 	is.Equal(f.state().upstreams["b"], (*balancer.Upstream)(nil)) // forgotten
 
 	f.publish(groupOf("random", "a"))
 	is.Equal(f.state().policyName, "random")
 }
 
-func TestGroupServesUnderAnUnknownPolicy(t *testing.T) {
+func TestGroupFallsBackFromUnknownPolicy(t *testing.T) {
 	is := is.New(t)
 	res, err := newGroupFleet().publish(groupOf("no-such-policy", "a")).Pick(balancer.PickInfo{})
 	is.NoErr(err)
 	is.Equal(res.Upstream.ID, "a")
 }
 
-func TestGroupLeavesOutWhatLeaves(t *testing.T) {
+func TestGroupExcludesLeavingUpstreams(t *testing.T) {
 	is := is.New(t)
 	f := newGroupFleet()
 	f.publish(groupOf("random", "a", "b"))
 	f.registry.Refused(time.Now(), lifecycle.UpstreamKey{Service: "catalogue", Upstream: "a"}, 0)
-	picker := f.publish(groupOf("random", "a", "b")) // lists a as active still
+	picker := f.publish(groupOf("random", "a", "b")) // the document still lists a as active
 	for i := range 50 {
 		res, err := picker.Pick(balancer.PickInfo{Random: uint64(i) << 56})
 		is.NoErr(err)
@@ -86,7 +86,7 @@
 	is.Equal(err, balancer.ErrNoUpstream)
 }
 
-func TestGroupKeepsThePickerOfWhatDidNotChange(t *testing.T) {
+func TestGroupKeepsPickerWhenUnchanged(t *testing.T) {
 	is := is.New(t)
 	f := newGroupFleet()
 	g := groupOf("random", "a", "b")
@@ -97,31 +97,31 @@
 
 	kept := f.store.Group(&f.service, g)
 	is.Equal(kept.Picker, picker)                       // another service changed
-	is.Equal(kept.Lifecycle, f.store.lifecycle.Version) // and yet it reflects the newest
+	is.Equal(kept.Lifecycle, f.store.lifecycle.Version) // but the group reflects the newest lifecycle
 
 	f.registry.Refused(time.Now(), lifecycle.UpstreamKey{Service: "catalogue", Upstream: "a"}, 0)
 	f.store.lifecycle, _ = f.registry.Flush()
 	left := f.store.Group(&f.service, g).Picker
-	is.True(left != picker) // one of its upstreams left
-	is.True(f.store.share(1, 2))
-	is.True(f.store.Group(&f.service, g).Picker != left) // the policy was built anew
+	is.True(left != picker) // one of its upstreams is leaving
+	is.True(f.store.setFleet(1, 2))
+	is.True(f.store.Group(&f.service, g).Picker != left) // the policy was rebuilt
 }
 
-func TestGroupsOfRemovedServicesAreForgotten(t *testing.T) {
+func TestGroupsOfRemovedServicesArePruned(t *testing.T) {
 	is := is.New(t)
 	e, snapshot := configuredEntry(t, fleetSize{services: 3, upstreams: 30})
 	is.Equal(len(e.control.groups.groups), 3)
 	kept := e.control.groups.groups[groupKey{"service-000", "main"}]
 	snapshot.InForce = snapshot.InForce[:1]
 	snapshot.Frontier++
-	e.control.configured(snapshot)
+	e.control.applyConfiguration(snapshot)
 	is.Equal(len(e.control.groups.groups), 1)
 	is.Equal(e.control.groups.groups[groupKey{"service-000", "main"}], kept)
 }
 
-// TestRestHoldsForTheServer: it was asked for in one group, and holds in all groups that
-// list the server, under any id, also in those that list it later.
-func TestRestHoldsForTheServer(t *testing.T) {
+// TestBackoffHoldsForTheServer checks that a backoff which a server asked for in one group
+// holds in all groups that list the server, under any ID, including groups that list it later.
+func TestBackoffHoldsForTheServer(t *testing.T) {
 	is := is.New(t)
 	f := newGroupFleet()
 	f.publish(groupOf("spindle", "10.0.0.1:80", "10.0.0.2:80"))
@@ -129,7 +129,7 @@
 	f.store.Group(&other, groupOf("random", "10.0.0.1:80"))
 	now := time.Now()
 	until := now.Add(time.Minute)
-	f.store.rest("10.0.0.1:80", until)
+	f.store.extendBackoff("10.0.0.1:80", until)
 	late := config.Service{Name: "photos"}
 	f.store.Group(&late, groupOf("random", "10.0.0.1:80"))
 	for _, service := range []string{"catalogue", "ledger", "photos"} {
--- a/internal/entry/hosts.go
+++ b/internal/entry/hosts.go
@@ -12,11 +12,11 @@
 	"github.com/dapplespindle/dapplespindle/pkg/membership"
 )
 
-// hostSource implements members.HostSource with the platform's list.
+// hostSource implements members.HostSource with the platform's host list.
 type hostSource struct {
 	client *platform.Client
-	// listed takes in each list that was read.
-	listed func(*platform.HostList)
+	// onList is called with each list that was read.
+	onList func(*platform.HostList)
 }
 
 // Hosts implements members.HostSource.
@@ -25,11 +25,11 @@
 	if err != nil {
 		return nil, err
 	}
-	s.listed(list)
+	s.onList(list)
 	return &members.HostList{Revision: list.Revision, Hosts: entryHosts(list)}, nil
 }
 
-// entryHosts leaves out hosts whose address cannot be used.
+// entryHosts returns the listed entry hosts and skips those without a valid address.
 func entryHosts(list *platform.HostList) []membership.ListedHost {
 	var out []membership.ListedHost
 	for _, h := range list.Hosts {
@@ -45,10 +45,10 @@
 	return out
 }
 
-// hostsListed takes in the upstreams that run on hosts which the platform's
-// list calls leaving. It runs on the control goroutine. A list that is older
-// than the last one is ignored.
-func (c *controller) hostsListed(list *platform.HostList) {
+// applyHostList marks the upstreams as leaving that run on hosts which the platform's
+// list says are leaving. It runs on the control goroutine. A list that is older than the
+// last one is ignored.
+func (c *controller) applyHostList(list *platform.HostList) {
 	if list.Revision < c.hostsRevision {
 		return
 	}
--- a/internal/entry/operators_test.go
+++ b/internal/entry/operators_test.go
@@ -9,7 +9,7 @@
 	"github.com/dapplespindle/dapplespindle/internal/operator"
 )
 
-// BenchmarkOperators is the answer that lists all upstreams, encoded.
+// BenchmarkOperators measures encoding the response that lists all upstreams.
 func BenchmarkOperators(b *testing.B) {
 	eachSize(b, func(b *testing.B, s fleetSize) {
 		e, _ := configuredEntry(b, s)
--- a/internal/entry/publish_test.go
+++ b/internal/entry/publish_test.go
@@ -13,8 +13,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 )
 
-// runQueue lets an idle entry host do what was posted so far, and what that
-// posted, without its timers.
+// runQueue runs the work that was posted so far to an idle entry host, and the work
+// posted by it, without its timers.
 func runQueue(tb testing.TB, e *Entry) {
 	ctx, cancel := context.WithCancel(tb.Context())
 	defer cancel()
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestNewsThatWaitsIsPublishedTogether(t *testing.T) {
+func TestQueuedUpdatesArePublishedTogether(t *testing.T) {
 	is := is.New(t)
 	e, snapshot := configuredEntry(t, fleetSize{services: 2, upstreams: 200})
 	e.loop = control.NewLoop()
@@ -49,9 +49,9 @@
 	is.Equal(e.control.Snapshot().Version, before+1) // nothing new
 }
 
-// An upstream that two groups of a service list has drained when neither has
-// requests in flight there.
-func TestDrainedIsSaidOfAllGroups(t *testing.T) {
+// TestDrainedConsidersAllGroups checks that an upstream in two groups of a service counts
+// as drained only when neither group has requests in flight there.
+func TestDrainedConsidersAllGroups(t *testing.T) {
 	is := is.New(t)
 	e := newIdleEntry(t)
 	snapshot := fleetSize{services: 1, upstreams: 2}.snapshot()
@@ -60,10 +60,10 @@
 	second.Name = "second"
 	doc.Groups = append(doc.Groups, second)
 	doc.Rules = append(doc.Rules, config.Rule{Name: "second", Group: "second", Repeat: config.Repeatable})
-	e.control.configured(snapshot)
+	e.control.applyConfiguration(snapshot)
 	id := doc.Groups[0].Upstreams[0].ID
 	key := lifecycle.UpstreamKey{Service: doc.Name, Upstream: id}
-	// Whether the upstream still counts as leaving after a look at all groups.
+	// leaving reports whether the upstream still counts as leaving after all groups are checked.
 	leaving := func() bool {
 		e.control.reportDrained(time.Now())
 		return len(e.control.registry.Leaving()[doc.Name]) > 0
@@ -76,8 +76,8 @@
 	is.True(!leaving())
 }
 
-// BenchmarkLostDomain is the loss of one failure domain of 29 at once, as
-// failed connections: news of 1/29 of all upstreams.
+// BenchmarkLostDomain measures losing one failure domain of 29 at once, seen as failed
+// connections: updates about 1/29 of all upstreams.
 func BenchmarkLostDomain(b *testing.B) {
 	eachSize(b, func(b *testing.B, s fleetSize) {
 		e, snapshot := configuredEntry(b, s)
@@ -86,7 +86,7 @@
 			for _, d := range snapshot.InForce {
 				for _, u := range d.Groups[0].Upstreams {
 					if u.FailureDomain == "domain-07" {
-						loseAndRegain(e, lifecycle.UpstreamKey{Service: d.Name, Upstream: u.ID})
+						failAndReconnect(e, lifecycle.UpstreamKey{Service: d.Name, Upstream: u.ID})
 					}
 				}
 			}
@@ -95,9 +95,9 @@
 	})
 }
 
-// loseAndRegain posts the news that an upstream can't be reached, and that it
-// is reached again, so that each round of a benchmark begins alike.
-func loseAndRegain(e *Entry, key lifecycle.UpstreamKey) {
+// failAndReconnect posts that connections to an upstream fail and that one succeeds
+// again, so that each iteration of a benchmark begins in the same state.
+func failAndReconnect(e *Entry, key lifecycle.UpstreamKey) {
 	for range lifecycle.DefaultConfig().ConnectFailures {
 		e.control.ConnectFailed(key)
 	}
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -19,16 +19,16 @@
 	return shutdown.New(shutdown.Config{
 		Timeouts:   lifecycle.HostConfig{Grace: e.conf.Stop.Grace, Deadline: e.conf.Stop.Timeout},
 		Server:     e.server,
-		Ready:      e.control.served,
+		Ready:      e.control.readyCh,
 		SetReady:   e.admin.SetReady,
-		OnDraining: e.draining,
-		OnFinished: e.finished,
+		OnDraining: e.onDraining,
+		OnFinished: e.onFinished,
 		Emit:       e.emit,
 	})
 }
 
-// draining tells the peers that this host is leaving.
-func (e *Entry) draining() {
+// onDraining stops issuing tickets and notifies the peers that this host is leaving.
+func (e *Entry) onDraining() {
 	e.tickets.StopIssuing()
 	go e.leave()
 }
@@ -39,15 +39,15 @@
 	_ = e.members.Leave(ctx)
 }
 
-// finished hands the tickets over, unless requests were cut off: their records
+// onFinished hands the tickets over, unless requests were aborted: the records of those
 // would not be final.
-func (e *Entry) finished(cut int64) {
-	if cut == 0 {
+func (e *Entry) onFinished(aborted int64) {
+	if aborted == 0 {
 		e.handOver()
 	}
 }
 
-// handOver gives the tickets to one peer, chosen at random.
+// handOver transfers the tickets to one peer, chosen at random.
 func (e *Entry) handOver() {
 	peers := e.usablePeers()
 	if len(peers) == 0 {
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -10,8 +10,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 )
 
-// The methods in this file implement proxy.Upstreams. Traffic goroutines call
-// them; news goes to the control goroutine over its queue.
+// The methods in this file implement proxy.Upstreams. The goroutines that serve requests
+// call them; updates go to the control goroutine through its queue.
 
 // Snapshot implements proxy.Upstreams.
 func (c *controller) Snapshot() *lifecycle.Snapshot { return c.snapshot.Load() }
@@ -43,16 +43,17 @@
 	})
 }
 
-// Rests implements proxy.Upstreams. The server may stand in several groups, and is probed.
+// Rests implements proxy.Upstreams. The server may be in several groups, and the
+// prober backs off from it too.
 func (c *controller) Rests(u *balancer.Upstream, until time.Time) {
 	address := upstream.HostOf(u.Address)
 	c.entry.prober.SetBackoff(address, until)
-	c.rested(address, until)
+	c.recordBackoff(address, until)
 }
 
-// rested tells the groups that list the server at an address until when it rests.
-func (c *controller) rested(address string, until time.Time) {
-	c.entry.loop.Post(func() { c.groups.rest(address, until) })
+// recordBackoff extends the backoff of the server at an address in all groups that list it.
+func (c *controller) recordBackoff(address string, until time.Time) {
+	c.entry.loop.Post(func() { c.groups.extendBackoff(address, until) })
 }
 
 // LimitHeard implements proxy.Upstreams.
@@ -63,17 +64,17 @@
 	c.entry.prober.RecordReport(upstream.HostOf(address), now)
 }
 
-// Waking implements proxy.Upstreams. It notices a pause before the control
+// Waking implements proxy.Upstreams. It detects a pause even before the control
 // goroutine has run again.
 func (c *controller) Waking() bool {
 	if !c.entry.proxy.Ready() {
 		return false
 	}
-	return c.silent() > pausedAfter || c.waking.Load() || c.entry.feed.CatchingUp()
+	return c.sinceHeartbeat() > pauseThreshold || c.resuming.Load() || c.entry.feed.CatchingUp()
 }
 
-// probed hands the report of a probe to the groups that list the server.
-func (c *controller) probed(r prober.Report) {
+// recordProbe passes the report of a probe to the groups that list the server.
+func (c *controller) recordProbe(r prober.Report) {
 	c.entry.loop.Post(func() {
 		feedback := balancer.Feedback{
 			Now:     r.Received,
