--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -1,8 +1,8 @@
-// Package control runs the one goroutine that owns all control state.
+// Package control runs the goroutine that owns all control state.
 //
-// Traffic goroutines never touch control state: they read snapshots that the
-// control goroutine published, and report back with Post, which drops and
-// counts when the queue is full.
+// The goroutines that serve requests never access control state. They read snapshots
+// published by the control goroutine and report back with Post, which drops and counts
+// work when the queue is full.
 package control
 
 import (
@@ -23,22 +23,22 @@
 }
 
 type periodic struct {
-	every time.Duration
-	run   func(now time.Time)
+	period time.Duration
+	run    func(now time.Time)
 }
 
-// NewLoop returns a loop that is not yet running.
+// NewLoop returns a loop that is not running yet.
 func NewLoop() *Loop {
 	return &Loop{queue: make(chan func(), queueLength)}
 }
 
-// Every registers work to run each period. It must be called before Run.
+// Every registers work to run periodically. It must be called before Run.
 func (l *Loop) Every(period time.Duration, run func(now time.Time)) {
 	l.timers = append(l.timers, periodic{period, run})
 }
 
-// Post queues f without blocking. It reports false, and counts, when the
-// queue is full.
+// Post queues f without blocking. If the queue is full, it drops f, counts the drop and
+// returns false.
 func (l *Loop) Post(f func()) bool {
 	select {
 	case l.queue <- f:
@@ -49,8 +49,8 @@
 	}
 }
 
-// Call runs f on the control goroutine and waits for it. It returns ctx's
-// error when ctx ends first; f may then still run.
+// Call runs f on the control goroutine and waits for it. If ctx ends first, it returns
+// the error of ctx; f may still run.
 func (l *Loop) Call(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	work := func() {
@@ -70,7 +70,7 @@
 	}
 }
 
-// Dropped returns the number of posts that found the queue full.
+// Dropped returns the number of posts dropped because the queue was full.
 func (l *Loop) Dropped() int64 { return l.dropped.Load() }
 
 // Run executes work until ctx ends.
@@ -92,7 +92,7 @@
 }
 
 func tick(ctx context.Context, p periodic, out chan<- periodic) {
-	t := time.NewTicker(p.every)
+	t := time.NewTicker(p.period)
 	defer t.Stop()
 	for {
 		select {
--- a/internal/control/loop_test.go
+++ b/internal/control/loop_test.go
@@ -9,7 +9,7 @@
 
 func TestPostDropsWhenFull(t *testing.T) {
 	is := is.New(t)
-	l := NewLoop() // not running, so nothing is taken
+	l := NewLoop() // not running, so the queue is not drained
 	for range queueLength {
 		is.True(l.Post(func() {}))
 	}
@@ -17,7 +17,7 @@
 	is.Equal(l.Dropped(), int64(1))
 }
 
-func TestCallRunsInOrderOfPosts(t *testing.T) {
+func TestCallRunsAfterEarlierPosts(t *testing.T) {
 	is := is.New(t)
 	l := NewLoop()
 	var order []int
@@ -36,14 +36,14 @@
 	is.Equal(order, []int{0, 1, 2, 3})
 }
 
-func TestCallEndsWithItsContext(t *testing.T) {
+func TestCallReturnsWhenContextEnds(t *testing.T) {
 	is := is.New(t)
-	l := NewLoop() // not running, so the call is never taken
+	l := NewLoop() // not running, so the call is never executed
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	is.Equal(l.Call(ctx, func() {}), context.Canceled)
 	for range queueLength {
 		l.Post(func() {})
 	}
-	is.Equal(l.Call(ctx, func() {}), context.Canceled) // also with a full queue
+	is.Equal(l.Call(ctx, func() {}), context.Canceled) // even if the queue is full
 }
