--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -1,5 +1,5 @@
-// Package shutdown runs the planned stop of an entry host process: the chart
-// of pkg/lifecycle's Host, carried out on a caller listener.
+// Package shutdown runs the graceful shutdown of an entry host process: it applies the
+// state chart of lifecycle.Host to the listener for callers.
 package shutdown
 
 import (
@@ -14,48 +14,48 @@
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 )
 
-// tick is how often a stopping host looks whether it is done.
-const tick = 10 * time.Millisecond
+// tickInterval is how often a host that is shutting down checks whether it is done.
+const tickInterval = 10 * time.Millisecond
 
-// Config says what is stopped and who is told.
+// Config configures a Stopper.
 type Config struct {
-	// Timeouts bounds the stop.
+	// Timeouts bounds the shutdown.
 	Timeouts lifecycle.HostConfig
-	// Server is the callers' listener.
+	// Server is the listener for callers.
 	Server *httpwire.Server
 	// Ready is closed when the host may serve.
 	Ready <-chan struct{}
 	// SetReady sets the readiness endpoint.
 	SetReady func(bool)
-	// OnDraining is called when the planned stop begins; nil is allowed.
+	// OnDraining is called when the graceful shutdown begins; nil is allowed.
 	OnDraining func()
-	// OnFinished is called before the process ends, with the requests cut off; nil
-	// is allowed.
-	OnFinished func(cut int64)
+	// OnFinished is called before the process exits, with the number of aborted requests;
+	// nil is allowed.
+	OnFinished func(aborted int64)
 	// Emit sends an event.
 	Emit func(event.Event)
 }
 
-// Stopper runs the lifecycle of a process from its signals.
+// Stopper drives the lifecycle of a process by its signals.
 type Stopper struct {
-	conf   Config
-	times  chan lifecycle.HostConfig
-	host   *lifecycle.Host
-	busy   atomic.Bool // connections with a request are left after the listener closed
-	cancel context.CancelFunc
+	conf         Config
+	timeouts     chan lifecycle.HostConfig
+	host         *lifecycle.Host
+	shuttingDown atomic.Bool // Server.Shutdown is waiting for connections with a request
+	cancel       context.CancelFunc
 }
 
 // New returns a stopper for a process that is starting.
 func New(conf Config) *Stopper {
-	return &Stopper{conf: conf, times: make(chan lifecycle.HostConfig, 1), host: lifecycle.NewHost(conf.Timeouts)}
+	return &Stopper{conf: conf, timeouts: make(chan lifecycle.HostConfig, 1), host: lifecycle.NewHost(conf.Timeouts)}
 }
 
-// SetTimeouts replaces the bounds of the stop. It must not be called after Run has
+// SetTimeouts replaces the bounds of the shutdown. It must not be called after Run has
 // returned.
-func (s *Stopper) SetTimeouts(times lifecycle.HostConfig) { s.times <- times }
+func (s *Stopper) SetTimeouts(times lifecycle.HostConfig) { s.timeouts <- times }
 
-// Run returns when the process may exit. A first signal begins the planned
-// stop, a second one ends it at once. Nothing ticks before the first.
+// Run returns when the process may exit. The first signal begins the graceful shutdown,
+// the second one ends it at once. There is no ticker before the first signal.
 func (s *Stopper) Run(ctx context.Context, signals <-chan os.Signal) {
 	ready := s.conf.Ready
 	var ticker *time.Ticker
@@ -68,36 +68,36 @@
 		case <-ready:
 			ready = nil
 			effects = s.host.Ready()
-		case times := <-s.times:
+		case times := <-s.timeouts:
 			s.host.SetConfig(times)
 		case <-signals:
 			effects = s.host.Signal(clock.Now(), s.inFlight())
 			if ticker == nil {
-				ticker = time.NewTicker(tick)
+				ticker = time.NewTicker(tickInterval)
 				defer ticker.Stop()
 				ticks = ticker.C
 			}
 		case now := <-ticks:
 			effects = s.host.Tick(now, s.inFlight())
 		}
-		s.do(effects)
+		s.apply(effects)
 		if effects.Exit {
 			return
 		}
 	}
 }
 
-// inFlight counts the requests that a stop waits for.
+// inFlight returns the number of requests that the shutdown waits for.
 func (s *Stopper) inFlight() int64 {
 	n := s.conf.Server.InFlight()
-	if n == 0 && s.busy.Load() {
+	if n == 0 && s.shuttingDown.Load() {
 		return 1
 	}
 	return n
 }
 
-// do carries out effects in the order of their fields.
-func (s *Stopper) do(effects lifecycle.HostEffects) {
+// apply carries out effects in the order of their fields.
+func (s *Stopper) apply(effects lifecycle.HostEffects) {
 	if effects.SetReady {
 		s.conf.SetReady(true)
 	}
@@ -115,7 +115,7 @@
 	}
 }
 
-// drain tells the platform's balancer and callers that this host is leaving.
+// drain signals to the platform's load balancer and to callers that this host is leaving.
 func (s *Stopper) drain() {
 	s.conf.SetReady(false)
 	s.conf.Emit(event.Event{Code: event.ProcessStopping, Value: s.inFlight()})
@@ -130,19 +130,19 @@
 	s.conf.Emit(event.Event{Code: event.HostFinishing, Value: s.inFlight()})
 	ctx, cancel := context.WithTimeout(context.Background(), s.conf.Timeouts.Deadline)
 	s.cancel = cancel
-	s.busy.Store(true)
+	s.shuttingDown.Store(true)
 	go func() {
 		s.conf.Server.Shutdown(ctx, 0)
-		s.busy.Store(false)
+		s.shuttingDown.Store(false)
 	}()
 }
 
-func (s *Stopper) exit(cut int64) {
+func (s *Stopper) exit(aborted int64) {
 	if s.cancel != nil {
 		s.cancel()
 	}
 	if s.conf.OnFinished != nil {
-		s.conf.OnFinished(cut)
+		s.conf.OnFinished(aborted)
 	}
-	s.conf.Emit(event.Event{Code: event.ProcessStopped, Value: cut})
+	s.conf.Emit(event.Event{Code: event.ProcessStopped, Value: aborted})
 }
