--- a/internal/settings/environment.go
+++ b/internal/settings/environment.go
@@ -11,9 +11,9 @@
 // EnvPrefix starts the name of every environment variable of the project.
 const EnvPrefix = "DAPPLESPINDLE_"
 
-// FromEnvironment sets each flag that was not given from its environment
-// variable: the prefix and the flag's name in upper case with underscores. A
-// variable with the prefix that names no flag is an error.
+// FromEnvironment sets each flag that was not given on the command line from its
+// environment variable: the prefix and the flag's name in upper case with underscores. A
+// variable with the prefix that matches no flag is an error.
 func FromEnvironment(fs *pflag.FlagSet, environ []string) error {
 	for _, kv := range environ {
 		key, value, _ := strings.Cut(kv, "=")
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// FromProcess is FromEnvironment with this process's variables.
+// FromProcess calls FromEnvironment with the variables of this process.
 func FromProcess(fs *pflag.FlagSet) error { return FromEnvironment(fs, os.Environ()) }
 
 func flagName(key string) string {
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -6,14 +6,13 @@
 	"time"
 )
 
-// fileEvery is how often a settings file is looked at for a change that came
-// without a signal.
-const fileEvery = 2 * time.Second
+// filePollInterval is how often a settings file is checked for changes without a signal.
+const filePollInterval = 2 * time.Second
 
-// WatchFile calls changed after each signal, and when the file at path has
-// another time or size than before, until ctx ends.
+// WatchFile calls changed after each signal, and when the modification time or size of
+// the file at path has changed, until ctx ends.
 func WatchFile(ctx context.Context, path string, signals <-chan os.Signal, changed func()) {
-	ticker := time.NewTicker(fileEvery)
+	ticker := time.NewTicker(filePollInterval)
 	defer ticker.Stop()
 	last := stampOf(path)
 	for {
@@ -32,18 +31,18 @@
 	}
 }
 
-// stamp tells two states of a file apart.
-type stamp struct {
+// fileStamp identifies a version of a file.
+type fileStamp struct {
 	modified time.Time
 	size     int64
 }
 
-// stampOf returns the zero stamp for a file that can't be read; reading it then
-// reports why.
-func stampOf(path string) stamp {
+// stampOf returns the zero value for a file that cannot be accessed; reading the file then
+// reports the reason.
+func stampOf(path string) fileStamp {
 	info, err := os.Stat(path)
 	if err != nil {
-		return stamp{}
+		return fileStamp{}
 	}
-	return stamp{info.ModTime(), info.Size()}
+	return fileStamp{info.ModTime(), info.Size()}
 }
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -9,13 +9,13 @@
 type Operators struct {
 	// Listen is the IP:port for the operators' RPC interface.
 	Listen string
-	// TLS is mutual TLS towards operators.
+	// TLS is mutual TLS with operators.
 	TLS TLS
-	// EventCapacity is the number of decision events kept.
+	// EventCapacity is the number of decision events retained.
 	EventCapacity int
-	// DebugEvents is the number of Debug events kept in a second before sampling.
+	// DebugEvents is the number of debug events retained per second before sampling begins.
 	DebugEvents int
-	// TraceEndpoint is the collector's host:port for OTLP over gRPC; empty is off.
+	// TraceEndpoint is the collector's host:port for OTLP over gRPC; empty disables tracing.
 	TraceEndpoint string
 	// TraceRatio is the share of requests traced, from 0 to 1.
 	TraceRatio float64
@@ -24,14 +24,14 @@
 // Register adds the flags to fs, with units and defaults.
 func (o *Operators) Register(fs *pflag.FlagSet) {
 	fs.StringVar(&o.Listen, "operator-listen", "127.0.0.1:8083", "IP:port for operators")
-	o.TLS.Register(fs, "operator-tls", "towards operators")
-	fs.IntVar(&o.EventCapacity, "event-capacity", 1<<15, "decision events kept, 168 bytes each, and their texts")
-	fs.IntVar(&o.DebugEvents, "event-debug-rate", 20_000, "debug events kept in a second before sampling begins")
+	o.TLS.Register(fs, "operator-tls", "for operators")
+	fs.IntVar(&o.EventCapacity, "event-capacity", 1<<15, "decision events retained, 168 bytes each plus their texts")
+	fs.IntVar(&o.DebugEvents, "event-debug-rate", 20_000, "debug events retained per second before sampling begins")
 	fs.StringVar(&o.TraceEndpoint, "trace-endpoint", "", "collector's host:port for OTLP over gRPC (default none, tracing off)")
 	fs.Float64Var(&o.TraceRatio, "trace-ratio", 0.01, "share of requests traced, 0 to 1, when the caller's traceparent doesn't decide")
 }
 
-// Validate reports the first setting that is wrong.
+// Validate reports the first invalid setting.
 func (o *Operators) Validate() error {
 	if err := checkAddress("operator-listen", o.Listen); err != nil {
 		return err
--- a/internal/settings/operators_test.go
+++ b/internal/settings/operators_test.go
@@ -14,7 +14,7 @@
 	}{
 		{"OPERATOR_LISTEN=127.0.0.1:25000", true},
 		{"OPERATOR_LISTEN=nowhere", false},
-		{"OPERATOR_TLS_CERT=cert.pem", false}, // not whole
+		{"OPERATOR_TLS_CERT=cert.pem", false}, // without a key and a CA
 		{"EVENT_CAPACITY=0", false},
 		{"EVENT_DEBUG_RATE=x", false},
 		{"TRACE_RATIO=1", true},
--- a/internal/settings/tls.go
+++ b/internal/settings/tls.go
@@ -7,42 +7,42 @@
 	"github.com/dapplespindle/dapplespindle/internal/tlsconf"
 )
 
-// TLS names the files of one mutual TLS set-up; see docs/SECURITY.md.
+// TLS holds the files of one mutual TLS configuration; see docs/SECURITY.md.
 type TLS struct {
-	// Files are the certificate, the key and the agreed authority.
+	// Files are the certificate, the key and the shared CA.
 	Files tlsconf.Files
-	// ServerName is the name that a server's certificate must carry; empty takes
-	// the address that is connected to.
+	// ServerName is the name that a server's certificate must contain; empty means the
+	// address that is connected to.
 	ServerName string
 }
 
-// Register adds the flags to fs. Prefix starts their names, and what says
-// whom the connections go to.
+// Register adds the flags to fs. Their names start with prefix; what describes the other
+// side of the connections.
 func (t *TLS) Register(fs *pflag.FlagSet, prefix, what string) {
 	fs.StringVar(&t.Files.Certificate, prefix+"-cert", "", "PEM file of this side's certificate "+what+" (default none, no TLS)")
 	fs.StringVar(&t.Files.Key, prefix+"-key", "", "PEM file of its private key (default none)")
-	fs.StringVar(&t.Files.Authority, prefix+"-ca", "", "PEM file of the agreed authority, which must have signed the other side's certificate (default none)")
-	fs.StringVar(&t.ServerName, prefix+"-server-name", "", "name that a server's certificate must carry (default the address connected to)")
+	fs.StringVar(&t.Files.Authority, prefix+"-ca", "", "PEM file of the shared CA, which must have signed the other side's certificate (default none)")
+	fs.StringVar(&t.ServerName, prefix+"-server-name", "", "name that a server's certificate must contain (default the address connected to)")
 }
 
-// Validate reports files that are not whole.
+// Validate reports an incomplete set of files.
 func (t *TLS) Validate() error { return t.Files.Validate() }
 
-// CallerTLS names the files of TLS towards callers.
+// CallerTLS holds the files for TLS with callers.
 type CallerTLS struct {
-	// Files are the certificate, the key and, if callers must show certificates,
-	// the authority that signed those.
+	// Files are the certificate, the key and, if callers must present certificates, the CA
+	// that signed those.
 	Files tlsconf.Files
 }
 
 // Register adds the flags to fs.
 func (c *CallerTLS) Register(fs *pflag.FlagSet) {
-	fs.StringVar(&c.Files.Certificate, "caller-tls-cert", "", "PEM file of the certificate shown to callers, with intermediates (default none, no TLS)")
+	fs.StringVar(&c.Files.Certificate, "caller-tls-cert", "", "PEM file of the certificate presented to callers, with intermediates (default none, no TLS)")
 	fs.StringVar(&c.Files.Key, "caller-tls-key", "", "PEM file of its private key (default none)")
-	fs.StringVar(&c.Files.Authority, "caller-tls-ca", "", "PEM file of the authority that callers' certificates must be signed by (default none, callers need no certificate)")
+	fs.StringVar(&c.Files.Authority, "caller-tls-ca", "", "PEM file of the CA that must have signed callers' certificates (default none, callers need no certificate)")
 }
 
-// Validate reports files that are not whole or can't be used.
+// Validate reports an incomplete set of files, or files that cannot be used.
 func (c *CallerTLS) Validate() error {
 	if !c.Files.Enabled() {
 		return nil
@@ -51,25 +51,25 @@
 	return err
 }
 
-// UpstreamTLS names the files of TLS towards upstreams.
+// UpstreamTLS holds the files for TLS with upstreams.
 type UpstreamTLS struct {
-	// Files are the authority that signed the upstreams' certificates and, for
-	// upstreams that ask for one, this side's certificate and key.
+	// Files are the CA that signed the upstreams' certificates and, for upstreams that
+	// request a client certificate, this side's certificate and key.
 	Files tlsconf.Files
-	// ServerName is the name that an upstream's certificate must carry, unless its
-	// group states one; empty takes the upstream's IP.
+	// ServerName is the name that an upstream's certificate must contain, unless its group
+	// sets one; empty means the upstream's IP.
 	ServerName string
 }
 
 // Register adds the flags to fs.
 func (u *UpstreamTLS) Register(fs *pflag.FlagSet) {
-	fs.StringVar(&u.Files.Authority, "upstream-tls-ca", "", "PEM file of the authority that signed the upstreams' certificates (default none, groups with TLS are refused)")
-	fs.StringVar(&u.Files.Certificate, "upstream-tls-cert", "", "PEM file of the certificate shown to upstreams that ask for one (default none)")
+	fs.StringVar(&u.Files.Authority, "upstream-tls-ca", "", "PEM file of the CA that signed the upstreams' certificates (default none, groups with TLS are refused)")
+	fs.StringVar(&u.Files.Certificate, "upstream-tls-cert", "", "PEM file of the certificate presented to upstreams that request one (default none)")
 	fs.StringVar(&u.Files.Key, "upstream-tls-key", "", "PEM file of its private key (default none)")
-	fs.StringVar(&u.ServerName, "upstream-tls-server-name", "", "name that an upstream's certificate must carry, unless its group states one (default the upstream's IP)")
+	fs.StringVar(&u.ServerName, "upstream-tls-server-name", "", "name that an upstream's certificate must contain, unless its group sets one (default the upstream's IP)")
 }
 
-// Validate reports files that are not whole or can't be used.
+// Validate reports an incomplete set of files, or files that cannot be used.
 func (u *UpstreamTLS) Validate() error {
 	if !u.Files.Enabled() {
 		if u.ServerName != "" {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-const maxEntryHostsBound = 100_000
+const maxEntryHostsLimit = 100_000
 
 // setting pairs a setting's name with its value.
 type setting[T int | time.Duration] struct {
@@ -18,7 +18,7 @@
 	value T
 }
 
-// checkPositive reports the first setting that is not positive.
+// checkPositive returns an error for the first setting that is not positive.
 func checkPositive[T int | time.Duration](settings []setting[T]) error {
 	for _, s := range settings {
 		if s.value <= 0 {
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// Validate reports the first setting that is wrong, by its flag name.
+// Validate reports the first invalid setting by its flag name.
 func (e *Entry) Validate() error {
 	if err := e.validateAddresses(); err != nil {
 		return err
@@ -42,8 +42,8 @@
 	if _, err := zerolog.ParseLevel(e.LogLevel); err != nil || e.LogLevel == "" {
 		return errors.Newf("log-level: %q is not debug, info, warn or error", e.LogLevel)
 	}
-	if e.MaxEntryHosts > maxEntryHostsBound {
-		return errors.Newf("max-entry-hosts: %d is over %d", e.MaxEntryHosts, maxEntryHostsBound)
+	if e.MaxEntryHosts > maxEntryHostsLimit {
+		return errors.Newf("max-entry-hosts: %d is over %d", e.MaxEntryHosts, maxEntryHostsLimit)
 	}
 	if err := e.validateCounts(); err != nil {
 		return err
@@ -69,7 +69,7 @@
 		if err := checkAddress(a.name, a.value); err != nil {
 			return err
 		}
-		if other, twice := seen[a.value]; twice {
+		if other, duplicate := seen[a.value]; duplicate {
 			return errors.Newf("%s: %s is already used by %s", a.name, a.value, other)
 		}
 		seen[a.value] = a.name
