--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -87,8 +87,7 @@
 }
 
 // minInitialUpstreams is how many upstreams of each service a host must know to serve
-// before it knows all of them. For comparison, a pick queries up to six, and a home set
-// has eight.
+// before it knows all of them. A pick queries up to six, and a home set has eight.
 const minInitialUpstreams = 4
 
 // applyInitialState applies the initial part of the state and reports whether the host
@@ -230,7 +229,7 @@
 	if configured {
 		c.applyConfiguration()
 	}
-	if grown := c.pools.takeNewAddresses(); configured || grown {
+	if newAddresses := c.pools.takeNewAddresses(); configured || newAddresses {
 		c.shareConnections()
 	}
 	if !c.ready && c.config != nil && c.upstreamsKnown {
@@ -245,16 +244,16 @@
 	now := clock.Now()
 	for _, service := range c.set.Changed() {
 		c.revision++
-		var listings []lifecycle.UpstreamSpec
+		var specs []lifecycle.UpstreamSpec
 		for _, u := range c.set.Upstreams(service) {
-			listings = append(listings, lifecycle.UpstreamSpec{
+			specs = append(specs, lifecycle.UpstreamSpec{
 				Upstream:   u.ID,
 				Draining:   u.Draining,
 				Activation: u.Start,
 				Evacuated:  c.evacuated.Holds(u.FailureDomain),
 			})
 		}
-		c.registry.Configure(now, service, c.revision, listings)
+		c.registry.Configure(now, service, c.revision, specs)
 	}
 }
 
@@ -316,11 +315,11 @@
 // connectionShare returns one host's share of an upstream's connection limit, given the
 // number of known hosts; 0 means that the number is unknown.
 func connectionShare(bound, hosts int) int {
-	least := minConnections
+	minimum := minConnections
 	if hosts > connectionHosts {
-		least = minConnectionsOfMany
+		minimum = minConnectionsOfMany
 	}
-	return min(max(bound/max(hosts, connectionHosts), least), connectionsPerUpstream)
+	return min(max(bound/max(hosts, connectionHosts), minimum), connectionsPerUpstream)
 }
 
 // hostsChanged divides the connections again if the number of hosts has changed by more than
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -118,14 +118,14 @@
 	if s.Joined && f.joined.IsZero() {
 		f.joined = now
 	}
-	settled := s.Joined && now.Sub(f.joined) >= convergeDelay
+	converged := s.Joined && now.Sub(f.joined) >= convergeDelay
 	f.updateOthers(s)
-	if s.Version == f.version && settled == f.converged || !f.gateway.watcher.SetHosts(f.hosts(s), settled) {
+	if s.Version == f.version && converged == f.converged || !f.gateway.watcher.SetHosts(f.hosts(s), converged) {
 		return
 	}
-	f.version, f.converged = s.Version, settled
-	f.setQuotaFleet(s, settled)
-	if settled {
+	f.version, f.converged = s.Version, converged
+	f.setQuotaFleet(s, converged)
+	if converged {
 		f.updateHostCount(s)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -201,8 +201,8 @@
 	// reads occupy a link of 1 Gbit/s for half of that time.
 	fullReadSpread = 800 * time.Millisecond
 	// soloCheckInterval is how far the watch of a host without peers can be behind after an
-	// undetected loss of the store. The known platforms require that a change is applied
-	// within three seconds.
+	// undetected loss of the store. On the known platforms, a change made before the loss
+	// must be applied within three seconds.
 	soloCheckInterval = 2600 * time.Millisecond
 	checkTimeout      = 700 * time.Millisecond
 	// fetchTimeout bounds a fetch from a peer and leaves time to read the store instead.
@@ -233,11 +233,11 @@
 	conf := storewatch.Config{
 		Store:              store,
 		Follow:             g.syncConfig(),
-		OnRead:             func(s *storewatch.State) { g.mustPost(func() { g.control.applyState(s) }) },
+		OnRead:             func(s *storewatch.State) { g.postBlocking(func() { g.control.applyState(s) }) },
 		OnInitialRead:      g.applyInitialState,
 		FullReadSpread:     fullReadSpread,
-		OnChanges:          func(c *storewatch.Changes) { g.mustPost(func() { g.control.applyChanges(c) }) },
-		OnRecovery:         func(at time.Time) { g.mustPost(func() { g.control.storeRecovered(at) }) },
+		OnChanges:          func(c *storewatch.Changes) { g.postBlocking(func() { g.control.applyChanges(c) }) },
+		OnRecovery:         func(at time.Time) { g.postBlocking(func() { g.control.storeRecovered(at) }) },
 		Events:             g.sink,
 		WatchWait:          watchWait,
 		InitialReadTimeout: initialReadTimeout,
@@ -282,13 +282,13 @@
 // reports whether this host serves with it.
 func (g *Gateway) applyInitialState(s *storewatch.State) bool {
 	serves := make(chan bool, 1)
-	g.mustPost(func() { serves <- g.control.applyInitialState(s) })
+	g.postBlocking(func() { serves <- g.control.applyInitialState(s) })
 	return <-serves
 }
 
-// mustPost queues control work that must not be dropped. The watcher's goroutine waits
+// postBlocking queues control work that must not be dropped. The watcher's goroutine waits
 // while the queue is full.
-func (g *Gateway) mustPost(f func()) {
+func (g *Gateway) postBlocking(f func()) {
 	for !g.loop.Post(f) {
 		time.Sleep(postRetryDelay)
 	}
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -26,11 +26,11 @@
 			now, revision := time.Now(), uint64(0)
 			list := func() {
 				revision++
-				var listings []lifecycle.UpstreamSpec
+				var specs []lifecycle.UpstreamSpec
 				for _, u := range set.Upstreams("s") {
-					listings = append(listings, lifecycle.UpstreamSpec{Upstream: u.ID, Activation: u.Start})
+					specs = append(specs, lifecycle.UpstreamSpec{Upstream: u.ID, Activation: u.Start})
 				}
-				registry.Configure(now, "s", revision, listings)
+				registry.Configure(now, "s", revision, specs)
 			}
 			accepts := func() bool {
 				s, _ := registry.Flush()
--- a/internal/gateway/loadquerier.go
+++ b/internal/gateway/loadquerier.go
@@ -32,47 +32,47 @@
 }
 
 // Ask implements proxy.Asker.
-func (a *loadQuerier) Ask(ctx context.Context, group *routing.Group, upstreams []*balancer.Upstream) {
+func (q *loadQuerier) Ask(ctx context.Context, group *routing.Group, upstreams []*balancer.Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var others sync.WaitGroup
 	for _, u := range upstreams[1:] {
-		others.Go(func() { a.query(ctx, group, u) })
+		others.Go(func() { q.query(ctx, group, u) })
 	}
-	a.query(ctx, group, upstreams[0])
+	q.query(ctx, group, upstreams[0])
 	others.Wait()
 }
 
 // query records the load that one upstream reports.
-func (a *loadQuerier) query(ctx context.Context, group *routing.Group, u *balancer.Upstream) {
+func (q *loadQuerier) query(ctx context.Context, group *routing.Group, u *balancer.Upstream) {
 	sent, mark := clock.Now(), u.Mark()
-	resp, err := a.fetchLoad(ctx, group, u)
+	resp, err := q.fetchLoad(ctx, group, u)
 	if err != nil && err.Kind == errkind.UpstreamBroken {
 		// Upstreams may drop idle connections and reset what arrives on them. A load query
 		// is safe to repeat, and the second attempt uses another connection.
-		resp, err = a.fetchLoad(ctx, group, u)
+		resp, err = q.fetchLoad(ctx, group, u)
 	}
 	now := clock.Now()
 	feedback := balancer.Feedback{Now: now, Latency: now.Sub(sent), ProbeSentAt: mark}
 	switch {
 	case err != nil:
 		feedback.Outcome = balancer.Failed
-		a.events.Emit(event.Event{Code: event.ProbeFailed, Service: group.Config.Registered, Upstream: u.ID,
+		q.events.Emit(event.Event{Code: event.ProbeFailed, Service: group.Config.Registered, Upstream: u.ID,
 			Reason: err.Kind.String(), Detail: err.Error(), Value: int64(now.Sub(sent))})
-	case a.fromOtherUpstream(resp, u):
+	case q.fromOtherUpstream(resp, u):
 		feedback.Outcome = balancer.Failed
-		a.events.Emit(event.Event{Code: event.ProbeFailed, Service: group.Config.Registered, Upstream: u.ID,
-			Reason: "another-upstream", Detail: a.dialect.Instance(resp.Header), Value: int64(now.Sub(sent))})
-	case a.recordLeavingAndBackoff(group, u, resp, now):
+		q.events.Emit(event.Event{Code: event.ProbeFailed, Service: group.Config.Registered, Upstream: u.ID,
+			Reason: "another-upstream", Detail: q.dialect.Instance(resp.Header), Value: int64(now.Sub(sent))})
+	case q.recordLeavingAndBackoff(group, u, resp, now):
 		feedback.Outcome = balancer.Refused
 	case resp.Status != http.StatusOK:
 		feedback.Outcome = balancer.Failed
-		a.events.Emit(event.Event{Code: event.ProbeFailed, Service: group.Config.Registered, Upstream: u.ID,
+		q.events.Emit(event.Event{Code: event.ProbeFailed, Service: group.Config.Registered, Upstream: u.ID,
 			Reason: "unhealthy", Value: int64(now.Sub(sent))})
 	default:
-		feedback.Report = a.dialect.Load(resp.Header)
-		a.recordLimit(group, u, now, sent, resp)
-		if left, ok := a.dialect.Cold(resp.Header); ok {
+		feedback.Report = q.dialect.Load(resp.Header)
+		q.recordLimit(group, u, now, sent, resp)
+		if left, ok := q.dialect.Cold(resp.Header); ok {
 			u.Cold.SetCold(now, left)
 		}
 	}
@@ -81,43 +81,43 @@
 
 // fromOtherUpstream reports whether another upstream responded at the address. Its
 // response says nothing about u.
-func (a *loadQuerier) fromOtherUpstream(resp *httpwire.Response, u *balancer.Upstream) bool {
-	id := a.dialect.Instance(resp.Header)
+func (q *loadQuerier) fromOtherUpstream(resp *httpwire.Response, u *balancer.Upstream) bool {
+	id := q.dialect.Instance(resp.Header)
 	return id != "" && id != u.ID
 }
 
 // recordLeavingAndBackoff applies the leaving mark and the backoff in a response, and
 // reports whether the response asks for a backoff.
-func (a *loadQuerier) recordLeavingAndBackoff(group *routing.Group, u *balancer.Upstream, resp *httpwire.Response, now time.Time) bool {
+func (q *loadQuerier) recordLeavingAndBackoff(group *routing.Group, u *balancer.Upstream, resp *httpwire.Response, now time.Time) bool {
 	service := group.Config.Registered
-	if a.dialect.Leaving(resp.Status, resp.Header) {
-		a.upstreams.Leaving(lifecycle.UpstreamKey{Service: service, Upstream: u.ID}, u.Activation)
+	if q.dialect.Leaving(resp.Status, resp.Header) {
+		q.upstreams.Leaving(lifecycle.UpstreamKey{Service: service, Upstream: u.ID}, u.Activation)
 	}
-	d, err := a.dialect.Rest(resp.Status, resp.Header)
+	d, err := q.dialect.Rest(resp.Status, resp.Header)
 	if err != nil {
-		a.events.Emit(event.Event{Code: event.RestUnreadable, Service: service, Upstream: u.ID, Detail: err.Error()})
+		q.events.Emit(event.Event{Code: event.RestUnreadable, Service: service, Upstream: u.ID, Detail: err.Error()})
 	}
 	if d == 0 {
 		return false
 	}
-	a.events.Emit(event.Event{Code: event.RestAsked, Service: service, Upstream: u.ID, Reason: "probe", Value: d.Milliseconds()})
-	a.upstreams.Rests(u, u.Backoff.Begin(now, d, a.random()))
+	q.events.Emit(event.Event{Code: event.RestAsked, Service: service, Upstream: u.ID, Reason: "probe", Value: d.Milliseconds()})
+	q.upstreams.Rests(u, u.Backoff.Begin(now, d, q.random()))
 	return true
 }
 
 // recordLimit applies the rate limit that the upstream announces in a response.
-func (a *loadQuerier) recordLimit(group *routing.Group, u *balancer.Upstream, now, sent time.Time, resp *httpwire.Response) {
-	e, changed := a.dialect.HearLimit(u, now, sent, resp, ratelimit.Probe)
+func (q *loadQuerier) recordLimit(group *routing.Group, u *balancer.Upstream, now, sent time.Time, resp *httpwire.Response) {
+	e, changed := q.dialect.HearLimit(u, now, sent, resp, ratelimit.Probe)
 	if !changed {
 		return
 	}
 	e.Service = group.Config.Registered
-	a.events.Emit(e)
-	a.upstreams.LimitHeard(u)
+	q.events.Emit(e)
+	q.upstreams.LimitHeard(u)
 }
 
-func (a *loadQuerier) fetchLoad(ctx context.Context, group *routing.Group, u *balancer.Upstream) (*httpwire.Response, *errkind.Error) {
-	return a.client.Do(ctx, u.Address, &httpwire.Request{
+func (q *loadQuerier) fetchLoad(ctx context.Context, group *routing.Group, u *balancer.Upstream) (*httpwire.Response, *errkind.Error) {
+	return q.client.Do(ctx, u.Address, &httpwire.Request{
 		Method: http.MethodGet,
 		Target: group.Config.HealthPath,
 		Path:   group.Config.HealthPath,
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -54,12 +54,12 @@
 func (q *reportingQuotas) Take(ctx context.Context, c *config.Customer) (time.Duration, bool) {
 	wait, ok := q.Enforcer.Take(ctx, c)
 	if !ok && ctx.Err() == nil {
-		q.refused(clock.Now(), c.Name)
+		q.recordRefusal(clock.Now(), c.Name)
 	}
 	return wait, ok
 }
 
-func (q *reportingQuotas) refused(now time.Time, customer string) {
+func (q *reportingQuotas) recordRefusal(now time.Time, customer string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.refusals == nil {
@@ -80,8 +80,8 @@
 
 // setQuotaFleet passes the hosts of the fleet to the quota enforcer. It runs on the
 // control goroutine.
-func (f *fleet) setQuotaFleet(s *membership.Snapshot, settled bool) {
-	out := quotas.Fleet{Known: len(s.Members), Converged: settled}
+func (f *fleet) setQuotaFleet(s *membership.Snapshot, converged bool) {
+	out := quotas.Fleet{Known: len(s.Members), Converged: converged}
 	out.Self = quota.Host{Address: f.transportAddress(f.address), FailureDomain: f.gateway.conf.FailureDomain}
 	for _, h := range f.hosts(s) {
 		if h.Address != out.Self.Address && !h.Leaving {
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -54,8 +54,8 @@
 }
 
 // Borrow implements proxy.Lenders.
-func (l slotBorrower) Borrow(ctx context.Context, host int, server ratelimit.Server) bool {
-	f := l.gateway.fleet
+func (b slotBorrower) Borrow(ctx context.Context, host int, server ratelimit.Server) bool {
+	f := b.gateway.fleet
 	if f == nil {
 		return false
 	}
