--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -7,7 +7,7 @@
 
 // Operators holds the settings of an entry host for operators, events and traces.
 type Operators struct {
-	// Listen is the IP:port for the operators' RPC interface.
+	// Listen is the IP:port of the operator API.
 	Listen string
 	// TLS is mutual TLS with operators.
 	TLS TLS
