--- a/internal/gateway/upstreams.go
+++ b/internal/gateway/upstreams.go
@@ -8,8 +8,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/lifecycle"
 )
 
-// The methods in this file implement proxy.Upstreams. Traffic goroutines call
-// them; news goes to the control goroutine over its queue.
+// The methods in this file implement proxy.Upstreams. The goroutines that serve requests
+// call them; updates go to the control goroutine through its queue.
 
 // Snapshot implements proxy.Upstreams.
 func (c *controller) Snapshot() *lifecycle.Snapshot { return c.snapshot.Load() }
@@ -43,15 +43,15 @@
 
 // BackingOff implements proxy.Upstreams.
 func (c *controller) BackingOff(u *balancer.Upstream, until time.Time) {
-	c.gateway.loop.Post(func() { c.pools.rests.Extend(restKey(u.ID, u.Activation), until) })
+	c.gateway.loop.Post(func() { c.pools.backoffs.Extend(backoffKey(u.ID, u.Activation), until) })
 }
 
 // LimitChanged implements proxy.Upstreams.
-func (c *controller) LimitChanged(u *balancer.Upstream) { c.gateway.tellLimit(u.Limit) }
+func (c *controller) LimitChanged(u *balancer.Upstream) { c.gateway.broadcastLimit(u.Limit) }
 
 // Reported implements proxy.Upstreams.
 func (c *controller) Reported(string, time.Time) {}
 
-// Resuming implements proxy.Upstreams. What a paused process missed it learns
-// from the store, which it follows by itself.
+// Resuming implements proxy.Upstreams. After a pause, the process learns what it missed
+// through its own watch on the store.
 func (c *controller) Resuming() bool { return false }
