--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -135,10 +135,11 @@
 
 Generated from ` + "`internal/metrics`" + `; ` + "`go test ./internal/metrics -update`" + ` rewrites this page.
 
-Each entry host serves its numbers on the listener for health and metrics:
-` + "`/metrics`" + ` as text, one metric a line, and ` + "`/metrics?format=json`" + ` as one JSON
-object. Counters start at 0 with the process. A histogram shows quantiles of its
-newest 2048 values, and the count since the start. Names in angle brackets vary.
+Each entry host serves its metrics on the listener for health and metrics:
+` + "`/metrics`" + ` as text, one metric per line, and ` + "`/metrics?format=json`" + ` as one JSON
+object. Counters start at 0 when the process starts. A histogram shows quantiles
+of its newest 2048 values, and the count since the process started. The parts of
+names in angle brackets vary.
 
 | name | kind | unit | meaning |
 |---|---|---|---|
--- a/pkg/event/catalogue_test.go
+++ b/pkg/event/catalogue_test.go
@@ -19,8 +19,8 @@
 // subsystems names the subsystem of each range of codes, indexed by code / codesPerSubsystem.
 var subsystems = []string{
 	1: "The process", 2: "Configuration", 3: "Requests", 4: "Retries and hedging", 5: "Limits and overload",
-	6: "Membership of entry hosts", 7: "Measuring of upstreams", 8: "Lifecycle of upstreams and drain",
-	9: "Single execution", 10: "Broken invariants",
+	6: "Membership of entry hosts", 7: "Load measurement of upstreams", 8: "Lifecycle of upstreams and draining",
+	9: "At-most-once execution", 10: "Violated invariants",
 }
 
 const codesPerSubsystem = 1000
@@ -75,13 +75,14 @@
 
 Generated from ` + "`pkg/event`" + `; ` + "`go test ./pkg/event -update`" + ` rewrites this page.
 
-Each decision is an event with a number that is stable and never reused. It goes
+Each decision is an event with a code that is stable and never reused. It goes
 to the log (one JSON line, ` + "`event`" + ` is the code), to the event ring of its entry
 host (` + "`spindlectl watch`" + `, ` + "`spindlectl explain`" + `), to the metrics, and to the span
-of its hop if tracing is on. The value is the quantity that decided, in the unit
-of the last column.
+of its hop if tracing is enabled. The value is the quantity that the decision was
+based on, in the unit of the last column.
 
-Debug events are sampled on an entry host that writes more of them in a second
-than its budget: one request in 16 is kept whole. Events of a higher level are
-never sampled. What was not kept is counted: see ` + "`spindlectl\nstatus`" + ` and docs/METRICS.md.
+Debug events are sampled on an entry host that emits more of them per second
+than its budget: all events of one request in 16 are kept. Events of a higher
+level are never sampled. Events that were not kept are counted: see
+` + "`spindlectl status`" + ` and docs/METRICS.md.
 `
--- a/pkg/event/drain_events.go
+++ b/pkg/event/drain_events.go
@@ -16,14 +16,14 @@
 
 // drainEvents describes the codes 8xxx: lifecycle of upstreams, draining and graceful shutdown.
 var drainEvents = map[Code]Entry{
-	UpstreamLeaving:     {"upstream-leaving", Info, "An upstream takes no new requests; the reason is the source of the news.", "document revision"},
+	UpstreamLeaving:     {"upstream-leaving", Info, "An upstream accepts no new requests; the reason is the source of the update.", "document revision"},
 	UpstreamDrained:     {"upstream-drained", Info, "A leaving upstream has no request of this entry host in flight.", ""},
-	UpstreamRevived:     {"upstream-revived", Info, "News with more authority brought a leaving upstream back.", "document revision"},
-	UpstreamNotRevived:  {"upstream-not-revived", Warn, "A document lists an upstream as active that left of its own; raise its activation to bring it back.", "document revision"},
+	UpstreamRevived:     {"upstream-revived", Info, "An update that takes precedence reactivated a leaving upstream.", "document revision"},
+	UpstreamNotRevived:  {"upstream-not-revived", Warn, "A document lists an upstream as active that announced itself that it is leaving; raise its activation to reactivate it.", "document revision"},
 	UpstreamRemoved:     {"upstream-removed", Info, "An upstream is no longer configured.", "document revision"},
-	UpstreamUnreachable: {"upstream-unreachable", Warn, "Connections to an upstream failed in a row; others are preferred for a pause.", "document revision"},
-	UpstreamLeftInTime:  {"upstream-left-in-time", Info, "An upstream left between the choice and the send; another is chosen.", ""},
-	HostDraining:        {"host-draining", Info, "A planned stop began: not ready, still accepting during the grace.", "requests in flight"},
-	HostFinishing:       {"host-finishing", Info, "Nothing new is accepted; requests in flight finish.", "requests in flight"},
-	HostCut:             {"host-cut", Warn, "A planned stop ended early and cut requests off.", "requests cut off"},
+	UpstreamUnreachable: {"upstream-unreachable", Warn, "Several consecutive connections to an upstream failed; other upstreams are preferred during the retry delay.", "document revision"},
+	UpstreamLeftInTime:  {"upstream-left-in-time", Info, "An upstream began to leave after it was chosen and before the request was sent; another is chosen.", ""},
+	HostDraining:        {"host-draining", Info, "A graceful shutdown began: the entry host is not ready and still accepts requests during the grace period.", "requests in flight"},
+	HostFinishing:       {"host-finishing", Info, "No new connections or requests are accepted; requests in flight finish.", "requests in flight"},
+	HostCut:             {"host-cut", Warn, "A graceful shutdown ended early and aborted requests in flight.", "requests cut off"},
 }
--- a/pkg/event/invariant_events.go
+++ b/pkg/event/invariant_events.go
@@ -30,13 +30,13 @@
 // request concerned, not the process.
 var invariantEvents = map[Code]Entry{
 	InvariantTicketNeverIssued: {"invariant-ticket-never-issued", Error, "A verified ticket carries a number that this process never issued; it is not run.", "sequence number"},
-	InvariantSecondSend:        {"invariant-second-send", Error, "A second send was asked for while the first may have run; it is not sent.", "sequence number"},
-	InvariantNoRecord:          {"invariant-no-record", Error, "A step of an execution has no record of its start; the answer is unknown.", "sequence number"},
-	InvariantFalseNotRun:       {"invariant-false-not-run", Error, "\"Not run\" was about to be reported for a request that may have run; the answer is unknown.", "sequence number"},
-	InvariantIncarnationBack:   {"invariant-incarnation-back", Error, "News about a member would have replaced newer news; it was dropped.", "incarnation"},
-	InvariantSelfOverwritten:   {"invariant-self-overwritten", Error, "News from elsewhere would have replaced this host's own entry; it was dropped.", "incarnation"},
-	InvariantDeathUntimed:      {"invariant-death-untimed", Error, "A member would have been declared dead without a suspicion that ran out.", "incarnation"},
-	InvariantWakingJudged:      {"invariant-waking-judged", Error, "A member would have been judged while this process was waking.", "incarnation"},
-	ConfigFellBack:             {"config-fell-back", Error, "An older document would have replaced the one in force; it was refused.", "revision"},
-	NonRepeatableResend:        {"non-repeatable-resend", Error, "A second send of a non-repeatable request that may have run was stopped.", ""},
+	InvariantSecondSend:        {"invariant-second-send", Error, "A second attempt was requested while the first may have run; it is not sent.", "sequence number"},
+	InvariantNoRecord:          {"invariant-no-record", Error, "A step of an execution has no record of its start; the outcome is reported as unknown.", "sequence number"},
+	InvariantFalseNotRun:       {"invariant-false-not-run", Error, "\"Not run\" was about to be reported for a request that may have run; the outcome is reported as unknown.", "sequence number"},
+	InvariantIncarnationBack:   {"invariant-incarnation-back", Error, "An update about a member would have replaced a newer one; it was dropped.", "incarnation"},
+	InvariantSelfOverwritten:   {"invariant-self-overwritten", Error, "An update from another host would have replaced this host's own entry; it was dropped.", "incarnation"},
+	InvariantDeathUntimed:      {"invariant-death-untimed", Error, "A member would have been declared dead without a suspicion that timed out.", "incarnation"},
+	InvariantWakingJudged:      {"invariant-waking-judged", Error, "A member would have been declared suspect or dead while this process was resuming after a pause.", "incarnation"},
+	ConfigFellBack:             {"config-fell-back", Error, "An older document would have replaced the current one; it was refused.", "revision"},
+	NonRepeatableResend:        {"non-repeatable-resend", Error, "A second attempt of a non-repeatable request that may have run was prevented.", ""},
 }
--- a/pkg/event/lifecycle_invariant_events.go
+++ b/pkg/event/lifecycle_invariant_events.go
@@ -12,7 +12,7 @@
 // and draining.
 var lifecycleInvariantEvents = map[Code]Entry{
 	ProbeOverBudget:  {"probe-over-budget", Error, "A probe was due sooner than this host's share allows; it was not sent.", "ns too early"},
-	GrantNotOpen:     {"grant-not-open", Error, "A probe ended that the budget did not know.", ""},
-	SentToLeaving:    {"sent-to-leaving", Error, "A balancer chose an upstream that it knew to leave; the request was not sent there.", ""},
-	ChartStepMissing: {"chart-step-missing", Error, "An event came in a state whose chart has no arrow for it; nothing changed.", ""},
+	GrantNotOpen:     {"grant-not-open", Error, "A probe ended that the probe budget had not granted.", ""},
+	SentToLeaving:    {"sent-to-leaving", Error, "A balancer chose an upstream that was known to be leaving; the request was not sent there.", ""},
+	ChartStepMissing: {"chart-step-missing", Error, "An event occurred in a state for which the state chart has no transition; nothing changed.", ""},
 }
--- a/pkg/event/retry_events.go
+++ b/pkg/event/retry_events.go
@@ -12,10 +12,10 @@
 
 // retryEvents describes the codes 4xxx: retries and hedging.
 var retryEvents = map[Code]Entry{
-	RetrySent:      {"retry-sent", Info, "A request is sent again; the reason is the error of the send before.", "budget left, thousandths of a send"},
-	RetryDenied:    {"retry-denied", Info, "A request is not sent again; the reason says which limit denied it.", "budget left, thousandths of a send"},
-	HedgeSent:      {"hedge-sent", Debug, "A repeatable request without an answer is sent to a second upstream.", "hedge delay, microseconds"},
-	HedgeDenied:    {"hedge-denied", Debug, "A request is not hedged; the reason says which limit denied it.", "hedge delay, microseconds"},
-	HedgeWon:       {"hedge-won", Debug, "The second send of a hedged request was answered first.", ""},
-	HedgeCancelled: {"hedge-cancelled", Debug, "The slower send of a hedged request was cancelled.", ""},
+	RetrySent:      {"retry-sent", Info, "A request is sent again; the reason is the error of the previous attempt.", "budget left, thousandths of a send"},
+	RetryDenied:    {"retry-denied", Info, "A request is not sent again; the reason names the limit that denied it.", "budget left, thousandths of a send"},
+	HedgeSent:      {"hedge-sent", Debug, "A repeatable request that has no response yet is sent to a second upstream.", "hedge delay, microseconds"},
+	HedgeDenied:    {"hedge-denied", Debug, "A request is not hedged; the reason names the limit that denied it.", "hedge delay, microseconds"},
+	HedgeWon:       {"hedge-won", Debug, "The hedge of a hedged request was answered first.", ""},
+	HedgeCancelled: {"hedge-cancelled", Debug, "The slower attempt of a hedged request was cancelled.", ""},
 }
