--- a/charts/charts.go
+++ b/charts/charts.go
@@ -1,5 +1,5 @@
-// Package charts holds the state charts of the product, read from the files
-// beside it and checked when the program starts.
+// Package charts holds the state charts of the product. They are embedded YAML files that
+// are parsed and checked when the program starts.
 package charts
 
 import (
@@ -12,15 +12,15 @@
 //go:embed *.yaml
 var files embed.FS
 
-// The charts of the product.
+// The state charts of the product.
 var (
-	// Configuration is the configuration of one entry host.
+	// Configuration is the state of the configuration of one entry host.
 	Configuration = must("configuration")
 	// EntryHost is the lifecycle of an entry host process.
 	EntryHost = must("entry-host")
-	// Request is one request on one entry host.
+	// Request is the lifecycle of one request on one entry host.
 	Request = must("request")
-	// Upstream is the lifecycle of an upstream.
+	// Upstream is the lifecycle of an upstream, as one entry host sees it.
 	Upstream = must("upstream")
 )
 
@@ -29,7 +29,8 @@
 	return []*statechart.Chart{Configuration, EntryHost, Request, Upstream}
 }
 
-// must reads a chart. A wrong chart is a fault of the program, found at start.
+// must parses an embedded chart. It panics if the chart is invalid, so that the programming
+// error shows at start-up.
 func must(name string) *statechart.Chart {
 	file := name + ".yaml"
 	content, err := files.ReadFile(file)
@@ -49,11 +50,11 @@
 const pageHead = `# State charts
 
 Rendered from charts/*.yaml. A test compares this page with them;
-` + "`make charts`" + ` writes it anew.
+` + "`make charts`" + ` rewrites it.
 
 Every chart is checked when the program starts. The daemon interprets two:
-upstream and entry-host, in ` + "`pkg/lifecycle`" + `. Configuration and request are
-descriptions so far: the code follows them, but no step goes through the chart.
+upstream and entry-host, in ` + "`pkg/lifecycle`" + `. Configuration and request only
+describe the code so far: it follows them, but does not step through the charts.
 
 `
 
--- a/charts/charts_test.go
+++ b/charts/charts_test.go
@@ -11,7 +11,7 @@
 
 const page = "../docs/CHARTS.md"
 
-// TestPage compares the page with the files. CHARTS_WRITE=1 writes it.
+// TestPage checks docs/CHARTS.md against the charts; CHARTS_WRITE=1 rewrites the page.
 func TestPage(t *testing.T) {
 	is := is.New(t)
 	if os.Getenv("CHARTS_WRITE") == "1" {
@@ -29,7 +29,7 @@
 	is.Equal(len(entries), len(All()))
 }
 
-// TestStepAllocatesNothing covers a step with and without an arrow.
+// TestStepAllocatesNothing covers a step with and without a transition.
 func TestStepAllocatesNothing(t *testing.T) {
 	is := is.New(t)
 	route, answer := Request.MustEvent("route"), Request.MustEvent("answer")
