--- a/spec/config_order.pml
+++ b/spec/config_order.pml
@@ -1,26 +1,28 @@
 /*
- * Configuration order over hosts that keep nothing.
+ * Order of configuration versions over hosts without persistent state.
  *
- * One key with versions 1..MAXV. A version is revision*2+twin, so two contents
- * of one revision are two versions in a total order. Hosts restart with empty
- * state, read a platform that may show any old prefix of its history, exchange
- * state in both directions while a link is up, and serve after they have heard
- * from every peer they can reach.
+ * One key with versions 1..MAXV. A version is revision*2+content, with content
+ * 0 or 1, so that two contents of one revision are two versions in a total
+ * order. Hosts restart with empty state, read a platform that may show any old
+ * prefix of its history, exchange state in both directions while a link is up,
+ * and serve after they have exchanged state with every reachable peer.
  *
- * Left out: paging, deltas and frontiers (an exchange is atomic), loss (an
- * exchange that does not happen), and how a host finds out which peers can be
- * reached (mayServe knows; the code goes by answers and a bounded wait). Heal
- * is two rounds of exchanges in a ring.
+ * Not modelled: paging, deltas and frontiers (an exchange is atomic), loss (an
+ * exchange that does not happen), and how a host detects which peers are
+ * reachable (mayServe knows; the code relies on responses and a bounded wait).
+ * Healing is two rounds of exchanges in a ring.
  *
- * Checked, by assertions:
- *   - the version in force on a host never goes down while it runs;
- *   - a host that begins to serve has at least what each peer it asked served;
- *   - after heal and one exchange between all, every host has the same.
+ * Checked by assertions:
+ *   - the current version on a host never decreases while it runs;
+ *   - a host that begins to serve has at least the version that each peer it
+ *     exchanged state with served;
+ *   - after healing and one exchange between all, all hosts have the same
+ *     version.
  *
- * A broken twin is this file with one macro defined; the check must catch it.
- * With NAIVE a host takes whatever the platform said last and serves after its
- * first read. With FIRST the first content of a revision that a host saw wins.
- * With ALONE only the wait for peers is left out.
+ * A broken variant is this file with one macro defined; the check must detect it.
+ * With NAIVE a host adopts whatever the platform returned last and serves after
+ * its first read. With FIRST the first content of a revision that a host saw
+ * wins. With ALONE only the wait for peers is omitted.
  * broken: NAIVE FIRST ALONE
  */
 #ifndef HOSTS
@@ -31,12 +33,12 @@
 #define STEPS 7
 
 byte top = 0;             /* newest revision published */
-byte inforce[HOSTS];      /* 0: nothing */
+byte inforce[HOSTS];      /* 0: none */
 bool serving[HOSTS];
-bool read[HOSTS];         /* has an answer of the platform, itself or by a peer */
-bool heard[HOSTS * HOSTS];/* heard[a*HOSTS+b]: a holds what b had when asked */
-byte needed[HOSTS];       /* the most that a peer asked by the host served */
-bool split = false;       /* cuts off host 0 */
+bool read[HOSTS];         /* has a response of the platform, read itself or received from a peer */
+bool heard[HOSTS * HOSTS];/* heard[a*HOSTS+b]: a has the state that b had at their exchange */
+byte needed[HOSTS];       /* the newest version served by a peer that the host exchanged state with */
+bool split = false;       /* host 0 is partitioned from the others */
 byte steps = 0;
 
 #define LINKED(a, b) (!split || ((a) != 0 && (b) != 0))
@@ -59,14 +61,14 @@
 #endif
 }
 
-/* take joins v and checks that nothing falls back. */
+/* take joins v and checks that the version does not regress. */
 inline take(h, v) {
 	before = inforce[h];
 	join(h, v);
 	assert(!serving[h] || inforce[h] >= before);
 }
 
-/* exchange is a whole comparison: both end with the join of both. */
+/* exchange is a complete comparison: both hosts end with the join of both states. */
 inline exchange(a, b) {
 	if
 	:: serving[b] && inforce[b] > needed[a] -> needed[a] = inforce[b]
@@ -99,7 +101,7 @@
 	od;
 }
 
-/* mayServe: every peer that can be reached answered, and the platform too. */
+/* mayServe sets ok if all reachable peers and the platform have responded. */
 inline mayServe(h) {
 	ok = read[h];
 #ifndef NAIVE
@@ -124,7 +126,7 @@
 
 	do
 	:: steps < STEPS ->
-		d_step { /* locals that hold nothing between steps */
+		d_step { /* reset the locals, which carry nothing from one step to the next */
 			steps++;
 			h = 0; q = 0; p = 0; v = 0; w = 0; before = 0; r = 0;
 			ok = false; informed = false
@@ -136,7 +138,7 @@
 		q = (h + 1) % HOSTS;
 		if
 		:: atomic { top < REVISIONS -> top++ }
-		:: atomic { /* read: the platform shows a prefix, and either content */
+		:: atomic { /* read: the platform shows a prefix of its history, with either content */
 			r = 0;
 			do
 			:: r < top -> r++
@@ -155,7 +157,7 @@
 			if
 			:: ok ->
 				serving[h] = true;
-				/* peers in reach now, whether asked or not */
+				/* reachable peers, whether state was exchanged with them or not */
 				p = 0;
 				do
 				:: p < HOSTS ->
@@ -176,7 +178,7 @@
 	:: steps == STEPS -> break
 	od;
 
-	/* heal: all exchange in two rounds; all must agree. */
+	/* Healing: all hosts exchange state in two rounds and must then agree. */
 	atomic {
 		split = false;
 		r = 0;
--- a/spec/leaving.pml
+++ b/spec/leaving.pml
@@ -1,16 +1,16 @@
 /*
  * Leaving upstreams (pkg/lifecycle): two entry hosts, one upstream, documents
- * 1..DOCS, activations, refusals, and notices between the hosts that are late,
- * lost and repeated.
+ * 1..DOCS, activations, refusals, and notices between the hosts that may be
+ * delayed, lost and duplicated.
  *
- * Invariant: a host that was told, itself or by a peer, that the upstream
- * leaves takes it back only for a document with more authority.
+ * Invariant: a host that has learned, from the upstream or from a peer, that the
+ * upstream is leaving reactivates it only for a document that takes precedence.
  *
- * The told_* variables are ghosts: sets of facts, kept apart from the joined
- * numbers that the product keeps.
+ * The told_* variables are ghost variables: sets of facts, separate from the
+ * joined numbers that the implementation stores.
  *
- * A broken twin is this file with one macro defined; the check must catch it.
- * With LAST_WINS a notice replaces what a host knew instead of being joined.
+ * A broken variant is this file with one macro defined; the check must detect it.
+ * With LAST_WINS a notice replaces the state of a host instead of being joined with it.
  * broken: LAST_WINS
  */
 #define HOSTS 2
@@ -34,7 +34,7 @@
 #define TAKES(h) (host_doc[h] > 0 && !doc_draining[host_doc[h]] && \
 	host_doc[h] > drain_rev[h] && doc_act[host_doc[h]] >= left_below[h])
 
-/* No told drain newer than the document, no told end of this activation or a later one. */
+/* No known drain newer than the document, no known end of this activation or a later one. */
 #define MAY_TAKE(h) ((told_drain[h] >> host_doc[h]) == 0 && \
 	(told_left[h] >> doc_act[host_doc[h]]) == 0)
 
@@ -58,7 +58,7 @@
 }
 
 inline read_document(h) {
-	/* The platform may be stale: any document up to the newest may come. */
+	/* The platform may be stale: it may return any document up to the newest. */
 	select(rev : 1 .. DOCS);
 	if
 	:: rev <= published && rev > host_doc[h] ->
@@ -100,7 +100,7 @@
 		notices[1 - me]!drain_rev[me], left_below[me], told_drain[me], told_left[me]
 	}
 	:: atomic { notices[me]?d, l, td, tl -> merge(me); check(me) }
-	:: atomic { notices[me]?<d, l, td, tl> -> merge(me); check(me) }	/* comes again later */
+	:: atomic { notices[me]?<d, l, td, tl> -> merge(me); check(me) }	/* delivered again later */
 	:: atomic { nempty(notices[me]) -> notices[me]?_, _, _, _ }	/* lost */
 	od
 }
--- a/spec/single_execution.pml
+++ b/spec/single_execution.pml
@@ -1,22 +1,23 @@
 /*
- * Single execution of one ticket: at most one run at the upstreams, and none
- * before or after an answer "not run". pkg/atmostonce is the implementation.
+ * At-most-once execution of one ticket: at most one run at the upstreams, and
+ * none before or after the outcome "not run" was reported. pkg/atmostonce is
+ * the implementation.
  *
- * Host 0 issued the ticket. Host 1 stands for every other entry host: it
- * forwards, and it is the successor of a planned stop. Each host is a handler
- * of asks and an executor, which interleave freely: between any two steps a
- * process may be paused for any time.
+ * Host 0 issued the ticket. Host 1 represents all other entry hosts: it
+ * forwards requests, and it is the successor in a graceful shutdown. Each host
+ * is a request handler and an executor, which interleave freely: between any
+ * two steps a process may be paused for any time.
  *
- * The network between entry hosts is the weakest: a message that was sent can
- * arrive never, once, late, or any number of times. A run request rides on one
- * TCP connection: it arrives once, late, or never, and can outlive its sender.
+ * The network between entry hosts gives no guarantees: a message may arrive
+ * never, once, late, or any number of times. A run request is sent over one TCP
+ * connection: it arrives once, late, or never, and can outlive its sender.
  *
- * A broken twin is this file with one macro defined; the check must catch it.
+ * A broken variant is this file with one macro defined; the check must detect it.
  * broken: RESEND HASH FORGET NOBURN WITHDRAW KEEP ADOPTTWICE ADOPTANY REFUSE
  */
 
 #define KILLS 2  /* kills of each host */
-#define SENDS 3  /* attempts of one execution */
+#define SENDS 3  /* attempts per execution */
 
 #ifndef ADOPTANY
 #define FOR_THIS_LIFE (handedTo == inc[1])
@@ -36,14 +37,14 @@
 bool owns[2];           /* the host may execute the ticket */
 bool adopted[2];        /* the host took over a ledger in this incarnation */
 byte inc[2];            /* incarnations */
-bool asked[2];          /* a copy of the request travels to the host */
+bool asked[2];          /* a copy of the request is in transit to the host */
 
-bool handed;            /* a copy of the hand-over travels to host 1 */
-byte handedTo;          /* the incarnation that it is for */
+bool handed;            /* a copy of the hand-over is in transit to host 1 */
+byte handedTo;          /* the incarnation that may adopt it */
 mtype handedRec;
 
-byte wire[2];           /* run requests on their way to an upstream, by sender */
-mtype result[2] = none; /* the upstream's reply to the sender */
+byte wire[2];           /* run requests in transit to an upstream, by sender */
+mtype result[2] = none; /* the upstream's response to the sender */
 byte sends[2];
 byte runs;
 bool toldNotRun;
@@ -53,7 +54,7 @@
   assert(runs == 0)
 }
 
-/* end of an attempt or of the wait for it, without a run */
+/* An attempt, or the wait for one, ends without a run. */
 inline endNotRun(h) {
 #ifndef NOBURN
   rec[h] = notrun;
@@ -63,7 +64,7 @@
   tellNotRun()
 }
 
-/* callers ask through any host, at any time, as often as they like */
+/* Callers send and repeat the request through any host, at any time. */
 active proctype Callers() {
   do
   :: !asked[0] -> asked[0] = true
@@ -78,15 +79,16 @@
   :: atomic { asked[h] && owns[h] && rec[h] == unused ->
        if
        :: rec[h] = admitted
-       :: endNotRun(h)      /* expired, or past its deadline */
+       :: endNotRun(h)      /* the ticket expired or the deadline passed */
        fi }
   :: atomic { asked[h] && owns[h] && rec[h] == notrun -> tellNotRun() }
 #ifdef REFUSE
-     /* a host that is not ready, or has no route, refuses on its own */
+     /* a host that is not ready or has no route refuses without asking the owner */
   :: atomic { asked[h] && !owns[h] -> tellNotRun() }
 #endif
-     /* executing: joins; ran, unknown: replayed; not the owner: forwards, or
-        answers unknown. None of them changes state. */
+     /* Executing: the request joins. Ran, unknown: the result is replayed. Not
+        the owner: the request is forwarded, or unknown is reported. None of
+        these changes state. */
   od
 }
 
@@ -96,7 +98,7 @@
   do
   :: atomic { owns[h] && rec[h] == admitted && sends[h] < SENDS ->
        rec[h] = sending; mine = inc[h]; sends[h]++ };
-     /* a pause here is a send that leaves late; a kill means it never leaves */
+     /* a pause here delays the send; a kill prevents it */
      if
      :: atomic { inc[h] == mine -> wire[h]++ }
      :: inc[h] != mine
@@ -138,12 +140,12 @@
        if
        :: runs++; assert(runs <= 1); assert(!toldNotRun); result[h] = upRan
        :: result[h] = upRefused   /* refused, or could not connect */
-       :: skip                    /* lost on the way; the sender times out */
+       :: skip                    /* lost in transit; the sender times out */
        fi }
   od
 }
 
-/* a kill and a restart: everything is forgotten but the next incarnation */
+/* A kill and a restart: all state is lost except the incarnation counter. */
 proctype Killer(byte h) {
 end:
   do
@@ -156,7 +158,7 @@
   od
 }
 
-/* a planned stop of host 0, which hands its ledger to one incarnation of host 1 */
+/* A graceful shutdown of host 0, which hands its ledger to one incarnation of host 1. */
 active proctype HandOver() {
 end:
   atomic { owns[0] && rec[0] != admitted && rec[0] != sending ->
@@ -179,7 +181,7 @@
   atomic {
     owns[0] = true;
 #ifdef HASH
-    owns[1] = true;         /* two views of the members, two homes */
+    owns[1] = true;         /* two member lists, two owners of the ticket */
 #endif
     run Handler(0); run Handler(1);
     run Executor(0); run Executor(1);
