--- a/scripts/bench-tls.sh
+++ b/scripts/bench-tls.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Measures what TLS adds: two entry hosts before one upstream without service
-# time, one plain and one with TLS towards callers, interleaved in one run. Stops what it started.
+# Measures the overhead of TLS: two entry hosts in front of one upstream without
+# service time, one plaintext and one with TLS towards callers, interleaved in one
+# run. Stops the processes that it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 make --no-print-directory build
@@ -9,7 +10,7 @@
 ip=${BENCH_IP:-127.0.0.1}
 platform=$ip:$base
 upstream=$ip:$((base + 1))
-plain=$ip:$((base + 2))
+plaintext=$ip:$((base + 2))
 secure=$ip:$((base + 3))
 out=$(mktemp -d)
 pids=()
@@ -41,8 +42,8 @@
     sleep 0.1
   done
 }
-entry "$plain" $((base + 10))
+entry "$plaintext" $((base + 10))
 entry "$secure" $((base + 20)) --caller-tls-cert "$out/cert.pem" --caller-tls-key "$out/key.pem"
-echo "direct is the plain entry host, through the one with TLS towards callers"
-SSL_CERT_FILE="$out/cert.pem" bin/spindle-load compare --direct "http://$plain/bench/x" \
+echo "direct is the plaintext entry host, through is the one with TLS towards callers"
+SSL_CERT_FILE="$out/cert.pem" bin/spindle-load compare --direct "http://$plaintext/bench/x" \
   --through "https://$secure/bench/x" --entry-pid "$entry_pid" "$@"
--- a/scripts/bench-wire.sh
+++ b/scripts/bench-wire.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Measures what an entry host adds: one upstream without service time, direct
-# and through an entry host, by turns. With OTHER=path/to/spindled a second
-# entry host runs beside it, so that two builds are compared in one run;
-# OTHER_ENV and OTHER_FLAGS are added to its environment and flags, and
-# ENTRY_ENV and ENTRY_FLAGS to those of the first. Stops what it started.
+# Measures the overhead of an entry host: alternates between direct requests to an
+# upstream without service time and requests through an entry host. With
+# OTHER=path/to/spindled a second entry host runs in parallel, so that two builds
+# are compared in one run; OTHER_ENV and OTHER_FLAGS are added to its environment
+# and flags, and ENTRY_ENV and ENTRY_FLAGS to those of the first. Stops the
+# processes that it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 make --no-print-directory build
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Runs the whole path on loopback: a stand-in platform, the upstreams of two
-# deployments, entry hosts, and callers. Stops what it started.
+# Runs a complete installation on loopback: a stand-in platform, the upstreams of
+# the two reference deployments, entry hosts, and callers. Stops the processes that
+# it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 make --no-print-directory build
@@ -43,11 +44,11 @@
 
 echo "--- the entry hosts"
 bin/spindlectl status --server 127.0.0.1:8093
-echo "--- one request, and why it went where it went"
+echo "--- one request, and the decisions that routed it"
 curl -is "http://127.0.0.1:8090/catalogue/lots/42" -H 'X-Request-Id: demo-1'
 sleep 0.2
 bin/spindlectl explain demo-1 --server 127.0.0.1:8093
-echo "--- one action through another entry host: a ticket, the action, and the same again"
+echo "--- one action through another entry host: a ticket, the action, and its repetition"
 last=$((8080 + 10 * entries))
 ticket=$(curl -s -o /dev/null -D - -X POST "http://127.0.0.1:8090/ledger/sale" | tr -d '\r' | sed -n 's/^Dapplespindle-Ticket: //p')
 for _ in 1 2; do
@@ -55,7 +56,7 @@
     grep -iE '^(HTTP|Dapplespindle-(Outcome|Upstream))' | tr -d '\r' | paste -sd' '
 done
 echo "recorded: $(for p in $(seq 9201 9208); do curl -s "http://127.0.0.1:$p/_ledger"; done | grep -o '"demo-sale":[0-9]*' | paste -sd' ')"
-echo "--- live decisions under load: $rate requests a second for $duration over $entries entry hosts"
+echo "--- live decisions under load: $rate requests per second for $duration over $entries entry hosts"
 bin/spindlectl watch --server 127.0.0.1:8093 --count 12 & pids+=($!)
 bin/spindle-load mix --entry "$(IFS=,; echo "${targets[*]}")" --rate "$rate" --duration "$duration"
 probes=0
@@ -63,10 +64,10 @@
   n=$(curl -s "http://127.0.0.1:$((8081 + 10 * i))/metrics" | awk '$1 ~ /events.count.probe-sent/ {s += $2} END {print s + 0}')
   probes=$((probes + n))
 done
-# 66 upstreams, 3 slots, 1% of slot time, 6 ms a probe: 5 a second each.
-echo "probes: $probes; the budget allows $((66 * 5)) a second over all entry hosts"
+# 66 upstreams with 3 slots, 1% of slot time, 6 ms per probe: 5 probes per second each.
+echo "probes: $probes; the budget allows $((66 * 5)) per second over all entry hosts"
 stop
 pids=()
-echo "--- what one entry host adds to a request, direct and through it by turns"
+echo "--- overhead of one entry host: direct requests and requests through it, alternating"
 scripts/bench-wire.sh --rounds 3 --shares 0.1 --idle 0
 echo "logs: $out"
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Generates Go code from the published schema files below api/.
+# Generates Go code from the published schema files in api/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools=$(mktemp -d)
--- a/scripts/measure-ranking.sh
+++ b/scripts/measure-ranking.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Compares the policies on real processes: stand-in upstreams, entry hosts, and
-# one service for each policy over the same upstreams, which have their turns
-# one after the other. Further arguments go to spindle-load ranking. Stops what
-# it started.
+# one service per policy over the same upstreams, measured one after the other.
+# Further arguments are passed to spindle-load ranking. Stops the processes that it
+# started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 make --no-print-directory build
@@ -35,7 +35,7 @@
   urls+=("http://$address")
 done
 services=()
-# publish NAME POLICY RETRY: one service with its own policy.
+# publish NAME POLICY RETRY publishes a service with the policy.
 publish() {
   services+=("$1")
   curl -fs -o /dev/null -X PUT "$platform/v1/config/services/$1" -d '{
@@ -67,7 +67,7 @@
     sleep 0.1
   done
 done
-sleep 2 # entry hosts find each other
+sleep 2 # entry hosts discover each other
 echo "$upstreams upstreams of 3 slots, mean $mean_ms ms, $entries entry hosts, $rate requests/s ($load% of the capacity)"
 bin/spindle-load ranking --entry "$(IFS=,; echo "${targets[*]}")" --admin "$(IFS=,; echo "${admins[*]}")" \
   --upstream "$(IFS=,; echo "${urls[*]}")" --service "$(IFS=,; echo "${services[*]}")" --rate "$rate" "$@"
--- a/scripts/mixed-builds.sh
+++ b/scripts/mixed-builds.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the tests that start processes with every second process of another version, as
-# during a rolling update: mixed-builds.sh REVISION
+# Runs the tests that start processes with a mix of two versions: every second process runs
+# the other version, as during a rolling update. Usage: mixed-builds.sh REVISION
 set -euo pipefail
 cd "$(dirname "$0")/.."
 revision=${1:?revision of the other version}
--- a/scripts/overload-neighbours.sh
+++ b/scripts/overload-neighbours.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Prints goodput and latency at twice the capacity for neighbouring values of
-# the constants of pkg/limit and pkg/queue, each changed alone in a scratch copy.
+# Prints goodput and latency at twice the capacity for neighbouring values of the
+# constants of pkg/limit and pkg/queue, each changed separately in a scratch copy.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scratch=$(mktemp -d)
@@ -8,7 +8,7 @@
 mkdir "$scratch/base"
 git ls-files -co --exclude-standard -z | xargs -0 cp --parents -t "$scratch/base"
 
-# run FILE CONSTANT VALUE: measures a copy in which CONSTANT has VALUE.
+# run FILE CONSTANT VALUE measures a copy in which CONSTANT has VALUE.
 run() {
   local dir="$scratch/$2-$3"
   cp -r "$scratch/base" "$dir"
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs from Debian's packages what a fresh machine lacks besides Go.
+# Installs the missing build tools, other than Go, from Debian packages.
 set -euo pipefail
 declare -A package=([spin]=spin [protoc]=protobuf-compiler [make]=make [gcc]=gcc [curl]=curl)
 missing=()
