--- a/test/e2e/answers_test.go
+++ b/test/e2e/answers_test.go
@@ -15,48 +15,49 @@
 )
 
 const (
-	answerCallers  = 12
-	answersEach    = 60
-	largestBody    = 4 << 20
-	slowFactor     = 40
-	answerTimeout  = 8 * time.Second
-	killForAnswers = 300 * time.Millisecond
+	bodyCallers    = 12
+	requestsEach   = 60
+	maxBodyBytes   = 4 << 20
+	slowdownFactor = 40
+	bodyTimeout    = 8 * time.Second
+	killInterval   = 300 * time.Millisecond
 )
 
-// answers counts what callers with large bodies saw.
-type answers struct {
-	mu                           sync.Mutex
-	whole, refused, cut, largest int
-	wrong                        []string
+// responses counts the responses to requests with large bodies.
+type responses struct {
+	mu                                 sync.Mutex
+	complete, refused, broken, largest int
+	mismatches                         []string
 }
 
-func (a *answers) check(t *testing.T) {
+func (a *responses) check(t *testing.T) {
 	t.Helper()
-	t.Logf("answers: whole %d (largest %d bytes), refused by an entry host %d, transport errors %d, wrong %d",
-		a.whole, a.largest, a.refused, a.cut, len(a.wrong))
-	for _, w := range a.wrong {
+	t.Logf("responses: complete %d (largest %d bytes), refused by an entry host %d, transport errors %d, mismatches %d",
+		a.complete, a.largest, a.refused, a.broken, len(a.mismatches))
+	for _, w := range a.mismatches {
 		t.Error(w)
 	}
-	if a.whole == 0 {
-		t.Error("no whole answer")
+	if a.complete == 0 {
+		t.Error("no complete response")
 	}
 }
 
-// exchange sends one request with bodies both ways and judges the answer.
-func (a *answers) exchange(client *http.Client, f *fleet, rng *rand.Rand, id string) {
+// exchange sends one request with a body, asks for a response with a body, and checks the
+// response.
+func (a *responses) exchange(client *http.Client, f *fleet, rng *rand.Rand, id string) {
 	e := f.entries[rng.IntN(len(f.entries))]
 	sent := standin.Content(id+" request", bodySize(rng)/4)
 	want := standin.Content(id, bodySize(rng))
 	req, err := http.NewRequest(http.MethodPut, "http://"+e.caller+"/ledger/"+id, bytes.NewReader(sent))
 	if err != nil {
-		a.add(func() { a.wrong = append(a.wrong, err.Error()) })
+		a.add(func() { a.mismatches = append(a.mismatches, err.Error()) })
 		return
 	}
 	req.Header.Set("X-Request-Id", id)
 	req.Header.Set(standin.HeaderAnswerBytes, strconv.Itoa(len(want)))
 	resp, err := client.Do(req)
 	if err != nil {
-		a.add(func() { a.cut++ })
+		a.add(func() { a.broken++ })
 		return
 	}
 	got, err := io.ReadAll(resp.Body)
@@ -64,27 +65,27 @@
 	a.add(func() {
 		switch {
 		case err != nil:
-			a.cut++
+			a.broken++
 		case resp.Header.Get("Dapplespindle-Error") != "":
 			a.refused++
 		case resp.StatusCode != http.StatusOK || !bytes.Equal(got, want):
-			a.wrong = append(a.wrong, fmt.Sprintf("%s through %s: %s, %d bytes of %d are not its own", id, e.caller, resp.Status, len(got), len(want)))
+			a.mismatches = append(a.mismatches, fmt.Sprintf("%s through %s: %s, the %d bytes received differ from the %d expected", id, e.caller, resp.Status, len(got), len(want)))
 		case resp.Header.Get(standin.HeaderBodySum) != standin.BodySum(sent):
-			a.wrong = append(a.wrong, fmt.Sprintf("%s through %s: the upstream ran another body", id, e.caller))
+			a.mismatches = append(a.mismatches, fmt.Sprintf("%s through %s: the upstream received a different request body", id, e.caller))
 		default:
-			a.whole++
+			a.complete++
 			a.largest = max(a.largest, len(got))
 		}
 	})
 }
 
-func (a *answers) add(count func()) {
+func (a *responses) add(count func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	count()
 }
 
-// bodySize draws mostly small sizes, and some up to largestBody.
+// bodySize returns a random size: mostly small, sometimes up to maxBodyBytes.
 func bodySize(rng *rand.Rand) int {
 	switch n := rng.IntN(10); {
 	case n < 5:
@@ -92,17 +93,17 @@
 	case n < 9:
 		return rng.IntN(256 << 10)
 	default:
-		return rng.IntN(largestBody + 1)
+		return rng.IntN(maxBodyBytes + 1)
 	}
 }
 
-// run sends requests from several callers over connections that are reused.
-func (a *answers) run(f *fleet, each int) {
+// run sends requests from several callers over persistent connections.
+func (a *responses) run(f *fleet, each int) {
 	var wg sync.WaitGroup
-	for i := range answerCallers {
+	for i := range bodyCallers {
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(uint64(i), 11))
-			client := &http.Client{Timeout: answerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 4}}
+			client := &http.Client{Timeout: bodyTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 4}}
 			defer client.CloseIdleConnections()
 			for n := range each {
 				a.exchange(client, f, rng, fmt.Sprintf("w%d-%d", i, n))
@@ -112,8 +113,8 @@
 	wg.Wait()
 }
 
-// slow slows an upstream down by a factor.
-func (f *fleet) slow(addr string, factor int) {
+// setSlowdown multiplies the service time of an upstream by factor.
+func (f *fleet) setSlowdown(addr string, factor int) {
 	f.t.Helper()
 	resp, err := f.client.Post("http://"+addr+"/_slow?factor="+strconv.Itoa(factor), "", nil)
 	if err != nil {
@@ -122,22 +123,24 @@
 	_ = resp.Body.Close()
 }
 
-// Every answer is whole and the caller's own, or the connection fails.
-func TestAnswersAreOwnAndWhole(t *testing.T) {
+// TestResponsesAreCompleteAndMatchTheRequest checks that each response is complete and
+// belongs to its request, or that the connection fails, while entry hosts are killed and
+// two upstreams are slow.
+func TestResponsesAreCompleteAndMatchTheRequest(t *testing.T) {
 	f := newFleet(t, 4, entryHosts)
-	f.slow(f.upstreams[0], slowFactor)
-	f.slow(f.upstreams[1], slowFactor/4)
+	f.setSlowdown(f.upstreams[0], slowdownFactor)
+	f.setSlowdown(f.upstreams[1], slowdownFactor/4)
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		every(done, killForAnswers, func(i int) {
+		every(done, killInterval, func(i int) {
 			e := f.entries[i*3%entryHosts]
 			e.kill()
 			f.restart(e)
 		})
 	})
-	a := new(answers)
-	a.run(f, times(answersEach))
+	a := new(responses)
+	a.run(f, scaled(requestsEach))
 	close(done)
 	wg.Wait()
 	a.check(t)
--- a/test/e2e/balancer_test.go
+++ b/test/e2e/balancer_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-const readinessEvery = 50 * time.Millisecond
+const readinessInterval = 50 * time.Millisecond
 
-// platformBalancer plays the platform's balancer: it sends callers to the
+// platformBalancer stands in for the platform's load balancer: it sends callers to the
 // entry hosts that report ready.
 type platformBalancer struct {
 	fleet *fleet
@@ -37,9 +37,9 @@
 	b.ready.Store(&ready)
 }
 
-// run polls until done.
+// run polls readiness until done is closed.
 func (b *platformBalancer) run(done <-chan struct{}) {
-	every(done, readinessEvery, func(int) { b.poll() })
+	every(done, readinessInterval, func(int) { b.poll() })
 }
 
 func (b *platformBalancer) pick(rng *rand.Rand) *entryHost {
@@ -47,18 +47,18 @@
 	return ready[rng.IntN(len(ready))]
 }
 
-// lookups counts what callers of repeatable requests saw.
+// lookups counts the results of repeatable requests.
 type lookups struct {
-	mu     sync.Mutex
-	whole  int
-	failed []string
+	mu       sync.Mutex
+	complete int
+	failed   []string
 }
 
 func (l *lookups) add(problem string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if problem == "" {
-		l.whole++
+		l.complete++
 		return
 	}
 	l.failed = append(l.failed, problem)
@@ -66,7 +66,7 @@
 
 func (l *lookups) check(t *testing.T) {
 	t.Helper()
-	t.Logf("lookups: whole %d, failed %d", l.whole, len(l.failed))
+	t.Logf("lookups: complete %d, failed %d", l.complete, len(l.failed))
 	for i, p := range l.failed {
 		if i == 5 {
 			break
@@ -75,7 +75,8 @@
 	}
 }
 
-// lookup sends one request through b and checks that the answer is its own.
+// lookup sends one request through b and checks that the response belongs to it. It returns
+// the problem found, or the empty string.
 func lookup(client *http.Client, b *platformBalancer, rng *rand.Rand, id string) string {
 	e := b.pick(rng)
 	body := strings.Repeat("x", rng.IntN(200))
@@ -100,7 +101,7 @@
 	return ""
 }
 
-// runLookups sends requests from several callers until done.
+// runLookups sends requests from several callers until done is closed.
 func runLookups(b *platformBalancer, callers int, done <-chan struct{}) *lookups {
 	l := new(lookups)
 	var wg sync.WaitGroup
--- a/test/e2e/caller_test.go
+++ b/test/e2e/caller_test.go
@@ -11,78 +11,78 @@
 	"time"
 )
 
-// Outcomes as callers see them.
+// Outcomes as reported to callers.
 const (
 	ran     = "ran"
 	notRun  = "not-run"
 	unknown = "unknown"
 )
 
-// verdicts collects what callers were told about each action.
-type verdicts struct {
-	mu   sync.Mutex
-	told map[string]string
+// outcomes records the outcome that was reported to the caller of each action.
+type outcomes struct {
+	mu       sync.Mutex
+	byAction map[string]string
 }
 
-func (v *verdicts) set(action, outcome string) {
+func (v *outcomes) set(action, outcome string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.told[action] = outcome
+	v.byAction[action] = outcome
 }
 
-// check compares what callers were told with what ran.
-func (v *verdicts) check(t *testing.T, ledger map[string]int) {
+// check compares the reported outcomes with what the upstreams ran.
+func (v *outcomes) check(t *testing.T, ledger map[string]int) {
 	t.Helper()
 	counts := make(map[string]int)
-	for action, outcome := range v.told {
+	for action, outcome := range v.byAction {
 		counts[outcome]++
 		n := ledger[action]
 		if n > 1 {
-			t.Errorf("%s ran %d times; caller was told %s", action, n, outcome)
+			t.Errorf("%s ran %d times; the reported outcome is %s", action, n, outcome)
 		}
 		if outcome == notRun && n != 0 {
-			t.Errorf("%s ran although the caller was told it did not", action)
+			t.Errorf("%s ran, but the reported outcome is not-run", action)
 		}
 		if outcome == ran && n == 0 {
-			t.Errorf("%s did not run although the caller was told it did", action)
+			t.Errorf("%s did not run, but the reported outcome is ran", action)
 		}
 	}
-	t.Logf("actions %d: ran %d, not run %d, unknown %d (%.1f%%)", len(v.told), counts[ran], counts[notRun], counts[unknown],
-		100*float64(counts[unknown])/float64(len(v.told)))
+	t.Logf("actions %d: ran %d, not run %d, unknown %d (%.1f%%)", len(v.byAction), counts[ran], counts[notRun], counts[unknown],
+		100*float64(counts[unknown])/float64(len(v.byAction)))
 	if counts[ran] == 0 {
 		t.Error("no action ran")
 	}
 }
 
-// caller sends actions, asking again through other entry hosts.
+// caller sends actions and repeats them through random entry hosts.
 type caller struct {
-	fleet    *fleet
-	rng      *rand.Rand
-	client   *http.Client
-	verdicts *verdicts
-	asks     int
-	hold     time.Duration // longest time between taking a ticket and using it
+	fleet       *fleet
+	rng         *rand.Rand
+	client      *http.Client
+	outcomes    *outcomes
+	maxAttempts int
+	hold        time.Duration // longest time between receiving a ticket and using it
 }
 
 const callerTimeout = 1500 * time.Millisecond
 
-func newCaller(f *fleet, seed uint64, v *verdicts, asks int) *caller {
+func newCaller(f *fleet, seed uint64, v *outcomes, maxAttempts int) *caller {
 	return &caller{
-		fleet:    f,
-		rng:      rand.New(rand.NewPCG(seed, 1)),
-		client:   &http.Client{Timeout: callerTimeout},
-		verdicts: v,
-		asks:     asks,
+		fleet:       f,
+		rng:         rand.New(rand.NewPCG(seed, 1)),
+		client:      &http.Client{Timeout: callerTimeout},
+		outcomes:    v,
+		maxAttempts: maxAttempts,
 	}
 }
 
-// act runs one action: it asks for a ticket, then sends until it is told that
-// the action ran, or has asked often enough. After "not run" it takes the fresh
-// ticket of that answer; after "unknown" it keeps the old one.
+// act runs one action: it requests a ticket, then repeats the request until the reported
+// outcome is ran or maxAttempts is reached. After "not run" it uses the new ticket of that
+// response; after "unknown" it keeps the old one.
 func (c *caller) act(action string) {
 	ticket := ""
 	outcome := notRun
-	for range c.asks {
+	for range c.maxAttempts {
 		status, header, err := c.post(action, ticket)
 		if err != nil {
 			if ticket != "" {
@@ -102,10 +102,10 @@
 			break
 		}
 	}
-	c.verdicts.set(action, outcome)
+	c.outcomes.set(action, outcome)
 }
 
-// wait lets a ticket grow old.
+// wait sleeps for up to hold before a ticket is used.
 func (c *caller) wait() {
 	if c.hold > 0 {
 		time.Sleep(rand.N(c.hold))
@@ -133,13 +133,13 @@
 	return resp.StatusCode, resp.Header, nil
 }
 
-// runCallers runs callers at the same time, each with its own actions.
-// Each holds a ticket for up to hold before it is used.
-func runCallers(f *fleet, callers, actions int, hold time.Duration) *verdicts {
-	v := &verdicts{told: make(map[string]string)}
+// runCallers runs callers concurrently, each with its own actions. Each waits for up to hold
+// before it uses a ticket.
+func runCallers(f *fleet, callers, actions int, hold time.Duration) *outcomes {
+	v := &outcomes{byAction: make(map[string]string)}
 	var wg sync.WaitGroup
 	for i := range callers {
-		c := newCaller(f, uint64(i+1), v, asks)
+		c := newCaller(f, uint64(i+1), v, attemptsPerAction)
 		c.hold = hold
 		wg.Go(func() {
 			for n := range actions {
--- a/test/e2e/configuration_test.go
+++ b/test/e2e/configuration_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	publishes    = 40
-	replaceEvery = 4 // publishes; even, for the platform is to fail meanwhile
-	platformLag  = 300 * time.Millisecond
+	publishes       = 40
+	replaceInterval = 4 // publishes; even, because the platform fails only during even publishes
+	platformLag     = 300 * time.Millisecond
 )
 
-// numbered is the fleet's document with a path that only version n serves.
-func numbered(f *fleet, n int) *config.Service {
+// versionedDocument returns the fleet's document with a path that only version n serves.
+func versionedDocument(f *fleet, n int) *config.Service {
 	doc := f.document()
 	doc.Match.PathPrefix = fmt.Sprintf("/v%d/", n)
 	return doc
@@ -30,8 +30,8 @@
 	return f.get(fmt.Sprintf("http://%s/v%d/lot", e.caller, n)) == nil
 }
 
-// platformFaults are what may befall the platform once the first entry host
-// has a new revision.
+// platformFaults are the faults of the platform that begin once the first entry host has
+// applied a new revision.
 var platformFaults = []struct {
 	name   string
 	faults func(revision uint64) standin.Faults
@@ -42,10 +42,12 @@
 	{"down", func(uint64) standin.Faults { return standin.Faults{Down: true} }},
 }
 
-// oldAnswers is the number of the first platformFaults, which are old answers.
-const oldAnswers = 3
+// staleFaults is the number of platformFaults, from the first, that return outdated responses.
+const staleFaults = 3
 
-func TestConfigurationNeverFallsBack(t *testing.T) {
+// TestConfigurationNeverRegresses publishes versions while the platform is stale or down and
+// entry hosts are replaced. No entry host may serve by an older revision than before.
+func TestConfigurationNeverRegresses(t *testing.T) {
 	f := newFleet(t, 2, entryHosts)
 	w := newWatcher(f)
 	done := make(chan struct{})
@@ -53,30 +55,30 @@
 	go func() { w.run(done); close(watching) }()
 	f.waitFor("first revision", func() bool { return w.has(w.all(), 1) })
 
-	run := &publishing{fleet: f, watcher: w}
-	for n := 1; n <= times(publishes); n++ {
+	run := &publishRun{fleet: f, watcher: w}
+	for n := 1; n <= scaled(publishes); n++ {
 		run.publish(n)
 	}
-	run.badDocument()
+	run.publishInvalid()
 	f.faults(standin.Faults{})
 	f.waitFor("last revision on all", func() bool { return w.has(w.all(), run.revision) })
 	close(done)
 	<-watching
 	w.check(t)
-	report(t, "healthy or lagging platform", run.healthy)
-	report(t, "platform fails after the first host has it", run.faulty)
+	logDelays(t, "healthy or lagging platform", run.healthy)
+	logDelays(t, "platform fails after the first host has applied it", run.faulty)
 	for _, e := range f.entries {
 		if !serves(f, e, run.last) {
 			t.Errorf("%s does not serve the last version", e.caller)
 		}
 		if serves(f, e, run.last-1) {
-			t.Errorf("%s serves the version before", e.caller)
+			t.Errorf("%s serves the previous version", e.caller)
 		}
 	}
 }
 
-// publishing publishes one version after the other under faults.
-type publishing struct {
+// publishRun publishes successive versions under faults.
+type publishRun struct {
 	fleet    *fleet
 	watcher  *watcher
 	last     int
@@ -86,34 +88,34 @@
 	faulty   []time.Duration
 }
 
-// publish publishes version n. With every second one the platform fails as
-// soon as one host has it, and with every fourth two hosts are replaced while
-// it does, so that what they are told by the platform is old.
-func (p *publishing) publish(n int) {
+// publish publishes version n. On every second version the platform fails as soon as one
+// host has applied it, and on every fourth two hosts are replaced during that failure, so
+// that the platform returns outdated responses to them.
+func (p *publishRun) publish(n int) {
 	f, w := p.fleet, p.watcher
 	f.faults(standin.Faults{})
 	if n%4 == 1 {
 		f.faults(standin.Faults{Lag: config.Duration(platformLag)})
 	}
 	start := time.Now()
-	p.last, p.revision = n, f.publish(numbered(f, n))
+	p.last, p.revision = n, f.publish(versionedDocument(f, n))
 	if n%2 == 1 {
-		p.await()
+		p.waitApplied()
 		p.healthy = append(p.healthy, time.Since(start))
 		return
 	}
 	f.waitFor("first host", func() bool { return w.anyHas(p.revision) })
 	f.faults(platformFaults[n/2%len(platformFaults)].faults(p.revision))
-	p.await()
+	p.waitApplied()
 	p.faulty = append(p.faulty, time.Since(start))
-	if n%replaceEvery == 0 {
-		f.faults(platformFaults[n/replaceEvery%oldAnswers].faults(p.revision))
+	if n%replaceInterval == 0 {
+		f.faults(platformFaults[n/replaceInterval%staleFaults].faults(p.revision))
 		p.replace(2)
 	}
 }
 
-// replace replaces some hosts and waits until all serve by the newest revision.
-func (p *publishing) replace(hosts int) {
+// replace replaces the given number of hosts and waits until all serve by the newest revision.
+func (p *publishRun) replace(hosts int) {
 	for range hosts {
 		p.watcher.replace(p.next)
 		p.next = (p.next + 5) % len(p.watcher.hosts)
@@ -121,17 +123,17 @@
 	p.fleet.waitFor("replaced hosts", func() bool { return p.watcher.has(p.watcher.all(), p.revision) })
 }
 
-// await waits until the newest revision is in force on every host that serves.
-func (p *publishing) await() {
-	p.fleet.waitFor("in force on all", func() bool {
+// waitApplied waits until every host that serves has applied the newest revision.
+func (p *publishRun) waitApplied() {
+	p.fleet.waitFor("newest revision on all", func() bool {
 		hosts := p.watcher.serving()
 		return len(hosts) > 0 && p.watcher.has(hosts, p.revision)
 	})
 }
 
-// badDocument publishes documents that are no valid ones, and replaces a host
-// that then can't have the last one from the platform.
-func (p *publishing) badDocument() {
+// publishInvalid publishes invalid documents and then replaces a host, which can't read the
+// last valid document from the platform any more.
+func (p *publishRun) publishInvalid() {
 	f, w := p.fleet, p.watcher
 	f.waitFor("all serve", func() bool { return w.has(w.all(), p.revision) })
 	for _, bad := range []string{`{"name": "ledger"}`, `{"name": "ledger", "colour": 1}`, `"text"`, `{"name": "other"}`} {
@@ -141,22 +143,22 @@
 	p.replace(1)
 	for _, e := range f.entries {
 		if !serves(f, e, p.last) {
-			f.t.Errorf("%s gave up the valid version", e.caller)
+			f.t.Errorf("%s no longer serves the valid version", e.caller)
 		}
 	}
 }
 
-func report(t *testing.T, what string, took []time.Duration) {
+func logDelays(t *testing.T, what string, took []time.Duration) {
 	t.Helper()
 	slices.Sort(took)
-	t.Logf("%s: %d publishes, in force on all that serve: p50 %s, max %s", what, len(took),
+	t.Logf("%s: %d publishes, time until all serving hosts applied them: p50 %s, max %s", what, len(took),
 		took[len(took)/2].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond))
 }
 
-func TestRestartedHostLearnsFromPeersWhileThePlatformIsStale(t *testing.T) {
+func TestRestartedHostSyncsFromPeersWhileThePlatformIsStale(t *testing.T) {
 	parallel(t)
 	f := newFleet(t, 2, entryHosts)
-	newest := f.publish(numbered(f, 1))
+	newest := f.publish(versionedDocument(f, 1))
 	f.waitFor("version 1 on all", func() bool {
 		return !slices.ContainsFunc(f.entries, func(e *entryHost) bool { return !serves(f, e, 1) })
 	})
@@ -169,10 +171,10 @@
 		for _, e := range f.entries[:3] {
 			f.waitReady(e)
 			if status := f.status(e, "/v1/lot"); status != http.StatusOK {
-				t.Errorf("%s answers %d by the newest version under %+v", e.caller, status, stale)
+				t.Errorf("%s returns status %d for the newest version under %+v", e.caller, status, stale)
 			}
 			if status := f.status(e, "/ledger/lot"); status == http.StatusOK {
-				t.Errorf("%s serves the version before under %+v", e.caller, stale)
+				t.Errorf("%s serves the previous version under %+v", e.caller, stale)
 			}
 		}
 	}
--- a/test/e2e/deadly_test.go
+++ b/test/e2e/deadly_test.go
@@ -9,16 +9,17 @@
 	"github.com/matryer/is"
 )
 
-// TestRequestThatEndsUpstreams: a look-up under which the process of each upstream ends
-// that runs it, sent again and again to any of three entry hosts, beside others; each host
-// is named by its own address. Grounds: ends that two hosts see within 50 ms may be of one
-// event, and the request comes each 20 to 40 ms and is sent twice, so that three arrivals
-// may end two upstreams each.
+// TestRequestThatEndsUpstreams repeats a lookup that crashes each upstream that runs it,
+// through three entry hosts and beside other lookups. Each host is identified by its own
+// address. The hosts must refuse the request after a few crashes and keep serving the others.
+// Up to 6 upstreams may crash: crashes that two hosts see within 50 ms may count as one event,
+// and the request arrives every 20 to 40 ms and is sent twice, so that three arrivals may crash
+// two upstreams each.
 func TestRequestThatEndsUpstreams(t *testing.T) {
 	parallel(t)
 	const upstreams, hosts, deadly = 8, 3, 30
 	f := newFleet(t, upstreams, hosts)
-	time.Sleep(2 * time.Second) // the hosts find one another
+	time.Sleep(2 * time.Second) // the hosts discover each other
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for i := range deadly {
@@ -42,7 +43,7 @@
 			left++
 		}
 	}
-	t.Logf("%d of %d upstreams are left, %d of %d other requests were served", left, upstreams, served, asked)
+	t.Logf("%d of %d upstreams still run, %d of %d other requests were served", left, upstreams, served, asked)
 	is := is.New(t)
 	is.True(left >= upstreams-6 && left <= upstreams-3)
 	is.True(served >= asked*9/10)
--- a/test/e2e/fleet_test.go
+++ b/test/e2e/fleet_test.go
@@ -1,5 +1,5 @@
-// Package e2e runs the real binaries on loopback, brings failures about and
-// compares what callers were told with what upstreams recorded.
+// Package e2e runs the real binaries on loopback, injects failures and compares the outcomes
+// reported to callers with what the upstreams recorded.
 package e2e
 
 import (
@@ -25,13 +25,13 @@
 
 var binaries string
 
-// otherBuild is a folder with the programs of another version. Where it is set, every
-// second process is of that version, as during a rolling update.
+// otherBuild is a directory with the binaries of another version. If it is set, every second
+// process runs that version, as during a rolling update.
 var otherBuild = os.Getenv("OTHER_BUILD")
 
 var processes atomic.Int32
 
-// programPath returns the file of the program that the next process runs.
+// programPath returns the path of the binary that the next process runs.
 func programPath(name string) string {
 	if otherBuild != "" && processes.Add(1)%2 == 0 {
 		return filepath.Join(otherBuild, name)
@@ -56,13 +56,13 @@
 	os.Exit(code)
 }
 
-// maxParallel bounds the fleets of tests that mostly wait.
+// maxParallel is the maximum number of fleets that run at the same time in parallel tests.
 const maxParallel = 6
 
 var parallelSlots = make(chan struct{}, maxParallel)
 
-// parallel lets a test that puts little load on the machine run beside others
-// of its kind.
+// parallel runs a test that puts little load on the machine in parallel with others that
+// call it.
 func parallel(t *testing.T) {
 	t.Helper()
 	t.Parallel()
@@ -76,11 +76,11 @@
 	log *os.File
 }
 
-// long reports whether the long versions of the tests were asked for.
+// long reports whether E2E_LONG requests the long versions of the tests.
 func long() bool { return os.Getenv("E2E_LONG") != "" }
 
-// times returns short, or ten times that for the long versions.
-func times(short int) int {
+// scaled returns short, or ten times short for the long versions of the tests.
+func scaled(short int) int {
 	if long() {
 		return 10 * short
 	}
@@ -117,7 +117,7 @@
 	_ = p.cmd.Wait()
 }
 
-// stop asks for a planned stop and returns the exit error.
+// stop requests a graceful shutdown and returns the exit error.
 func (p *process) stop() error {
 	p.signal(syscall.SIGTERM)
 	return p.cmd.Wait()
@@ -151,8 +151,8 @@
 	logs      hostLogs
 }
 
-// fleets counts the fleets of this process; each has a loopback network of its
-// own, so that ports never collide.
+// fleets counts the fleets of this process. Each has a loopback network of its own, so that
+// ports never collide.
 var fleets atomic.Int32
 
 // Ports and last address bytes within a fleet's network.
@@ -164,7 +164,7 @@
 	firstUpstream, platformByte = 200, 250
 )
 
-// network returns the first three bytes of a fleet's loopback network.
+// network returns the first three bytes of the loopback network of a new fleet.
 func network() string {
 	return fmt.Sprintf("127.%d.%d.", 64+os.Getpid()%128, fleets.Add(1))
 }
@@ -173,7 +173,7 @@
 	return fmt.Sprintf("%s%d:%d", f.network, last, port)
 }
 
-// deadlyPath is that of requests under which the process of an upstream ends.
+// deadlyPath is the path of requests that crash the process of an upstream.
 const deadlyPath = "/ledger/deadly"
 
 var domains = []string{"caruaru", "petrolina", "feira-de-santana", "campina-grande"}
@@ -181,15 +181,15 @@
 const (
 	upstreamMean = 3 * time.Millisecond
 	readyTimeout = 30 * time.Second
-	pollEvery    = 20 * time.Millisecond
+	pollInterval = 20 * time.Millisecond
 )
 
-// newFleet starts a platform, a service with the given upstreams, and entry hosts.
-// Each entry host gets hostArgs besides its own arguments.
+// newFleet starts a platform, a service with the given number of upstreams, and entry hosts.
+// Each entry host gets hostArgs in addition to its own arguments.
 func newFleet(t *testing.T, upstreams, entries int, hostArgs ...string) *fleet {
 	t.Helper()
 	f := &fleet{t: t, network: network(), client: &http.Client{Timeout: 5 * time.Second}, hostArgs: hostArgs}
-	_ = t.TempDir() // made first, so that it is removed after the check of the logs
+	_ = t.TempDir() // created first, so that it is removed after the logs were checked
 	t.Cleanup(func() { f.logs.check(t) })
 	listen := f.address(platformByte, platformPort)
 	f.platform = "http://" + listen
@@ -253,7 +253,7 @@
 	return hosts
 }
 
-// publish returns the revision of the document.
+// publish publishes a document and returns its revision.
 func (f *fleet) publish(s *config.Service) uint64 {
 	f.t.Helper()
 	var got platform.Changes
@@ -263,13 +263,14 @@
 	return got.Revision
 }
 
-// faults sets how the platform misbehaves from now on.
+// faults sets the faults of the platform.
 func (f *fleet) faults(to standin.Faults) {
 	f.t.Helper()
 	f.put("/v1/faults", to)
 }
 
-// document has one repeatable and one non-repeatable rule over all upstreams.
+// document returns a service with one repeatable and one non-repeatable rule over all
+// upstreams.
 func (f *fleet) document() *config.Service {
 	group := config.Group{Name: "main", Policy: f.policy}
 	for i, addr := range f.upstreams {
@@ -290,7 +291,7 @@
 	return s
 }
 
-// put returns the answer of the platform.
+// put sends v to the platform and returns the response body.
 func (f *fleet) put(path string, v any) []byte {
 	f.t.Helper()
 	body, err := json.Marshal(v)
@@ -323,7 +324,7 @@
 	return nil
 }
 
-// status returns the status of a caller's GET through an entry host.
+// status returns the HTTP status of a GET through an entry host.
 func (f *fleet) status(e *entryHost, path string) int {
 	f.t.Helper()
 	resp, err := f.client.Get("http://" + e.caller + path)
@@ -347,11 +348,11 @@
 		if time.Now().After(deadline) {
 			f.t.Fatalf("%s: not within %s", what, readyTimeout)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-// ledger sums what every upstream recorded, by action.
+// ledger returns how often each action ran, summed over the records of all upstreams.
 func (f *fleet) ledger() map[string]int {
 	f.t.Helper()
 	total := make(map[string]int)
@@ -373,7 +374,7 @@
 	return total
 }
 
-// served returns how many requests an upstream began.
+// served returns how many requests an upstream has started.
 func (f *fleet) served(addr string) int64 {
 	f.t.Helper()
 	resp, err := f.client.Get("http://" + addr + "/_served")
--- a/test/e2e/hostlist_test.go
+++ b/test/e2e/hostlist_test.go
@@ -8,9 +8,9 @@
 	"github.com/dapplespindle/dapplespindle/internal/platform"
 )
 
-// hostListBound is when the last entry host must have heard. Each reads the
-// lagging list every few seconds and tells its peers.
-const hostListBound = 10 * time.Second
+// hostListTimeout is the time within which every entry host must know that a host leaves.
+// Each reads the lagging host list every few seconds and sends updates to its peers.
+const hostListTimeout = 10 * time.Second
 
 func TestUpstreamOnALeavingHostGetsNothingNew(t *testing.T) {
 	f := newFleet(t, 4, 5)
@@ -25,7 +25,7 @@
 		hosts := f.hosts()
 		hosts = append(hosts, platform.Host{IP: ip, FailureDomain: domains[0], State: platform.Leaving})
 		f.put("/v1/hosts", hosts)
-		time.Sleep(hostListBound)
+		time.Sleep(hostListTimeout)
 		before = f.served(leaving)
 		time.Sleep(2 * time.Second)
 		after = f.served(leaving)
@@ -35,6 +35,6 @@
 		t.Error("the upstream served nothing before its host was listed as leaving")
 	}
 	if after != before {
-		t.Errorf("%d requests reached the upstream later than %s after the list said that its host leaves", after-before, hostListBound)
+		t.Errorf("%d requests reached the upstream more than %s after its host was listed as leaving", after-before, hostListTimeout)
 	}
 }
--- a/test/e2e/leaving_test.go
+++ b/test/e2e/leaving_test.go
@@ -12,14 +12,14 @@
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 )
 
-// say lets an upstream say that it is leaving, or stops that.
-func (f *fleet) say(addr string, leaving bool) {
+// setLeaving makes an upstream announce that it is leaving, or stop doing so.
+func (f *fleet) setLeaving(addr string, leaving bool) {
 	f.t.Helper()
-	f.tell(addr, "/_leaving?say="+strconv.FormatBool(leaving))
+	f.configure(addr, "/_leaving?say="+strconv.FormatBool(leaving))
 }
 
-// tell changes how an upstream behaves.
-func (f *fleet) tell(addr, target string) {
+// configure changes the behaviour of an upstream.
+func (f *fleet) configure(addr, target string) {
 	f.t.Helper()
 	resp, err := f.client.Post("http://"+addr+target, "", nil)
 	if err != nil {
@@ -31,9 +31,9 @@
 	}
 }
 
-// ask sends lookups through each of the entry hosts and returns how many
-// requests reached an upstream meanwhile.
-func (f *fleet) ask(hosts []*entryHost, each int, addr string) int64 {
+// sendLookups sends lookups through each of the entry hosts and returns how many requests
+// reached the upstream at addr meanwhile.
+func (f *fleet) sendLookups(hosts []*entryHost, each int, addr string) int64 {
 	f.t.Helper()
 	before := f.served(addr)
 	var wg sync.WaitGroup
@@ -48,8 +48,8 @@
 	return f.served(addr) - before
 }
 
-// newRandomFleet is a fleet whose entry hosts all use every upstream, so that
-// one which takes a leaving upstream for active is sure to send to it.
+// newRandomFleet starts a fleet whose entry hosts all use every upstream, so that a host that
+// considers a leaving upstream active is certain to send requests to it.
 func newRandomFleet(t *testing.T) *fleet {
 	t.Helper()
 	f := newFleet(t, 4, entryHosts)
@@ -57,49 +57,50 @@
 	f.publish(f.document())
 	for _, e := range f.entries {
 		for _, addr := range f.upstreams {
-			f.waitFor(e.caller+" uses "+addr, func() bool { return f.ask([]*entryHost{e}, 4, addr) > 0 })
+			f.waitFor(e.caller+" uses "+addr, func() bool { return f.sendLookups([]*entryHost{e}, 4, addr) > 0 })
 		}
 	}
 	return f
 }
 
-// learn sends lookups through one entry host until the upstream has said there
-// that it is leaving.
-func (f *fleet) learn(e *entryHost, addr string) {
+// announceLeaving makes an upstream announce that it is leaving, and sends lookups through
+// one entry host until a request has reached it.
+func (f *fleet) announceLeaving(e *entryHost, addr string) {
 	f.t.Helper()
-	f.say(addr, true)
-	f.waitFor("answer that says leaving", func() bool { return f.ask([]*entryHost{e}, 10, addr) > 0 })
+	f.setLeaving(addr, true)
+	f.waitFor("response that announces leaving", func() bool { return f.sendLookups([]*entryHost{e}, 10, addr) > 0 })
 }
 
 const (
-	lookupsEach = 40 // four upstreams: a host that takes one for active uses it
-	leaveBound  = 3 * time.Second
+	lookupsEach  = 40 // with four upstreams, a host that considers one active sends to it
+	leaveTimeout = 3 * time.Second
 )
 
-// mustGetNothing fails if a request reaches the upstream through any host.
-func (f *fleet) mustGetNothing(hosts []*entryHost, addr, when string) {
+// requireNoRequests fails the test if a lookup through any of the hosts reaches the upstream.
+func (f *fleet) requireNoRequests(hosts []*entryHost, addr, when string) {
 	f.t.Helper()
-	if n := f.ask(hosts, lookupsEach, addr); n != 0 {
+	if n := f.sendLookups(hosts, lookupsEach, addr); n != 0 {
 		f.t.Errorf("%s: %d requests reached the leaving upstream", when, n)
 	}
 }
 
-// Only one entry host hears the upstream itself; the others hear it from peers.
-func TestUpstreamThatSaysLeavingGetsNothingNew(t *testing.T) {
+// TestUpstreamThatAnnouncesLeavingGetsNothingNew lets a single entry host receive the
+// announcement from the upstream; the others must learn of it from their peers.
+func TestUpstreamThatAnnouncesLeavingGetsNothingNew(t *testing.T) {
 	parallel(t)
 	f := newRandomFleet(t)
 	leaving := f.upstreams[0]
-	f.learn(f.entries[0], leaving)
-	time.Sleep(leaveBound)
-	f.mustGetNothing(f.entries, leaving, "after the bound")
+	f.announceLeaving(f.entries[0], leaving)
+	time.Sleep(leaveTimeout)
+	f.requireNoRequests(f.entries, leaving, "after the time limit")
 
-	// Nothing but a new activation revives it: not a new document, not an old
-	// platform, not a host that has forgotten.
+	// Only a new activation reactivates the upstream: not a new document, not a stale
+	// platform, not a host that restarted without state.
 	doc := f.document()
 	doc.Rules[1].Priority = config.PriorityHigh
 	f.publish(doc)
 	time.Sleep(time.Second)
-	f.mustGetNothing(f.entries, leaving, "after an unrelated change")
+	f.requireNoRequests(f.entries, leaving, "after an unrelated change")
 	f.faults(standin.Faults{Stale: true, StaleAt: 1})
 	for _, e := range f.entries[1:4] {
 		e.kill()
@@ -107,20 +108,20 @@
 	}
 	for _, e := range f.entries[1:4] {
 		f.waitReady(e)
-		f.mustGetNothing([]*entryHost{e}, leaving, "through a host that restarted on a stale platform")
+		f.requireNoRequests([]*entryHost{e}, leaving, "through a host that restarted on a stale platform")
 	}
 	f.faults(standin.Faults{Down: true})
 	e := f.entries[5]
 	e.kill()
 	f.restart(e)
 	f.waitReady(e)
-	f.mustGetNothing(f.entries, leaving, "with the platform down")
+	f.requireNoRequests(f.entries, leaving, "with the platform down")
 
 	f.faults(standin.Faults{})
-	f.say(leaving, false)
+	f.setLeaving(leaving, false)
 	doc.Groups[0].Upstreams[0].Activation = 1
 	f.publish(doc)
-	f.waitFor("the upstream is back", func() bool { return f.ask(f.entries, 4, leaving) > 0 })
+	f.waitFor("the upstream is back", func() bool { return f.sendLookups(f.entries, 4, leaving) > 0 })
 }
 
 func TestUpstreamLeavesWhileThePlatformIsDown(t *testing.T) {
@@ -128,40 +129,41 @@
 	f := newRandomFleet(t)
 	f.faults(standin.Faults{Down: true})
 	leaving := f.upstreams[1]
-	f.learn(f.entries[3], leaving)
-	time.Sleep(leaveBound)
-	f.mustGetNothing(f.entries, leaving, "after the bound")
+	f.announceLeaving(f.entries[3], leaving)
+	time.Sleep(leaveTimeout)
+	f.requireNoRequests(f.entries, leaving, "after the time limit")
 	f.faults(standin.Faults{Stale: true, StaleAt: 1})
 	time.Sleep(time.Second)
-	f.mustGetNothing(f.entries, leaving, "with a stale platform")
+	f.requireNoRequests(f.entries, leaving, "with a stale platform")
 }
 
-// A host that slept through the news must not act on what it knew before.
-func TestHostThatWakesSendsNothingToLeavingUpstream(t *testing.T) {
+// TestResumedHostSendsNothingToLeavingUpstream pauses hosts while an upstream announces that
+// it is leaving. A resumed host must not act on its outdated state.
+func TestResumedHostSendsNothingToLeavingUpstream(t *testing.T) {
 	parallel(t)
 	f := newRandomFleet(t)
 	leaving := f.upstreams[2]
-	asleep := f.entries[6:10]
-	for _, e := range asleep {
+	paused := f.entries[6:10]
+	for _, e := range paused {
 		e.signal(syscall.SIGSTOP)
 	}
-	f.learn(f.entries[0], leaving)
-	time.Sleep(2 * leaveBound)
+	f.announceLeaving(f.entries[0], leaving)
+	time.Sleep(2 * leaveTimeout)
 	before := f.served(leaving)
 	var wg sync.WaitGroup
-	for _, e := range asleep {
-		wg.Go(func() { f.sendWhileWaking(e) })
+	for _, e := range paused {
+		wg.Go(func() { f.sendWhileResuming(e) })
 	}
 	wg.Wait()
 	if n := f.served(leaving) - before; n != 0 {
-		t.Errorf("%d requests reached the leaving upstream through hosts that woke", n)
+		t.Errorf("%d requests reached the leaving upstream through resumed hosts", n)
 	}
-	f.mustGetNothing(f.entries, leaving, "after they woke")
+	f.requireNoRequests(f.entries, leaving, "after they resumed")
 }
 
-// sendWhileWaking sends lookups that arrive at a stopped host, then lets it
-// run. They may be refused.
-func (f *fleet) sendWhileWaking(e *entryHost) {
+// sendWhileResuming sends lookups to a paused host, resumes it and sends more. The lookups
+// may be refused.
+func (f *fleet) sendWhileResuming(e *entryHost) {
 	var wg sync.WaitGroup
 	for range lookupsEach {
 		wg.Go(func() { _ = f.get("http://" + e.caller + "/ledger/lot") })
@@ -174,13 +176,15 @@
 	wg.Wait()
 }
 
-// Hosts that start together know nothing to tell each other.
+// TestHostsThatStartTogetherSendNothingToLeavingUpstream restarts most hosts at once after an
+// upstream announced that it is leaving. They have no state to send to each other and must
+// learn of it from the remaining hosts.
 func TestHostsThatStartTogetherSendNothingToLeavingUpstream(t *testing.T) {
 	parallel(t)
 	f := newRandomFleet(t)
 	leaving := f.upstreams[2]
-	f.learn(f.entries[0], leaving)
-	time.Sleep(leaveBound)
+	f.announceLeaving(f.entries[0], leaving)
+	time.Sleep(leaveTimeout)
 	before := f.served(leaving)
 	started := f.entries[2:10]
 	for _, e := range started {
@@ -192,7 +196,7 @@
 	var wg sync.WaitGroup
 	for _, e := range started {
 		wg.Go(func() {
-			f.untilReady(e)
+			f.checkReady(e)
 			for range lookupsEach {
 				_ = f.get("http://" + e.caller + "/ledger/lot")
 			}
@@ -200,7 +204,7 @@
 	}
 	wg.Wait()
 	if n := f.served(leaving) - before; n != 0 {
-		t.Errorf("%d requests reached the leaving upstream through hosts that started", n)
+		t.Errorf("%d requests reached the leaving upstream through restarted hosts", n)
 	}
-	f.mustGetNothing(f.entries, leaving, "after they started")
+	f.requireNoRequests(f.entries, leaving, "after they started")
 }
--- a/test/e2e/logs_test.go
+++ b/test/e2e/logs_test.go
@@ -9,11 +9,10 @@
 	"testing"
 )
 
-// Codes of broken invariants; docs/EVENTS.md lists them.
+// Range of the codes of violated invariants; docs/EVENTS.md lists them.
 const firstInvariant, lastInvariant = 10000, 10999
 
-// hostLogs are the logs of every entry host process of a fleet, also of those
-// that were killed.
+// hostLogs holds the log files of all entry host processes of a fleet, including killed ones.
 type hostLogs struct {
 	mu    sync.Mutex
 	files []string
@@ -25,7 +24,7 @@
 	l.files = append(l.files, file)
 }
 
-// check fails the test for each broken invariant and each panic.
+// check fails the test for each violated invariant and each panic.
 func (l *hostLogs) check(t *testing.T) {
 	t.Helper()
 	l.mu.Lock()
@@ -42,7 +41,7 @@
 	t.Logf("%d entry host processes; events of level error: %v", len(l.files), errors)
 }
 
-// checkLog checks one log and counts its events of level error by name.
+// checkLog checks one log and counts its events of level error in errors, by name.
 func checkLog(t *testing.T, text []byte, errors map[string]int) {
 	t.Helper()
 	lines := bufio.NewScanner(bytes.NewReader(text))
@@ -61,7 +60,7 @@
 			continue
 		}
 		if e.Event >= firstInvariant && e.Event <= lastInvariant {
-			t.Errorf("broken invariant: %s", line)
+			t.Errorf("violated invariant: %s", line)
 		}
 		if e.Level == "error" {
 			errors[e.Name]++
--- a/test/e2e/operators_test.go
+++ b/test/e2e/operators_test.go
@@ -26,7 +26,7 @@
 	entry *entryHost
 }
 
-// spindlectl returns the output and the exit code.
+// spindlectl runs spindlectl with args and returns the output and the exit code.
 func (o *operator) spindlectl(args ...string) (string, ctl.Code) {
 	o.fleet.t.Helper()
 	cmd := exec.Command(programPath("spindlectl"),
@@ -41,8 +41,8 @@
 	return out.String(), ctl.Code(cmd.ProcessState.ExitCode())
 }
 
-// must is spindlectl with the exit code that it has to end with.
-func (o *operator) must(code ctl.Code, args ...string) string {
+// mustRun runs spindlectl and fails the test unless it exits with code.
+func (o *operator) mustRun(code ctl.Code, args ...string) string {
 	o.fleet.t.Helper()
 	out, got := o.spindlectl(args...)
 	if got != code {
@@ -51,22 +51,23 @@
 	return out
 }
 
-// version returns the version in force, as spindlectl shows it.
+// version returns the current version, as spindlectl shows it.
 func (o *operator) version() string {
 	var view struct{ Version string }
-	o.decode(o.must(ctl.OK, "service", "describe", "ledger"), &view)
+	o.decode(o.mustRun(ctl.OK, "service", "describe", "ledger"), &view)
 	return view.Version
 }
 
-// planned is what an operator needs of a plan.
+// planned holds the fields of a plan that the tests use.
 type planned struct {
 	Digest   string
 	Document json.RawMessage
 	Warnings []string
 }
 
-// write writes a document in which the lookups have the given priority.
-func (o *operator) write(priority config.Priority) string {
+// writeDocument writes a document in which lookups have the given priority, and returns the
+// path of the file.
+func (o *operator) writeDocument(priority config.Priority) string {
 	doc := o.fleet.document()
 	doc.Rules[1].Priority = priority
 	text, err := json.Marshal(doc)
@@ -80,10 +81,10 @@
 	return file
 }
 
-// plan plans a document from the version that the operator looked at.
+// plan plans a document that is based on the given version.
 func (o *operator) plan(version string, priority config.Priority) planned {
 	var p planned
-	o.decode(o.must(ctl.OK, "service", "plan", o.write(priority), "--expect", version), &p)
+	o.decode(o.mustRun(ctl.OK, "service", "plan", o.writeDocument(priority), "--expect", version), &p)
 	return p
 }
 
@@ -99,14 +100,14 @@
 	return revision
 }
 
-func TestSecondOperatorIsTold(t *testing.T) {
+func TestConflictingOperatorsAreInformed(t *testing.T) {
 	parallel(t)
 	f := newFleet(t, 2, entryHosts)
 	minh := &operator{f, "minh", f.entries[0]}
 	rita := &operator{f, "rita", f.entries[7]}
 	base := minh.version()
 	if v := rita.version(); v != base {
-		t.Fatalf("two hosts describe %s and %s", base, v)
+		t.Fatalf("two hosts describe different versions, %s and %s", base, v)
 	}
 	first := minh.plan(base, config.PriorityHigh)
 	second := rita.plan(base, config.PriorityLow)
@@ -114,21 +115,21 @@
 		t.Errorf("the second plan does not warn of the first: %q", second.Warnings)
 	}
 
-	// A host that is stopped lags; it is named, and then it is not.
+	// A paused host lags and is named; once it resumes, it is not.
 	stopped := f.entries[4]
 	stopped.signal(syscall.SIGSTOP)
 	f.put("/v1/config/"+ledgerKey, first.Document)
 	follow := []string{"follow", ledgerKey, "--digest", first.Digest, "--base", revisionOf(base)}
-	out := minh.must(ctl.NotInForce, append(follow, "--wait", "3s")...)
+	out := minh.mustRun(ctl.NotInForce, append(follow, "--wait", "3s")...)
 	for line := range strings.Lines(out) {
 		if !strings.Contains(line, stopped.peer) {
 			t.Errorf("follow does not name %s as lagging: %s", stopped.peer, line)
 		}
 	}
 	stopped.signal(syscall.SIGCONT)
-	out = minh.must(ctl.OK, follow...)
+	out = minh.mustRun(ctl.OK, follow...)
 	if !strings.Contains(out, "STATE_IN_FORCE") {
-		t.Errorf("follow ended without being in force: %s", out)
+		t.Errorf("follow ended before the document was in force: %s", out)
 	}
 	inForce := minh.version()
 	for _, e := range f.entries {
@@ -137,17 +138,17 @@
 		}
 	}
 
-	// The second operator's plan is from a version that is no longer in force.
-	out = rita.must(ctl.Conflict, "service", "plan", rita.write(config.PriorityLow), "--expect", base)
+	// The second operator's plan is based on a version that is no longer current.
+	out = rita.mustRun(ctl.Conflict, "service", "plan", rita.writeDocument(config.PriorityLow), "--expect", base)
 	if !strings.Contains(out, "minh") {
-		t.Errorf("the conflict does not name who planned the version in force: %s", out)
+		t.Errorf("the conflict does not name who planned the current version: %s", out)
 	}
-	// Published all the same, it wins, and the first operator is told.
+	// If it is published nevertheless, it takes effect and the first operator is informed.
 	f.put("/v1/config/"+ledgerKey, second.Document)
-	rita.must(ctl.OK, "follow", ledgerKey, "--digest", second.Digest, "--base", revisionOf(base))
-	out = minh.must(ctl.Conflict, follow...)
+	rita.mustRun(ctl.OK, "follow", ledgerKey, "--digest", second.Digest, "--base", revisionOf(base))
+	out = minh.mustRun(ctl.Conflict, follow...)
 	if !strings.Contains(out, "rita") {
-		t.Errorf("the first operator is not told who won: %s", out)
+		t.Errorf("the first operator is not informed who planned the current version: %s", out)
 	}
 }
 
@@ -161,10 +162,10 @@
 	late.signal(syscall.SIGSTOP)
 	f.put("/v1/config/"+ledgerKey, p.Document)
 	follow := []string{"follow", ledgerKey, "--digest", p.Digest, "--base", revisionOf(base)}
-	minh.must(ctl.NotInForce, append(follow, "--wait", "2s")...)
+	minh.mustRun(ctl.NotInForce, append(follow, "--wait", "2s")...)
 	f.faults(standin.Faults{Down: true})
 	late.signal(syscall.SIGCONT)
-	minh.must(ctl.OK, follow...)
+	minh.mustRun(ctl.OK, follow...)
 	if v := (&operator{f, "rita", late}).version(); v == base {
 		t.Errorf("%s still has %s in force", late.peer, v)
 	}
--- a/test/e2e/probes_test.go
+++ b/test/e2e/probes_test.go
@@ -13,24 +13,24 @@
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 )
 
-// The budget of docs/design/04-measuring-budget.md. With 13 entry hosts, 3
-// slots, 4% and 6 ms a window is 650 ms.
+// The probe budget of docs/design/04-measuring-budget.md. With 13 entry hosts, 3 slots, 4% of
+// slot time and probes of 6 ms, a window is 650 ms.
 const (
 	probeSlots   = 3
 	probePercent = 4
 	probeCost    = 6 * time.Millisecond
 	probeWindow  = entryHosts * probeCost * 100 / (probeSlots * probePercent)
-	mostMultiple = 5 // windows of one to five times that are checked
+	maxMultiple  = 5 // windows of one to five times probeWindow are checked
 
-	probeSeconds = 12
-	killEvery    = 1200 * time.Millisecond
-	pauseEvery   = 2500 * time.Millisecond
+	probeSeconds       = 12
+	probeKillInterval  = 1200 * time.Millisecond
+	probePauseInterval = 2500 * time.Millisecond
 )
 
-// probeArgs let entry hosts probe as often as the budget allows.
+// probeArgs are the arguments with which entry hosts probe as often as the budget allows.
 var probeArgs = []string{"--max-entry-hosts", strconv.Itoa(entryHosts), "--probe-path", "/_probe", "--probe-fresh-for", "1ms"}
 
-// probes returns when probes reached an upstream, in order.
+// probes returns the times at which probes reached an upstream, in ascending order.
 func (f *fleet) probes(addr string) []time.Duration {
 	f.t.Helper()
 	resp, err := f.client.Get("http://" + addr + "/_probes")
@@ -46,8 +46,8 @@
 	return at
 }
 
-// fullest returns the most probes in any half-open window of the given length.
-func fullest(at []time.Duration, window time.Duration) int {
+// maxProbes returns the maximum number of probes in any half-open window of the given length.
+func maxProbes(at []time.Duration, window time.Duration) int {
 	most, first := 0, 0
 	for last := range at {
 		for at[last]-at[first] >= window {
@@ -58,7 +58,7 @@
 	return most
 }
 
-// checkBudget fails if some window has more probes than the budget.
+// checkBudget fails the test if any window has more probes than the budget allows.
 func (f *fleet) checkBudget(elapsed time.Duration) {
 	f.t.Helper()
 	for i, addr := range f.upstreams {
@@ -67,13 +67,13 @@
 			f.t.Errorf("upstream %d: no probes", i+1)
 			continue
 		}
-		for n := 1; n <= mostMultiple; n++ {
+		for n := 1; n <= maxMultiple; n++ {
 			window := time.Duration(n) * probeWindow
-			most, budget := fullest(at, window), n*entryHosts
+			most, budget := maxProbes(at, window), n*entryHosts
 			if most > budget {
 				f.t.Errorf("upstream %d: %d probes within %s, the budget is %d", i+1, most, window, budget)
 			}
-			if n == 1 || n == mostMultiple {
+			if n == 1 || n == maxMultiple {
 				f.t.Logf("upstream %d: fullest window of %s has %d of %d probes", i+1, window, most, budget)
 			}
 		}
@@ -82,8 +82,8 @@
 	}
 }
 
-// probed is the fleet's document with a measuring budget.
-func probed(f *fleet) *config.Service {
+// probedDocument returns the fleet's document with a probe budget.
+func probedDocument(f *fleet) *config.Service {
 	doc := f.document()
 	doc.Groups[0].Probe = config.ProbeBudget{SlotTimePercent: probePercent, Cost: config.Duration(probeCost)}
 	return doc
@@ -91,26 +91,26 @@
 
 func TestProbesStayWithinTheBudget(t *testing.T) {
 	f := newFleet(t, 3, entryHosts, probeArgs...)
-	f.publish(probed(f))
+	f.publish(probedDocument(f))
 	start := time.Now()
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		every(done, killEvery, func(i int) {
+		every(done, probeKillInterval, func(i int) {
 			e := f.entries[2*i%entryHosts]
 			e.kill()
 			f.restart(e)
 		})
 	})
 	wg.Go(func() {
-		every(done, pauseEvery, func(i int) {
+		every(done, probePauseInterval, func(i int) {
 			e := f.entries[(2*i+7)%entryHosts]
 			e.signal(syscall.SIGSTOP)
 			time.Sleep(3 * probeWindow)
 			e.signal(syscall.SIGCONT)
 		})
 	})
-	half := time.Duration(times(probeSeconds)) * time.Second / 2
+	half := time.Duration(scaled(probeSeconds)) * time.Second / 2
 	time.Sleep(half)
 	f.faults(standin.Faults{Down: true})
 	time.Sleep(half)
@@ -119,13 +119,14 @@
 	f.checkBudget(time.Since(start))
 }
 
-// A server that two services list under different names has one budget.
+// TestProbesOfASharedServerStayWithinTheBudget checks that a server that two services list
+// under different names has a single probe budget.
 func TestProbesOfASharedServerStayWithinTheBudget(t *testing.T) {
 	parallel(t)
 	f := newFleet(t, 1, entryHosts, probeArgs...)
 	start := time.Now()
-	f.publish(probed(f))
-	second := probed(f)
+	f.publish(probedDocument(f))
+	second := probedDocument(f)
 	second.Name = "catalogue"
 	second.Match.PathPrefix = "/catalogue/"
 	second.Groups[0].Upstreams[0].ID = "catalogue-1"
--- a/test/e2e/single_execution_test.go
+++ b/test/e2e/single_execution_test.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	entryHosts = 13
-	callers    = 24
-	manyKills  = 150 // actions of each caller
-	fewPauses  = 50  // each pause outlasts every time-out
-	asks       = 6
+	entryHosts        = 13
+	callers           = 24
+	manyKills         = 150 // actions per caller
+	fewPauses         = 50  // actions per caller; each pause is longer than every time-out
+	attemptsPerAction = 6
 )
 
-// during runs faults until the callers have done their actions.
-func during(f *fleet, actions int, faults func(done <-chan struct{})) *verdicts {
+// during injects faults until the callers have finished their actions.
+func during(f *fleet, actions int, faults func(done <-chan struct{})) *outcomes {
 	return duringHeld(f, callers, actions, 0, faults)
 }
 
-// duringHeld is during with callers that hold their tickets for a while.
-func duringHeld(f *fleet, callers, actions int, hold time.Duration, faults func(done <-chan struct{})) *verdicts {
+// duringHeld is during with callers that wait for up to hold before they use a ticket.
+func duringHeld(f *fleet, callers, actions int, hold time.Duration, faults func(done <-chan struct{})) *outcomes {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() { faults(done) })
@@ -31,7 +31,7 @@
 	return v
 }
 
-// every calls step with 0, 1, 2, ... until done.
+// every calls step once per period, with 0, 1, 2, ..., until done is closed.
 func every(done <-chan struct{}, period time.Duration, step func(i int)) {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
--- a/test/e2e/stop_test.go
+++ b/test/e2e/stop_test.go
@@ -7,7 +7,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/config"
 )
 
-// withLoad runs callers of repeatable requests while change runs.
+// withLoad sends repeatable requests while change runs.
 func withLoad(f *fleet, change func()) *lookups {
 	b := newPlatformBalancer(f)
 	done := make(chan struct{})
@@ -19,7 +19,7 @@
 	return <-result
 }
 
-func TestRollingRestartCutsOffNothing(t *testing.T) {
+func TestRollingRestartAbortsNothing(t *testing.T) {
 	f := newFleet(t, 4, 5)
 	l := withLoad(f, func() {
 		for _, e := range f.entries {
@@ -28,13 +28,13 @@
 			}
 			f.restart(e)
 			f.waitReady(e)
-			time.Sleep(4 * readinessEvery)
+			time.Sleep(4 * readinessInterval)
 		}
 	})
 	l.check(t)
 }
 
-const drainBound = 3 * time.Second
+const drainTimeout = 3 * time.Second
 
 func TestDrainedUpstreamGetsNothingNew(t *testing.T) {
 	f := newFleet(t, 4, entryHosts)
@@ -45,7 +45,7 @@
 		doc := f.document()
 		doc.Groups[0].Upstreams[0].State = config.Draining
 		f.publish(doc)
-		time.Sleep(drainBound)
+		time.Sleep(drainTimeout)
 		before = f.served(drained)
 		time.Sleep(2 * time.Second)
 		after = f.served(drained)
@@ -55,6 +55,6 @@
 		t.Error("the upstream served nothing before it was drained")
 	}
 	if after != before {
-		t.Errorf("%d requests reached the upstream later than %s after the drain was published", after-before, drainBound)
+		t.Errorf("%d requests reached the upstream more than %s after the drain was published", after-before, drainTimeout)
 	}
 }
--- a/test/e2e/tls_test.go
+++ b/test/e2e/tls_test.go
@@ -30,8 +30,8 @@
 	dir, name   string
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
-	// ends is the end of validity of what is issued.
-	ends time.Time
+	// notAfter is the end of validity of issued certificates.
+	notAfter time.Time
 }
 
 func newAuthority(t *testing.T, name string) *authority {
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &authority{t: t, dir: t.TempDir(), name: name, certificate: certificate, key: key, ends: time.Now().Add(time.Hour)}
+	a := &authority{t: t, dir: t.TempDir(), name: name, certificate: certificate, key: key, notAfter: time.Now().Add(time.Hour)}
 	a.write("ca.pem", "CERTIFICATE", der)
 	return a
 }
@@ -68,7 +68,7 @@
 	}
 }
 
-// issue writes NAME.pem and NAME.key for a DNS name, and returns their paths.
+// issue writes NAME.pem and NAME.key for a DNS name and returns their paths.
 func (a *authority) issue(name, dns string) (string, string) {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -77,7 +77,7 @@
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: a.ends, DNSNames: []string{dns},
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: a.notAfter, DNSNames: []string{dns},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, &key.PublicKey, a.key)
@@ -99,17 +99,17 @@
 	return pool
 }
 
-// The names that the certificates carry.
+// The DNS names in the certificates.
 const (
 	entryName    = "entry.test"
 	upstreamName = "upstream.test"
 )
 
-// securedFleet is a fleet in which every connection but the platform's has TLS.
+// securedFleet is a fleet in which every connection except those to the platform uses TLS.
 type securedFleet struct {
 	*fleet
 	peers, operators, callers, upstreamAuthority *authority
-	// ran counts the requests at the upstream.
+	// ran counts the requests that the upstream ran.
 	ran atomic.Int64
 }
 
@@ -120,7 +120,7 @@
 		peers: newAuthority(t, "peers"), operators: newAuthority(t, "operators"),
 		callers: newAuthority(t, "callers"), upstreamAuthority: newAuthority(t, "upstreams"),
 	}
-	s.client = s.trusting(s.callers)
+	s.client = s.clientTrusting(s.callers)
 	s.startUpstream()
 	listen := s.address(platformByte, platformPort)
 	s.platform = "http://" + listen
@@ -157,7 +157,7 @@
 	return flags
 }
 
-// addSecured starts an entry host whose first start has the flags.
+// addSecured starts an entry host with the flags.
 func (s *securedFleet) addSecured(flags []string) {
 	last := len(s.entries) + 1
 	e := &entryHost{
@@ -191,8 +191,8 @@
 	s.upstreams = []string{address}
 }
 
-// trusting returns a caller that trusts a and makes a handshake for each request.
-func (s *securedFleet) trusting(a *authority) *http.Client {
+// clientTrusting returns a client that trusts a and makes a handshake for each request.
+func (s *securedFleet) clientTrusting(a *authority) *http.Client {
 	conf := &tls.Config{RootCAs: a.pool(), ServerName: entryName}
 	return &http.Client{
 		Timeout:   5 * time.Second,
@@ -200,7 +200,7 @@
 	}
 }
 
-// ctl runs spindlectl against an entry host with more arguments.
+// ctl runs spindlectl against an entry host and returns the output and the exit code.
 func (s *securedFleet) ctl(e *entryHost, args ...string) (string, int) {
 	s.t.Helper()
 	cmd := exec.Command(programPath("spindlectl"), append([]string{"--server", e.operator}, args...)...)
@@ -208,8 +208,8 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// as returns the arguments of an operator with a certificate of a.
-func (s *securedFleet) as(a *authority) []string {
+// operatorArgs returns the arguments of spindlectl for an operator whose certificate a issues.
+func (s *securedFleet) operatorArgs(a *authority) []string {
 	certificate, key := a.issue("ana", "ana.test")
 	return []string{
 		"--tls-cert", certificate, "--tls-key", key, "--tls-ca", s.operators.path("ca.pem"), "--tls-server-name", entryName,
@@ -222,12 +222,12 @@
 	t.Run("operators", s.checkOperators)
 	t.Run("callers", s.checkCallers)
 	t.Run("tickets", s.checkTickets)
-	t.Run("replaced", s.checkReplaced)
+	t.Run("replaced", s.checkRotation)
 }
 
-// checkMembers waits until every entry host lists all others and can ask them.
+// checkMembers waits until every entry host lists all others and can query them.
 func (s *securedFleet) checkMembers(t *testing.T) {
-	ana := s.as(s.operators)
+	ana := s.operatorArgs(s.operators)
 	for _, e := range s.entries {
 		s.waitFor("members at "+e.peer, func() bool {
 			out, code := s.ctl(e, append(ana, "status")...)
@@ -241,23 +241,23 @@
 	}
 }
 
-// refusedExit is spindlectl's exit code when the entry host refused.
+// refusedExit is spindlectl's exit code when the entry host refuses it.
 const refusedExit = 6
 
 func (s *securedFleet) checkOperators(t *testing.T) {
 	e := s.entries[0]
-	if out, code := s.ctl(e, append(s.as(s.operators), "service", "list")...); code != 0 || !strings.Contains(out, "ledger") {
+	if out, code := s.ctl(e, append(s.operatorArgs(s.operators), "service", "list")...); code != 0 || !strings.Contains(out, "ledger") {
 		t.Errorf("with a certificate: exit code %d, %s", code, out)
 	}
-	refused := map[string][]string{"no TLS": nil, "another authority": s.as(s.peers)}
+	refused := map[string][]string{"no TLS": nil, "another authority": s.operatorArgs(s.peers)}
 	for name, args := range refused {
 		if out, code := s.ctl(e, append(args, "service", "list")...); code != refusedExit {
 			t.Errorf("%s: exit code %d, %s", name, code, out)
 		}
 	}
-	// An operator's certificate opens no peer's listener.
+	// The listener for peers does not accept an operator's certificate.
 	peer := &entryHost{operator: e.peer}
-	if out, code := s.ctl(peer, append(s.as(s.operators), "service", "list")...); code != refusedExit || !strings.Contains(out, "certificate") {
+	if out, code := s.ctl(peer, append(s.operatorArgs(s.operators), "service", "list")...); code != refusedExit || !strings.Contains(out, "certificate") {
 		t.Errorf("at the peers' listener: exit code %d, %s", code, out)
 	}
 }
@@ -281,11 +281,12 @@
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusBadRequest || s.ran.Load() != before {
-		t.Errorf("plain HTTP: %s", resp.Status)
+		t.Errorf("plaintext HTTP: %s", resp.Status)
 	}
 }
 
-// checkTickets uses the ticket of one entry host at another: they talk as peers.
+// checkTickets uses the ticket of one entry host at another, which forwards the request to its
+// peer.
 func (s *securedFleet) checkTickets(t *testing.T) {
 	before := s.ran.Load()
 	_, header := s.post(t, s.entries[0], "")
@@ -315,12 +316,12 @@
 	return resp.StatusCode, resp.Header
 }
 
-// checkReplaced replaces the certificate for callers by another authority's.
-func (s *securedFleet) checkReplaced(t *testing.T) {
+// checkRotation replaces the certificate for callers by one from another authority.
+func (s *securedFleet) checkRotation(t *testing.T) {
 	renewed := newAuthority(t, "renewed")
 	renewed.dir = s.callers.dir
 	renewed.issue("entry", entryName)
-	trusting := s.trusting(renewed)
+	trusting := s.clientTrusting(renewed)
 	for _, e := range s.entries {
 		s.waitFor("the new certificate at "+e.caller, func() bool {
 			resp, err := trusting.Get("https://" + e.caller + "/ledger/lookup")
@@ -332,23 +333,23 @@
 		})
 		if resp, err := s.client.Get("https://" + e.caller + "/ledger/lookup"); err == nil {
 			_ = resp.Body.Close()
-			t.Errorf("%s still shows the old certificate", e.caller)
+			t.Errorf("%s still presents the old certificate", e.caller)
 		}
 	}
 }
 
-// TestExpiredCertificateIsReported starts an entry host whose certificate for
-// callers has ended; callers refuse it.
+// TestExpiredCertificateIsReported starts an entry host whose certificate for callers has
+// expired, so that callers refuse it.
 func TestExpiredCertificateIsReported(t *testing.T) {
 	a := newAuthority(t, "callers")
-	a.ends = time.Now().Add(-time.Minute)
+	a.notAfter = time.Now().Add(-time.Minute)
 	s := &securedFleet{fleet: &fleet{t: t, network: network(), client: http.DefaultClient}}
 	s.platform = "http://" + s.address(platformByte, platformPort)
 	certificate, key := a.issue("entry", entryName)
 	s.addSecured([]string{"--caller-tls-cert", certificate, "--caller-tls-key", key})
 	e := s.entries[0]
 	s.waitFor("the listener", func() bool {
-		_, err := s.trusting(a).Get("https://" + e.caller + "/")
+		_, err := s.clientTrusting(a).Get("https://" + e.caller + "/")
 		return err != nil && strings.Contains(err.Error(), "expired")
 	})
 	if log, err := os.ReadFile(e.log.Name()); err != nil || !strings.Contains(string(log), "certificate-expired") {
@@ -356,9 +357,9 @@
 	}
 }
 
-// TestGroupWithTLSIsNeverSentInTheClear asks for TLS of an entry host that has
-// no authority for upstreams.
-func TestGroupWithTLSIsNeverSentInTheClear(t *testing.T) {
+// TestGroupWithTLSIsNeverSentInPlaintext configures TLS for a group on an entry host that has
+// no certificate authority for upstreams.
+func TestGroupWithTLSIsNeverSentInPlaintext(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	document := f.document()
 	document.Groups[0].TLS.Enabled = true
@@ -382,6 +383,6 @@
 		t.Errorf("%s, outcome %s", resp.Status, resp.Header.Get("Dapplespindle-Outcome"))
 	}
 	if after := f.served(f.upstreams[0]); after != before {
-		t.Errorf("the upstream served %d more", after-before)
+		t.Errorf("the upstream served %d more requests", after-before)
 	}
 }
--- a/test/e2e/watcher_test.go
+++ b/test/e2e/watcher_test.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	watchEvery = 30 * time.Millisecond
-	rpcTimeout = time.Second
-	// knownBy is how many entry hosts must have had a revision in force for a
-	// host that starts afterwards to be held to it.
-	knownBy = 3
+	watchInterval = 30 * time.Millisecond
+	rpcTimeout    = time.Second
+	// minAppliedHosts is the number of entry hosts that must have applied a revision before a
+	// host that starts afterwards must not serve by an older one.
+	minAppliedHosts = 3
 )
 
-// watched is what the watcher saw of one entry host.
+// watched is what the watcher observed of one entry host.
 type watched struct {
 	entry       *entryHost
 	client      operatorv1.OperatorClient
 	incarnation int    // processes started so far
-	revision    uint64 // the newest in force in this incarnation
-	floor       uint64 // what this incarnation must not be below once it serves
+	revision    uint64 // the newest applied in this incarnation
+	floor       uint64 // the lowest revision by which this incarnation may serve
 	serves      bool
 }
 
-// watcher asks each entry host, over the operators' interface, which revision
-// of the ledger's document is in force, and holds that it never falls back.
+// watcher queries each entry host, over the operator API, for the current revision of the
+// ledger's document, and records each regression to an older one.
 type watcher struct {
-	fleet *fleet
-	mu    sync.Mutex
-	hosts []*watched
-	seen  int
-	fell  []string
+	fleet       *fleet
+	mu          sync.Mutex
+	hosts       []*watched
+	readings    int
+	regressions []string
 }
 
 func newWatcher(f *fleet) *watcher {
@@ -57,24 +57,24 @@
 	return w
 }
 
-// run watches until done.
+// run polls the entry hosts until done is closed.
 func (w *watcher) run(done <-chan struct{}) {
 	var wg sync.WaitGroup
 	for _, h := range w.hosts {
-		wg.Go(func() { every(done, watchEvery, func(int) { w.look(h) }) })
+		wg.Go(func() { every(done, watchInterval, func(int) { w.poll(h) }) })
 	}
 	wg.Wait()
 }
 
-// look takes one reading, unless the process was replaced meanwhile.
-func (w *watcher) look(h *watched) {
+// poll takes one reading and discards it if the process was replaced meanwhile.
+func (w *watcher) poll(h *watched) {
 	w.mu.Lock()
 	incarnation := h.incarnation
 	w.mu.Unlock()
 	if w.fleet.get("http://"+h.entry.admin+"/readyz") != nil {
 		return
 	}
-	revision, err := w.inForce(h)
+	revision, err := w.currentRevision(h)
 	if err != nil {
 		return
 	}
@@ -83,23 +83,23 @@
 	if h.incarnation != incarnation {
 		return
 	}
-	w.seen++
+	w.readings++
 	if least := max(h.floor, h.revision); revision < least {
-		w.fell = append(w.fell, fmt.Sprintf("%s, process %d: serves by revision %d after %d", h.entry.caller, incarnation, revision, least))
+		w.regressions = append(w.regressions, fmt.Sprintf("%s, process %d: serves by revision %d, but must not be below %d", h.entry.caller, incarnation, revision, least))
 	}
 	h.revision = max(h.revision, revision)
 	h.serves = true
 }
 
-func (w *watcher) inForce(h *watched) (uint64, error) {
+func (w *watcher) currentRevision(h *watched) (uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), rpcTimeout)
 	defer cancel()
 	resp, err := h.client.DescribeService(ctx, &operatorv1.DescribeServiceRequest{Name: "ledger"})
 	return resp.GetVersion().GetRevision(), err
 }
 
-// replace kills the process of entry host i and starts another, which is held
-// to what several of the others have in force by now.
+// replace kills the process of entry host i and starts another, which must not serve by an
+// older revision than several of the others have applied by now.
 func (w *watcher) replace(i int) {
 	h := w.hosts[i]
 	w.mu.Lock()
@@ -110,27 +110,27 @@
 	h.entry.kill()
 	w.mu.Lock()
 	h.incarnation++
-	h.floor = w.known()
+	h.floor = w.appliedRevision()
 	w.mu.Unlock()
 	w.fleet.restart(h.entry)
 }
 
-// known is the newest revision that knownBy hosts have in force.
-func (w *watcher) known() uint64 {
+// appliedRevision returns the newest revision that minAppliedHosts hosts have applied, or 0.
+func (w *watcher) appliedRevision() uint64 {
 	var all []uint64
 	for _, h := range w.hosts {
 		if h.serves {
 			all = append(all, h.revision)
 		}
 	}
-	if len(all) < knownBy {
+	if len(all) < minAppliedHosts {
 		return 0
 	}
 	slices.Sort(all)
-	return all[len(all)-knownBy]
+	return all[len(all)-minAppliedHosts]
 }
 
-// serving returns the places of the hosts that serve.
+// serving returns the indices of the hosts that serve.
 func (w *watcher) serving() []int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -150,7 +150,7 @@
 	return !slices.ContainsFunc(hosts, func(i int) bool { return !w.hosts[i].serves || w.hosts[i].revision < revision })
 }
 
-// anyHas reports whether some host serves by at least a revision.
+// anyHas reports whether any host serves by at least a revision.
 func (w *watcher) anyHas(revision uint64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -169,8 +169,8 @@
 	t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	t.Logf("%d readings of entry hosts that serve, %d fell back", w.seen, len(w.fell))
-	for _, f := range w.fell {
+	t.Logf("%d readings of serving entry hosts, %d regressions", w.readings, len(w.regressions))
+	for _, f := range w.regressions {
 		t.Error(f)
 	}
 }
