--- a/internal/httpwire/ahead_test.go
+++ b/internal/httpwire/ahead_test.go
@@ -80,7 +80,7 @@
 }
 
 // expectResponses reads the responses to requests from to to-1 and checks their order.
-func (c *testClient) expectResponses(t *testing.T, from, to int) (last *http.Response) {
+func (c *testCaller) expectResponses(t *testing.T, from, to int) (last *http.Response) {
 	t.Helper()
 	for i := from; i < to; i++ {
 		last, _ = c.readResponse(t, "GET")
@@ -91,7 +91,7 @@
 	return last
 }
 
-// TestPipelinedRequestsRunConcurrently checks that a client that sends several requests
+// TestPipelinedRequestsRunConcurrently checks that a caller that sends several requests
 // before the first response waits for the slowest of them, not for the sum.
 func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	is := is.New(t)
--- a/internal/httpwire/bench_test.go
+++ b/internal/httpwire/bench_test.go
@@ -10,7 +10,7 @@
 )
 
 // BenchmarkRequest measures one small request and its response on a warm connection.
-// The client side is included but does not allocate.
+// The caller side is included but does not allocate.
 func BenchmarkRequest(b *testing.B) {
 	resp := &Response{Status: http.StatusOK, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte("ok")}
 	s := NewServer(ServerConfig{
--- a/internal/httpwire/config.go
+++ b/internal/httpwire/config.go
@@ -10,7 +10,7 @@
 )
 
 // Handler serves one request. Serve runs on its own goroutine; ctx is cancelled
-// when the client's connection closes. Serve must return a response with a status.
+// when the caller's connection closes. Serve must return a response with a status.
 type Handler interface {
 	Serve(ctx context.Context, req *Request) *Response
 }
@@ -36,10 +36,10 @@
 	// MaxBodyBytes bounds a request body, in bytes.
 	MaxBodyBytes int
 	// MaxKeptBytes bounds the bytes of requests and responses held in memory for all
-	// connections: requests being received or served, and responses that clients have not
+	// connections: requests being received or served, and responses that callers have not
 	// read yet. Above it, new requests are refused. Default: 0, no limit.
 	MaxKeptBytes int64
-	// MaxConnections bounds the client connections; further ones are closed at once.
+	// MaxConnections bounds the caller connections; further ones are closed at once.
 	MaxConnections int
 	// HeadTimeout bounds the time from the first byte of a head to its last.
 	HeadTimeout time.Duration
@@ -49,7 +49,7 @@
 	WriteTimeout time.Duration
 	// IdleTimeout bounds the time for which a connection without a request stays open.
 	IdleTimeout time.Duration
-	// TLS is the configuration for client connections; nil serves without TLS.
+	// TLS is the configuration for caller connections; nil serves without TLS.
 	TLS *tls.Config
 	// HandshakeTimeout bounds the time from the connection to the end of its TLS handshake.
 	HandshakeTimeout time.Duration
@@ -64,7 +64,7 @@
 }
 
 // maxPipelinedBytes bounds the pipelined bytes that are buffered while a request
-// is served. If a client sends more, the connection is closed after the current
+// is served. If a caller sends more, the connection is closed after the current
 // response.
 const maxPipelinedBytes = 64 << 10
 
--- a/internal/httpwire/framing/framing.go
+++ b/internal/httpwire/framing/framing.go
@@ -41,7 +41,7 @@
 type Error struct {
 	// Fault is the rule that is violated.
 	Fault Fault
-	// Detail describes the violation, for logs and for the client.
+	// Detail describes the violation, for logs and for the caller.
 	Detail string
 }
 
--- a/internal/httpwire/guard.go
+++ b/internal/httpwire/guard.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// sendContinue sends 100 Continue to a client that waits for it before it sends its
+// sendContinue sends 100 Continue to a caller that waits for it before it sends its
 // body. Nothing else is being written then: earlier responses are complete.
 func (c *serverConn) sendContinue() {
 	head := c.scanner.Head()
@@ -113,7 +113,7 @@
 	return req, nil
 }
 
-// refusal maps a framing error to the error that the client gets.
+// refusal maps a framing error to the error that the caller gets.
 func refusal(err *framing.Error) *errkind.Error {
 	switch err.Fault {
 	case framing.HeadTooLarge:
@@ -137,14 +137,14 @@
 }
 
 const (
-	// lingerTimeout and lingerBytes bound how long bytes from the client are read and
+	// lingerTimeout and lingerBytes bound how long bytes from the caller are read and
 	// discarded. Closing at once could cause a reset that destroys the last response.
 	lingerTimeout = 2 * time.Second
 	lingerBytes   = 64 << 20
 )
 
-// linger shuts down the sending side of the connection and discards what the client
-// still sends, until the client closes as well or a bound is reached.
+// linger shuts down the sending side of the connection and discards what the caller
+// still sends, until the caller closes as well or a bound is reached.
 func (c *serverConn) linger() {
 	c.state = connClosing
 	c.buf = nil
@@ -195,7 +195,7 @@
 // onIdleTimeout closes an idle connection, unless a request has arrived that the event
 // loop has not read yet; that request is served. The state changes together with the
 // close: the kernel still delivers bytes received before, and a request read from
-// them must not be forwarded, since its client can't get a response.
+// them must not be forwarded, since its caller can't get a response.
 func (c *serverConn) onIdleTimeout() {
 	if !socket.Quiet(c.conn) {
 		c.timer.set(clock.Now(), unreadRetryInterval, c.onTimer)
--- a/internal/httpwire/harness_test.go
+++ b/internal/httpwire/harness_test.go
@@ -54,13 +54,13 @@
 	return s
 }
 
-// testClient is a raw client connection.
-type testClient struct {
+// testCaller is a raw caller connection.
+type testCaller struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func dial(t *testing.T, s *Server) *testClient {
+func dial(t *testing.T, s *Server) *testCaller {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
@@ -68,11 +68,11 @@
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(testWait))
-	return &testClient{conn, bufio.NewReader(conn)}
+	return &testCaller{conn, bufio.NewReader(conn)}
 }
 
 // readResponse reads one response and its complete body.
-func (c *testClient) readResponse(t *testing.T, method string) (*http.Response, []byte) {
+func (c *testCaller) readResponse(t *testing.T, method string) (*http.Response, []byte) {
 	t.Helper()
 	resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
 	if err != nil {
@@ -85,7 +85,7 @@
 	return resp, body
 }
 
-func (c *testClient) send(t *testing.T, s string) {
+func (c *testCaller) send(t *testing.T, s string) {
 	t.Helper()
 	if _, err := io.WriteString(c, s); err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 }
 
 // atEOF reports whether the server has closed its sending side.
-func (c *testClient) atEOF() bool {
+func (c *testCaller) atEOF() bool {
 	_, err := c.r.ReadByte()
 	return err == io.EOF
 }
--- a/internal/httpwire/idle_test.go
+++ b/internal/httpwire/idle_test.go
@@ -34,7 +34,7 @@
 const getRequest = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 
 // TestNothingIsServedAfterTheIdleClose checks that a request which the kernel delivers
-// after the close of an idle connection is not served: its client can't get a response.
+// after the close of an idle connection is not served: its caller can't get a response.
 func TestNothingIsServedAfterTheIdleClose(t *testing.T) {
 	is := is.New(t)
 	var served atomic.Int64
@@ -60,15 +60,15 @@
 			is := is.New(t)
 			var served atomic.Int64
 			s := startServer(t, echo(&served), nil)
-			client := dial(t, s)
+			caller := dial(t, s)
 			c := waitForConn(t, s)
 			release := stall(t, s)
-			_, err := client.Write([]byte(getRequest))
+			_, err := caller.Write([]byte(getRequest))
 			is.NoErr(err)
 			time.Sleep(20 * time.Millisecond) // until the kernel has received it
 			end(c)
 			release()
-			resp, _ := client.readResponse(t, "GET")
+			resp, _ := caller.readResponse(t, "GET")
 			is.Equal(resp.StatusCode, 200)
 			is.Equal(served.Load(), int64(1))
 		})
@@ -83,9 +83,9 @@
 	before := len(s.conns)
 	s.mu.Unlock()
 	const enough = 64 // to cover every loop: connections are assigned by file descriptor
-	var clients []*testClient
+	var callers []*testCaller
 	for range enough {
-		clients = append(clients, dial(t, s))
+		callers = append(callers, dial(t, s))
 	}
 	var locked []*serverConn
 	for end := time.Now().Add(testWait); s.Connections() < before+enough; time.Sleep(time.Millisecond) {
@@ -94,8 +94,8 @@
 		}
 	}
 	remote := make(map[string]bool)
-	for _, client := range clients {
-		remote[client.LocalAddr().String()] = true
+	for _, caller := range callers {
+		remote[caller.LocalAddr().String()] = true
 	}
 	s.mu.Lock()
 	for c := range s.conns {
@@ -107,8 +107,8 @@
 	for _, c := range locked {
 		c.mu.Lock()
 	}
-	for _, client := range clients {
-		if _, err := client.Write([]byte("G")); err != nil {
+	for _, caller := range callers {
+		if _, err := caller.Write([]byte("G")); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/httpwire/memory.go
+++ b/internal/httpwire/memory.go
@@ -2,7 +2,7 @@
 
 import "github.com/dapplespindle/dapplespindle/pkg/errkind"
 
-// This file bounds the memory used for requests and responses. Clients may send and read
+// This file bounds the memory used for requests and responses. Callers may send and read
 // slowly, and a host may have little memory: without a bound, buffered bytes could exhaust
 // the memory and end the process, which would abort all other requests.
 
--- a/internal/httpwire/memory_test.go
+++ b/internal/httpwire/memory_test.go
@@ -58,7 +58,7 @@
 	s := startLimitedServer(t, echo(&served))
 	head := "POST /up HTTP/1.1\r\nHost: a\r\nContent-Length: " + strconv.Itoa(6<<20) + "\r\n\r\n"
 	half := strings.Repeat("x", 3<<20)
-	var slow []*testClient
+	var slow []*testCaller
 	for range 2 {
 		c := dial(t, s)
 		c.send(t, head+half)
--- a/internal/httpwire/message.go
+++ b/internal/httpwire/message.go
@@ -1,4 +1,4 @@
-// Package httpwire implements the HTTP/1.x server that faces clients, and the
+// Package httpwire implements the HTTP/1.x server that faces callers, and the
 // encoding of requests to upstreams.
 //
 // The event loop and the parser come from nbhttp. Each connection checks the
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Request is a complete request as received from a client.
+// Request is a complete request as received from a caller.
 type Request struct {
 	// Method is the HTTP method in upper case.
 	Method string
@@ -22,13 +22,13 @@
 	Target string
 	// Path is the decoded path of Target.
 	Path string
-	// Host is the Host header; empty if an HTTP/1.0 client sent none.
+	// Host is the Host header; empty if an HTTP/1.0 caller sent none.
 	Host string
 	// Header holds the remaining headers in canonical form.
 	Header http.Header
 	// Body is the complete body. It must not be modified.
 	Body []byte
-	// RemoteAddr is the client's address.
+	// RemoteAddr is the caller's address.
 	RemoteAddr string
 	// Received is when the last byte of the request arrived.
 	Received time.Time
--- a/internal/httpwire/pipeline.go
+++ b/internal/httpwire/pipeline.go
@@ -4,7 +4,7 @@
 // connection concurrently. Their responses keep the order of the requests.
 type Ahead interface {
 	// MayRunAhead reports whether req may run while earlier requests of its connection
-	// are running. If a connection ends, its client resends every request without a
+	// are running. If a connection ends, its caller resends every request without a
 	// response, so MayRunAhead must be true only for requests that may run twice.
 	MayRunAhead(req *Request) bool
 }
@@ -28,8 +28,8 @@
 // startPipelined starts the buffered requests that may run concurrently with those in
 // flight. It reports whether it started any.
 //
-// Without this, a client that sends the next request before it has the response waits
-// for the sum of both service times. With clients that did so, 300 ms of work for each
+// Without this, a caller that sends the next request before it has the response waits
+// for the sum of both service times. With callers that did so, 300 ms of work for each
 // request and a latency target of 800 ms, 7.2% of 7,993 requests were late in
 // undisturbed seconds. A fifth of those were late by the host's own measurement too,
 // which begins when a request is parsed.
--- a/internal/httpwire/pipelining_test.go
+++ b/internal/httpwire/pipelining_test.go
@@ -61,7 +61,7 @@
 	is.Equal(served.Load(), int64(1))
 }
 
-// overflowed reports whether the client has pipelined more than is buffered.
+// overflowed reports whether the caller has pipelined more than is buffered.
 func (c *serverConn) overflowed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +77,7 @@
 
 // testNextRequestDuringResponse uses connections that open makes to s, which must
 // echo request bodies.
-func testNextRequestDuringResponse(t *testing.T, s *Server, open func(*testing.T, *Server) *testClient) {
+func testNextRequestDuringResponse(t *testing.T, s *Server, open func(*testing.T, *Server) *testCaller) {
 	whole := strings.Repeat("0123456789abcdef", testMaxBody/16)
 	post := func(body string) string {
 		return "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -16,7 +16,7 @@
 	"github.com/dapplespindle/dapplespindle/pkg/errkind"
 )
 
-// Server is an HTTP/1.x server for client connections.
+// Server is an HTTP/1.x server for caller connections.
 type Server struct {
 	conf      ServerConfig
 	engine    socket.Engine
@@ -36,7 +36,7 @@
 // without a response. serverConn has its own timers and responds before it closes.
 const noTimeout = 100 * 365 * 24 * time.Hour
 
-// Limits bounds what a client may send on one connection. It can change while the
+// Limits bounds what a caller may send on one connection. It can change while the
 // server runs.
 type Limits struct {
 	// HeadBytes and BodyBytes bound a request, in bytes.
@@ -93,7 +93,7 @@
 
 // Start opens the listener and begins to serve.
 func (s *Server) Start() error {
-	return errors.Wrap(s.engine.Start(), "start client listener")
+	return errors.Wrap(s.engine.Start(), "start caller listener")
 }
 
 // Addr returns the address that the server listens on. It is valid after Start.
@@ -103,7 +103,7 @@
 // written yet.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Connections returns the number of open client connections.
+// Connections returns the number of open caller connections.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +120,7 @@
 const shutdownPollInterval = 5 * time.Millisecond
 
 // Drain begins a graceful shutdown: connections are still accepted, but every
-// response from now on carries "Connection: close", so that clients reconnect
+// response from now on carries "Connection: close", so that callers reconnect
 // elsewhere.
 func (s *Server) Drain() { s.stopping.Store(true) }
 
--- a/internal/httpwire/server_test.go
+++ b/internal/httpwire/server_test.go
@@ -39,7 +39,7 @@
 }
 
 // checkRefusals sends the refusals over connections made by connect.
-func checkRefusals(t *testing.T, connect func(*testing.T, *Server) *testClient, change func(*ServerConfig)) {
+func checkRefusals(t *testing.T, connect func(*testing.T, *Server) *testCaller, change func(*ServerConfig)) {
 	var served atomic.Int64
 	s := startServer(t, echo(&served), change)
 	for name, test := range refusals {
@@ -58,7 +58,7 @@
 	is.New(t).Equal(served.Load(), int64(0))
 }
 
-func TestRefusalIsReadWhileTheClientStillSends(t *testing.T) {
+func TestRefusalIsReadWhileTheCallerStillSends(t *testing.T) {
 	is := is.New(t)
 	var served atomic.Int64
 	s := startServer(t, echo(&served), nil)
--- a/internal/httpwire/serverconn.go
+++ b/internal/httpwire/serverconn.go
@@ -15,7 +15,7 @@
 	"github.com/dapplespindle/dapplespindle/internal/httpwire/socket"
 )
 
-// connState is the state of a client connection.
+// connState is the state of a caller connection.
 type connState uint8
 
 const (
@@ -35,7 +35,7 @@
 	connHandshake
 )
 
-// serverConn is a client connection. It implements nbhttp.ParserCloser, so that
+// serverConn is a caller connection. It implements nbhttp.ParserCloser, so that
 // the event loop passes it the received bytes, and it holds the library's parser.
 //
 // The library's functions are excluded from the race detector, so it can't be
@@ -179,7 +179,7 @@
 	c.overflow = len(c.pipelined) > c.pipelineLimit()
 }
 
-// pipelineLimit is how much bufferPipelined accepts, in bytes. A client may have read
+// pipelineLimit is how much bufferPipelined accepts, in bytes. A caller may have read
 // the whole response, and have sent its next request, before onResponseWritten is
 // called. As the response left the connection open, a complete request must fit:
 // without that, 11 of 384 runs of three consecutive 8 MB bodies under other load were
--- a/internal/httpwire/tls.go
+++ b/internal/httpwire/tls.go
@@ -28,7 +28,7 @@
 	}
 	switch {
 	case c.state == connClosing || c.state == connClosed:
-		return false // closed by the timeout, a shutdown or the client
+		return false // closed by the timeout, a shutdown or the caller
 	case c.state != connHandshake:
 		socket.End(c.conn)
 		return false
@@ -50,7 +50,7 @@
 }
 
 // refuseHandshake closes the connection after a failed handshake, whose alert has
-// already been sent. A client that speaks plain HTTP gets an HTTP response.
+// already been sent. A caller that speaks plain HTTP gets an HTTP response.
 func (c *serverConn) refuseHandshake(err error) {
 	if isPlainHTTP(err) {
 		resp := c.server.conf.Refuse(c.remote, errkind.New(errkind.BadRequest, "plain HTTP on a port for TLS"))
@@ -64,7 +64,7 @@
 	c.linger()
 }
 
-// isPlainHTTP reports whether the handshake failed because the client sent an HTTP
+// isPlainHTTP reports whether the handshake failed because the caller sent an HTTP
 // request line instead of a TLS record.
 func isPlainHTTP(err error) bool {
 	var header tls.RecordHeaderError
--- a/internal/httpwire/tls_bench_test.go
+++ b/internal/httpwire/tls_bench_test.go
@@ -107,7 +107,7 @@
 }
 
 // BenchmarkLatency sends one request to each target in turn and reports latency
-// quantiles for each. The client's encryption is included.
+// quantiles for each. The caller's encryption is included.
 func BenchmarkLatency(b *testing.B) {
 	targets := benchTargets(b)
 	took := make([][]time.Duration, len(targets))
@@ -134,8 +134,8 @@
 	}
 }
 
-// BenchmarkHandshakes makes connections with one request each, from as many clients
-// as processors; clients and server share the processors.
+// BenchmarkHandshakes makes connections with one request each, from as many callers
+// as processors; callers and server share the processors.
 func BenchmarkHandshakes(b *testing.B) {
 	for _, t := range benchTargets(b) {
 		b.Run(t.name, func(b *testing.B) {
@@ -151,7 +151,7 @@
 }
 
 // BenchmarkIdleMemory reports the server's memory for an idle connection after one
-// request: the clients retain only their sockets.
+// request: the callers retain only their sockets.
 func BenchmarkIdleMemory(b *testing.B) {
 	const connections = 2000
 	targets := benchTargets(b)
--- a/internal/httpwire/tls_test.go
+++ b/internal/httpwire/tls_test.go
@@ -39,7 +39,7 @@
 func (s *tlsSetup) set(c *ServerConfig) { c.TLS = s.server }
 
 // dial makes a connection and completes the handshake.
-func (s *tlsSetup) dial(t *testing.T, server *Server) *testClient {
+func (s *tlsSetup) dial(t *testing.T, server *Server) *testCaller {
 	t.Helper()
 	conn, err := tls.Dial("tcp", server.Addr(), s.client)
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(testWait))
-	return &testClient{conn, bufio.NewReader(conn)}
+	return &testCaller{conn, bufio.NewReader(conn)}
 }
 
 func TestRefusalsOverTLS(t *testing.T) {
@@ -242,15 +242,15 @@
 	}
 }
 
-// TestBytesAfterTheHandshake sends a request right after the client's last handshake
-// message, in many TLS records, from several clients at once.
+// TestBytesAfterTheHandshake sends a request right after the caller's last handshake
+// message, in many TLS records, from several callers at once.
 func TestBytesAfterTheHandshake(t *testing.T) {
 	var served atomic.Int64
 	sec := newTLSSetup(t)
 	s := startServer(t, echo(&served), sec.set)
-	const clients, size = 16, 300 << 10
-	for range clients {
-		t.Run("client", func(t *testing.T) {
+	const callers, size = 16, 300 << 10
+	for range callers {
+		t.Run("caller", func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			c := sec.dial(t, s)
