--- a/internal/proxy/customer.go
+++ b/internal/proxy/customer.go
@@ -54,7 +54,7 @@
 		return x.unknownKey(len(keys))
 	}
 	if x.proxy.keysKnown != nil && !x.proxy.keysKnown() {
-		return errkind.New(errkind.NotReady, "customer keys on this host may be out of date")
+		return errkind.New(errkind.NotReady, "keys may have been revoked unknown to this host")
 	}
 	key := config.DigestKey(keys[0])
 	c := t.Customers.ByKey(key)
@@ -77,9 +77,9 @@
 	case 0:
 		return errkind.New(errkind.UnknownKey, "no key")
 	case 1:
-		return errkind.New(errkind.UnknownKey, "unknown key")
+		return errkind.New(errkind.UnknownKey, "the key is not known")
 	}
-	return errkind.New(errkind.UnknownKey, "more than one key")
+	return errkind.New(errkind.UnknownKey, "several keys")
 }
 
 // checkKeyValid returns an error if, while the request waited, its key was revoked or
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -134,14 +134,14 @@
 		return nil
 	}
 	if resp.Header.Get("Content-Encoding") != "" {
-		return errkind.New(errkind.UpstreamBroken, "response body is encoded")
+		return errkind.New(errkind.UpstreamBroken, "encoded body")
 	}
 	success := resp.Status < http.StatusMultipleChoices
 	if success && resp.Header.Get(d.Signature) == "" {
-		return errkind.New(errkind.UpstreamBroken, "success response without signature")
+		return errkind.New(errkind.UpstreamBroken, "success without signature")
 	}
 	if impliesNotRun(resp.Status) {
-		return errkind.New(errkind.UpstreamBroken, "status "+strconv.Itoa(resp.Status)+" without a declaration that the request was not run")
+		return errkind.New(errkind.UpstreamBroken, "status "+strconv.Itoa(resp.Status)+" without a declaration that it was not run")
 	}
 	return nil
 }
--- a/internal/proxy/poison.go
+++ b/internal/proxy/poison.go
@@ -157,7 +157,7 @@
 	if x.quarantineLeft() == 0 {
 		return nil
 	}
-	return errkind.New(errkind.Quarantined, "upstreams crashed while running this request")
+	return errkind.New(errkind.Quarantined, "upstreams ended while they ran it")
 }
 
 // isSuspect reports whether an upstream crashed while running the request.
--- a/internal/proxy/upstreams.go
+++ b/internal/proxy/upstreams.go
@@ -36,7 +36,7 @@
 	Resuming() bool
 }
 
-const resumingDetail = "resuming after a pause"
+const resumingDetail = "waking from a pause"
 
 // WithUpstreams checks each send against u and reports to it.
 func WithUpstreams(u Upstreams) Option { return func(p *Proxy) { p.upstreams = u } }
