--- a/internal/loadgen/ranking.go
+++ b/internal/loadgen/ranking.go
@@ -75,7 +75,7 @@
 	var out []RankingResult
 	for _, slow := range []bool{false, true} {
 		for _, s := range conf.Services {
-			out = append(out, RankingResult{Service: s, Slowdowns: slow, Latency: newLatencyHistogram()})
+			out = append(out, RankingResult{Service: s, Slowdowns: slow, Latency: newRankingHistogram()})
 		}
 	}
 	for round := range conf.Rounds {
@@ -88,6 +88,10 @@
 	return out, nil
 }
 
+func newRankingHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxLatencyMicros, significantFigures)
+}
+
 // measureService measures one service for one round. All services of a round get the
 // same arrivals and slowdowns.
 func (c RankingConfig) measureService(ctx context.Context, r *RankingResult, seed uint64) error {
@@ -122,7 +126,7 @@
 }
 
 func (r *RankingResult) addReport(report *Report) {
-	h := newLatencyHistogram()
+	h := newRankingHistogram()
 	for _, s := range report.ByTarget {
 		h.Merge(s.Latency)
 		r.Failed += s.Errors
