--- a/pkg/plan/explain.go
+++ b/pkg/plan/explain.go
@@ -52,7 +52,7 @@
 func explainGroup(old, g *config.Group) []string {
 	var out []string
 	if old.Policy != g.Policy {
-		out = append(out, fmt.Sprintf("group %s uses balancer policy %s instead of %s; the statistics of its upstreams are reset", g.Name, g.Policy, old.Policy))
+		out = append(out, fmt.Sprintf("group %s chooses by policy %s instead of %s; what was learnt of its upstreams starts afresh", g.Name, g.Policy, old.Policy))
 	}
 	if old.Probe != g.Probe {
 		out = append(out, fmt.Sprintf("group %s: probes may take %g%% of an upstream's slot time over the fleet, instead of %g%%", g.Name, g.Probe.SlotTimePercent, old.Probe.SlotTimePercent))
@@ -61,7 +61,7 @@
 		out = append(out, tlsText(g))
 	}
 	if old.Queue != g.Queue {
-		out = append(out, fmt.Sprintf("group %s: %d requests may be queued on each entry host, instead of %d; more are refused as overloaded", g.Name, g.Queue.MaxWaiting, old.Queue.MaxWaiting))
+		out = append(out, fmt.Sprintf("group %s: %d requests may wait on each entry host, instead of %d; more are refused as overloaded", g.Name, g.Queue.MaxWaiting, old.Queue.MaxWaiting))
 	}
 	if old.SlowStart != g.SlowStart {
 		out = append(out, fmt.Sprintf("group %s: a new upstream reaches its full share after %s", g.Name, g.SlowStart.Std()))
@@ -73,9 +73,9 @@
 func tlsText(g *config.Group) string {
 	switch {
 	case !g.TLS.Enabled:
-		return fmt.Sprintf("group %s: its upstreams are reached without TLS", g.Name)
+		return fmt.Sprintf("group %s: its upstreams are reached in the clear, without TLS", g.Name)
 	case g.TLS.ServerName != "":
-		return fmt.Sprintf("group %s: its upstreams are reached by TLS and must present a certificate for %s; entry hosts without --upstream-tls-ca refuse its requests", g.Name, g.TLS.ServerName)
+		return fmt.Sprintf("group %s: its upstreams are reached by TLS and must show a certificate for %s; entry hosts without --upstream-tls-ca refuse its requests", g.Name, g.TLS.ServerName)
 	default:
 		return fmt.Sprintf("group %s: its upstreams are reached by TLS; entry hosts without --upstream-tls-ca refuse its requests", g.Name)
 	}
@@ -110,13 +110,13 @@
 		out = append(out, fmt.Sprintf("upstream %s is reached at %s instead of %s", u.ID, u.Address, old.Address))
 	}
 	if old.Slots != u.Slots {
-		out = append(out, fmt.Sprintf("upstream %s has %d slots instead of %d", u.ID, u.Slots, old.Slots))
+		out = append(out, fmt.Sprintf("upstream %s is taken to serve %d requests at once instead of %d", u.ID, u.Slots, old.Slots))
 	}
 	if old.MaxConnections != u.MaxConnections {
 		out = append(out, fmt.Sprintf("upstream %s gets at most %d connections over all entry hosts instead of %d", u.ID, u.MaxConnections, old.MaxConnections))
 	}
 	if old.FailureDomain != u.FailureDomain {
-		out = append(out, fmt.Sprintf("upstream %s belongs to failure domain %s instead of %s", u.ID, u.FailureDomain, old.FailureDomain))
+		out = append(out, fmt.Sprintf("upstream %s counts to failure domain %s instead of %s", u.ID, u.FailureDomain, old.FailureDomain))
 	}
 	return out
 }
--- a/pkg/plan/explain_rules.go
+++ b/pkg/plan/explain_rules.go
@@ -44,7 +44,7 @@
 		out = append(out, fmt.Sprintf("rule %s sends to group %s instead of %s", r.Name, r.Group, old.Group))
 	}
 	if old.Deadline != r.Deadline {
-		out = append(out, fmt.Sprintf("rule %s has a deadline of %s instead of %s when the caller sets none", r.Name, r.Deadline.Std(), old.Deadline.Std()))
+		out = append(out, fmt.Sprintf("rule %s answers within %s instead of %s when the caller sets no deadline", r.Name, r.Deadline.Std(), old.Deadline.Std()))
 	}
 	if old.Priority != r.Priority {
 		out = append(out, fmt.Sprintf("rule %s has priority %s instead of %s when upstreams are short of slots", r.Name, r.Priority, old.Priority))
@@ -60,12 +60,12 @@
 }
 
 func retryText(r *config.Rule) string {
-	s := fmt.Sprintf("rule %s may send a request %d times, retries and hedges within %g%% of first attempts", r.Name, r.Retry.MaxAttempts, r.Retry.BudgetPercent)
+	s := fmt.Sprintf("rule %s may send a request %d times, extra sends within %g%%", r.Name, r.Retry.MaxAttempts, r.Retry.BudgetPercent)
 	if r.Retry.HedgeAfter > 0 {
-		s += fmt.Sprintf(", a hedge after %s without a response", r.Retry.HedgeAfter.Std())
+		s += fmt.Sprintf(", a second one after %s without an answer", r.Retry.HedgeAfter.Std())
 	}
 	if r.Retry.Hedge == config.HedgeOff {
-		s += ", no hedges"
+		s += ", no second one while the first is in flight"
 	}
 	return s
 }
--- a/pkg/plan/warn.go
+++ b/pkg/plan/warn.go
@@ -65,7 +65,7 @@
 		return nil
 	}
 	if was := activeCount(&before.Groups[i]); active*2 < was {
-		return []string{fmt.Sprintf("group %s shrinks from %d active upstreams to %d in one step", g.Name, was, active)}
+		return []string{fmt.Sprintf("group %s falls from %d active upstreams to %d in one step", g.Name, was, active)}
 	}
 	return nil
 }
