--- a/pkg/backoff/header.go
+++ b/pkg/backoff/header.go
@@ -15,7 +15,7 @@
 
 // ErrInvalidDuration is returned for a backoff that is not a valid number. Its text is written
 // to the details of events.
-var ErrInvalidDuration = errors.New("time of rest is no number of seconds")
+var ErrInvalidDuration = errors.New("requested backoff is not a valid number")
 
 // ParseSeconds parses a backoff in seconds, which may have a fraction. A value above
 // MaxDuration is reduced to it, and an empty value asks for no backoff. Any other value that
--- a/pkg/ratelimit/parse.go
+++ b/pkg/ratelimit/parse.go
@@ -10,7 +10,7 @@
 
 // ErrInvalidLimit is returned for a limit that is not a valid number of requests a second. Its
 // text is written to the details of events.
-var ErrInvalidLimit = errors.New("limit is no number of requests a second")
+var ErrInvalidLimit = errors.New("limit is not a valid number of requests per second")
 
 // Kind is what a response announces about the limit of the upstream.
 type Kind uint8
