--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -176,12 +176,12 @@
 		proxy.WithKeysKnown(g.keysKnown),
 	)
 	g.server = httpwire.NewServer(httpwire.ServerConfig{
-		Address:      g.conf.Listen,
-		MaxBodyBytes: maxRequestBytes,
-		MaxKeptBytes: g.conf.MemoryBytes / keptPart,
-		BodyTimeout:  bodyTimeout,
-		Handler:      g.proxy,
-		Refuse:       g.proxy.RefuseUnread,
+		Address:          g.conf.Listen,
+		MaxBodyBytes:     maxRequestBytes,
+		MaxBufferedBytes: g.conf.MemoryBytes / keptPart,
+		BodyTimeout:      bodyTimeout,
+		Handler:          g.proxy,
+		Refuse:           g.proxy.RefuseUnread,
 	})
 }
 
--- a/internal/httpwire/ahead_test.go
+++ b/internal/httpwire/ahead_test.go
@@ -27,7 +27,7 @@
 	return &gatedHandler{started: make(map[string]bool), cancelled: make(map[string]bool), release: make(map[string]chan struct{})}
 }
 
-func (g *gatedHandler) MayRunAhead(req *Request) bool { return req.Method == http.MethodGet }
+func (g *gatedHandler) AllowConcurrent(req *Request) bool { return req.Method == http.MethodGet }
 
 func (g *gatedHandler) gate(path string) chan struct{} {
 	g.mu.Lock()
--- a/internal/httpwire/config.go
+++ b/internal/httpwire/config.go
@@ -35,10 +35,10 @@
 	MaxHeadBytes int
 	// MaxBodyBytes bounds a request body, in bytes.
 	MaxBodyBytes int
-	// MaxKeptBytes bounds the bytes of requests and responses held in memory for all
+	// MaxBufferedBytes bounds the bytes of requests and responses held in memory for all
 	// connections: requests being received or served, and responses that callers have not
 	// read yet. Above it, new requests are refused. Default: 0, no limit.
-	MaxKeptBytes int64
+	MaxBufferedBytes int64
 	// MaxConnections bounds the caller connections; further ones are closed at once.
 	MaxConnections int
 	// HeadTimeout bounds the time from the first byte of a head to its last.
--- a/internal/httpwire/framing/framing.go
+++ b/internal/httpwire/framing/framing.go
@@ -64,9 +64,9 @@
 	Chunked bool
 	// UntilClose is true when the body of a response ends with the connection.
 	UntilClose bool
-	// KeepAliveFor is the idle timeout that the peer announces in Keep-Alive, in
+	// KeepAliveSeconds is the idle timeout that the peer announces in Keep-Alive, in
 	// seconds; 0 if it announces none.
-	KeepAliveFor int
+	KeepAliveSeconds int
 	// Close and KeepAlive are the options of the Connection header.
 	Close, KeepAlive bool
 	// ExpectContinue is true when the sender waits for 100 Continue.
--- a/internal/httpwire/framing/header.go
+++ b/internal/httpwire/framing/header.go
@@ -27,7 +27,7 @@
 	case equalFold(name, "connection"):
 		s.connection(value)
 	case equalFold(name, "keep-alive"):
-		s.head.KeepAliveFor = keepAliveTimeout(value)
+		s.head.KeepAliveSeconds = keepAliveTimeout(value)
 	case s.kind != kindRequest:
 	case equalFold(name, "host"):
 		return s.host(value)
--- a/internal/httpwire/framing/scanner.go
+++ b/internal/httpwire/framing/scanner.go
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// untilClose counts everything received as body; Closed ends the message.
+// untilClose counts everything received as body; PeerClosed ends the message.
 func (s *Scanner) untilClose(buf []byte) *Error {
 	s.pos = len(buf)
 	s.body = len(buf) - s.head.Bytes
@@ -216,9 +216,9 @@
 	return nil
 }
 
-// Closed tells s that the peer has closed the connection in an orderly way. It
+// PeerClosed tells s that the peer has closed the connection in an orderly way. It
 // reports whether that completes the message.
-func (s *Scanner) Closed() bool {
+func (s *Scanner) PeerClosed() bool {
 	if s.stage != stageUntilClose {
 		return false
 	}
--- a/internal/httpwire/guard.go
+++ b/internal/httpwire/guard.go
@@ -183,7 +183,7 @@
 	case connIdle:
 		c.onIdleTimeout()
 	case connClosing, connHandshake:
-		socket.End(c.conn)
+		socket.Shutdown(c.conn)
 	}
 }
 
@@ -197,10 +197,10 @@
 // close: the kernel still delivers bytes received before, and a request read from
 // them must not be forwarded, since its caller can't get a response.
 func (c *serverConn) onIdleTimeout() {
-	if !socket.Quiet(c.conn) {
+	if !socket.NoUnreadData(c.conn) {
 		c.timer.set(clock.Now(), unreadRetryInterval, c.onTimer)
 		return
 	}
 	c.state = connClosing
-	socket.End(c.conn)
+	socket.Shutdown(c.conn)
 }
--- a/internal/httpwire/memory.go
+++ b/internal/httpwire/memory.go
@@ -12,7 +12,7 @@
 
 // memoryExceeded reports whether the buffered bytes exceed the memory limit.
 func (s *Server) memoryExceeded() bool {
-	limit := s.conf.MaxKeptBytes
+	limit := s.conf.MaxBufferedBytes
 	return limit > 0 && s.buffered.Load() > limit
 }
 
--- a/internal/httpwire/memory_test.go
+++ b/internal/httpwire/memory_test.go
@@ -15,7 +15,7 @@
 const testMaxBuffered = 8 << 20
 
 func startLimitedServer(t *testing.T, h Handler) *Server {
-	return startServer(t, h, func(c *ServerConfig) { c.MaxKeptBytes = testMaxBuffered })
+	return startServer(t, h, func(c *ServerConfig) { c.MaxBufferedBytes = testMaxBuffered })
 }
 
 func eventually(t *testing.T, what string, ok func() bool) {
--- a/internal/httpwire/message.go
+++ b/internal/httpwire/message.go
@@ -32,9 +32,9 @@
 	RemoteAddr string
 	// Received is when the last byte of the request arrived.
 	Received time.Time
-	// Once is true for a request that must not be resent once it may have
+	// NonRepeatable is true for a request that must not be resent once it may have
 	// reached an upstream. It is only sent on a connection known to be alive.
-	Once bool
+	NonRepeatable bool
 
 	minor     int
 	keepAlive bool
--- a/internal/httpwire/pipeline.go
+++ b/internal/httpwire/pipeline.go
@@ -1,12 +1,12 @@
 package httpwire
 
-// Ahead is implemented by a Handler that can serve several pipelined requests of one
+// ConcurrentHandler is a Handler that can serve several pipelined requests of one
 // connection concurrently. Their responses keep the order of the requests.
-type Ahead interface {
-	// MayRunAhead reports whether req may run while earlier requests of its connection
+type ConcurrentHandler interface {
+	// AllowConcurrent reports whether req may run while earlier requests of its connection
 	// are running. If a connection ends, its caller resends every request without a
-	// response, so MayRunAhead must be true only for requests that may run twice.
-	MayRunAhead(req *Request) bool
+	// response, so AllowConcurrent must be true only for requests that may run twice.
+	AllowConcurrent(req *Request) bool
 }
 
 // maxConcurrentPipelined bounds the requests of one connection that run concurrently.
@@ -39,7 +39,7 @@
 		if req == nil {
 			return started
 		}
-		if !c.server.pipeliner.MayRunAhead(req) {
+		if !c.server.pipeliner.AllowConcurrent(req) {
 			c.pending = req
 			return started
 		}
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -26,7 +26,7 @@
 	stopping  atomic.Bool
 	limits    atomic.Pointer[Limits]
 	workers   workerPool
-	pipeliner Ahead // nil if the requests of a connection are served one by one
+	pipeliner ConcurrentHandler // nil if the requests of a connection are served one by one
 
 	mu    sync.Mutex
 	conns map[*serverConn]struct{}
@@ -60,7 +60,7 @@
 	conf = conf.withDefaults()
 	s := &Server{conf: conf, conns: make(map[*serverConn]struct{})}
 	s.workers.serve = s.serve
-	s.pipeliner, _ = conf.Handler.(Ahead)
+	s.pipeliner, _ = conf.Handler.(ConcurrentHandler)
 	s.SetLimits(Limits{
 		HeadBytes:   conf.MaxHeadBytes,
 		BodyBytes:   conf.MaxBodyBytes,
@@ -199,7 +199,7 @@
 	c.beginResponse(req, s.stopping.Load())
 	if err := c.writeResponse(req, resp); err != nil {
 		c.abandon()
-		socket.End(c.conn)
+		socket.Shutdown(c.conn)
 		return
 	}
 	c.onResponseWritten(req)
--- a/internal/httpwire/serverconn.go
+++ b/internal/httpwire/serverconn.go
@@ -155,7 +155,7 @@
 func (c *serverConn) CloseAndClean(err error) {
 	c.cancel()
 	if c.tls != nil {
-		c.tls.Ended()
+		c.tls.ConnClosed()
 	}
 	c.server.removeConn(c)
 	c.mu.Lock()
@@ -202,7 +202,7 @@
 func (c *serverConn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state == connHandshake || c.state == connIdle && socket.Quiet(c.conn) {
+	if c.state == connHandshake || c.state == connIdle && socket.NoUnreadData(c.conn) {
 		c.linger()
 	}
 	return c.state == connClosing || c.state == connClosed
--- a/internal/httpwire/socket/read.go
+++ b/internal/httpwire/socket/read.go
@@ -8,13 +8,13 @@
 	"github.com/lesismal/nbio"
 )
 
-// Ender is a session that needs to know whether the peer closed its connection in an
+// EOFHandler is a session that needs to know whether the peer closed its connection in an
 // orderly way. The event loop does not tell: it reports "end of file" also for a reset
 // that arrives together with the last bytes or before anything was read.
-type Ender interface {
-	// ReadsOn reports whether to read again after a short read, to detect an end of
+type EOFHandler interface {
+	// ReadUntilEOF reports whether to read again after a short read, to detect an end of
 	// file that has already arrived.
-	ReadsOn() bool
+	ReadUntilEOF() bool
 	// EndOfFile is called on the event loop when the peer has closed the connection in
 	// an orderly way.
 	EndOfFile()
@@ -25,7 +25,7 @@
 
 var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
 
-// OnRead reads what has arrived and notifies an Ender of an orderly end. It replaces
+// OnRead reads what has arrived and notifies an EOFHandler of an orderly end. It replaces
 // the event loop's own reading: register it with nbio.Engine.OnRead.
 func OnRead(nc *nbio.Conn) {
 	buf := readBuffers.Get().(*[readBufferSize]byte)
@@ -35,7 +35,7 @@
 		if n > 0 {
 			nc.DataHandler()(nc, buf[:n])
 		}
-		session, _ := nc.Session().(Ender)
+		session, _ := nc.Session().(EOFHandler)
 		switch {
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
@@ -48,7 +48,7 @@
 				session.EndOfFile()
 			}
 			return // the loop closes it
-		case n < readBufferSize && (session == nil || !session.ReadsOn()):
+		case n < readBufferSize && (session == nil || !session.ReadUntilEOF()):
 			return
 		}
 	}
--- a/internal/httpwire/socket/socket.go
+++ b/internal/httpwire/socket/socket.go
@@ -16,23 +16,23 @@
 	"github.com/lesismal/nbio"
 )
 
-// Counter counts the bytes that the kernel has accepted. Taken is called with the
+// WriteObserver counts the bytes that the kernel has accepted. BytesWritten is called with the
 // connection's lock held, before any byte of a response to them can be read.
-type Counter interface {
-	Taken(n int)
+type WriteObserver interface {
+	BytesWritten(n int)
 }
 
 // OnWritten reports bytes written by the library to the session. Register it with
 // nbio.Engine.OnWrittenSize.
 func OnWritten(nc *nbio.Conn, _ []byte, n int) {
-	if c, ok := nc.Session().(Counter); ok {
-		c.Taken(n)
+	if c, ok := nc.Session().(WriteObserver); ok {
+		c.BytesWritten(n)
 	}
 }
 
 // SetSession makes session receive the connection's bytes. Taking the lock ensures that
 // the loop's first call sees everything that was set in session before.
-func SetSession(nc *nbio.Conn, session Counter) {
+func SetSession(nc *nbio.Conn, session WriteObserver) {
 	nc.Lock()
 	defer nc.Unlock()
 	nc.SetSession(session)
@@ -41,7 +41,7 @@
 // Write sends b, and queues what the kernel does not accept at once for the loop to
 // send. Only one goroutine may write at a time. queued must be true if the loop still
 // holds bytes from earlier calls.
-func Write(nc *nbio.Conn, b []byte, queued bool, counter Counter) error {
+func Write(nc *nbio.Conn, b []byte, queued bool, counter WriteObserver) error {
 	if !queued {
 		n, err := writeNow(nc, b, counter)
 		if err != nil || n == len(b) {
@@ -53,7 +53,7 @@
 	return err
 }
 
-func writeNow(nc *nbio.Conn, b []byte, counter Counter) (int, error) {
+func writeNow(nc *nbio.Conn, b []byte, counter WriteObserver) (int, error) {
 	nc.Lock()
 	defer nc.Unlock()
 	if closed, _ := nc.IsClosed(); closed {
@@ -61,7 +61,7 @@
 	}
 	n, err := syscall.Write(nc.Hash(), b)
 	if n > 0 {
-		counter.Taken(n)
+		counter.BytesWritten(n)
 	}
 	if errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR) {
 		return 0, nil
@@ -69,8 +69,8 @@
 	return n, err
 }
 
-// End shuts down the connection in both directions. No byte is sent afterwards.
-func End(nc *nbio.Conn) { shutdown(nc, syscall.SHUT_RDWR) }
+// Shutdown shuts down the connection in both directions. No byte is sent afterwards.
+func Shutdown(nc *nbio.Conn) { shutdown(nc, syscall.SHUT_RDWR) }
 
 // ShutdownWrite shuts down the sending side; bytes can still be received.
 func ShutdownWrite(nc *nbio.Conn) { shutdown(nc, syscall.SHUT_WR) }
@@ -83,9 +83,9 @@
 	}
 }
 
-// Quiet reports whether the connection is open and the kernel holds neither bytes nor
+// NoUnreadData reports whether the connection is open and the kernel holds neither bytes nor
 // an end of file from the peer that the loop has not read yet.
-func Quiet(nc *nbio.Conn) bool {
+func NoUnreadData(nc *nbio.Conn) bool {
 	nc.Lock()
 	defer nc.Unlock()
 	if closed, _ := nc.IsClosed(); closed {
--- a/internal/httpwire/socket/tls.go
+++ b/internal/httpwire/socket/tls.go
@@ -150,5 +150,5 @@
 // CloseWrite sends a close_notify alert: nothing more follows.
 func (t *TLS) CloseWrite() { _ = t.conn.CloseWrite() }
 
-// Ended must be called when the connection has ended; a handshake in progress fails.
-func (t *TLS) Ended() { t.transport.fail(net.ErrClosed) }
+// ConnClosed must be called when the connection has ended; a handshake in progress fails.
+func (t *TLS) ConnClosed() { t.transport.fail(net.ErrClosed) }
--- a/internal/httpwire/tls.go
+++ b/internal/httpwire/tls.go
@@ -30,7 +30,7 @@
 	case c.state == connClosing || c.state == connClosed:
 		return false // closed by the timeout, a shutdown or the caller
 	case c.state != connHandshake:
-		socket.End(c.conn)
+		socket.Shutdown(c.conn)
 		return false
 	case err != nil:
 		c.refuseHandshake(err)
--- a/internal/httpwire/write.go
+++ b/internal/httpwire/write.go
@@ -153,8 +153,8 @@
 	return socket.Write(c.conn, b, queued, c)
 }
 
-// Taken implements socket.Counter.
-func (c *serverConn) Taken(n int) {
+// BytesWritten implements socket.WriteObserver.
+func (c *serverConn) BytesWritten(n int) {
 	if c.unwritten.Add(int64(-n)) != 0 {
 		return
 	}
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -107,7 +107,7 @@
 		req = &own
 	}
 	x.requestUsed = true
-	req.Once = !x.repeatable()
+	req.NonRepeatable = !x.repeatable()
 	d := x.proxy.dialect
 	req.Header[d.Timeout] = x.values.one(x.timeoutValue())
 	if d.SendsOwnHeaders {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -187,9 +187,9 @@
 	return resp
 }
 
-// MayRunAhead implements httpwire.Ahead: a repeatable request may run while earlier
+// AllowConcurrent implements httpwire.ConcurrentHandler: a repeatable request may run while earlier
 // requests on its connection are still running.
-func (p *Proxy) MayRunAhead(req *httpwire.Request) bool {
+func (p *Proxy) AllowConcurrent(req *httpwire.Request) bool {
 	s := p.state.Load()
 	if s == nil {
 		return false
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -260,8 +260,8 @@
 	is := is.New(t)
 	events := &recorder{}
 	p := newProxy(service(3, lookup(), sale()), leastOutstanding, nil, events)
-	is.True(p.MayRunAhead(request("GET")))
-	is.True(!p.MayRunAhead(request("POST")))
-	is.True(!p.MayRunAhead(request("PUT"))) // no rule
-	is.True(!New("127.0.0.1", "test", nil, events).MayRunAhead(request("GET")))
+	is.True(p.AllowConcurrent(request("GET")))
+	is.True(!p.AllowConcurrent(request("POST")))
+	is.True(!p.AllowConcurrent(request("PUT"))) // no rule
+	is.True(!New("127.0.0.1", "test", nil, events).AllowConcurrent(request("GET")))
 }
--- a/internal/upstream/answers_test.go
+++ b/internal/upstream/answers_test.go
@@ -107,7 +107,7 @@
 		}
 	})
 	once := request("POST", nil)
-	once.Once = true
+	once.NonRepeatable = true
 	for range 2 { // immediately after each other
 		_, err := client.Do(testContext(t), address, once)
 		is.True(err == nil)
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -150,7 +150,7 @@
 		return nil, errkind.New(errkind.UpstreamTLSNotSet, p.target.address)
 	}
 	for {
-		cn, err := c.acquire(ctx, p, req.Once)
+		cn, err := c.acquire(ctx, p, req.NonRepeatable)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -171,11 +171,11 @@
 	return socket.Write(c.nbc, b, queued, c)
 }
 
-// Taken implements socket.Counter.
-func (c *conn) Taken(n int) { c.sent.Add(int64(n)) }
+// BytesWritten implements socket.WriteObserver.
+func (c *conn) BytesWritten(n int) { c.sent.Add(int64(n)) }
 
 // close closes the connection; the event loop then calls CloseAndClean.
-func (c *conn) close() { socket.End(c.nbc) }
+func (c *conn) close() { socket.Shutdown(c.nbc) }
 
 // UnderlayerConn implements nbhttp.ParserCloser.
 func (c *conn) UnderlayerConn() net.Conn { return c.nbc }
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -71,24 +71,24 @@
 	}
 	c.buf = nil
 	head := c.scanner.Head()
-	c.idleFor = time.Duration(head.KeepAliveFor) * time.Second
+	c.idleFor = time.Duration(head.KeepAliveSeconds) * time.Second
 	c.deliver(result{resp: resp, reusable: head.Persistent() && alone && !c.late})
 	return true, nil
 }
 
-// ReadsOn implements socket.Ender.
-func (c *conn) ReadsOn() bool {
+// ReadUntilEOF implements socket.EOFHandler.
+func (c *conn) ReadUntilEOF() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.busy && c.scanner.Head().UntilClose
 }
 
-// EndOfFile implements socket.Ender: it delivers a response that is delimited by the end of
+// EndOfFile implements socket.EOFHandler: it delivers a response that is delimited by the end of
 // the connection.
 func (c *conn) EndOfFile() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || !c.busy || !c.scanner.Closed() {
+	if c.closed || !c.busy || !c.scanner.PeerClosed() {
 		return
 	}
 	if _, err := c.complete(c.buf, true, true); err != nil {
@@ -136,7 +136,7 @@
 	if closed || (c.idleFor > 0 && now.Sub(c.idleSince) > c.idleFor-keepAliveMargin) {
 		return false
 	}
-	return socket.Quiet(c.nbc)
+	return socket.NoUnreadData(c.nbc)
 }
 
 // responseBuilder implements nbhttp.Processor: it builds a response from the parser's
--- a/internal/upstream/suspend_test.go
+++ b/internal/upstream/suspend_test.go
@@ -26,7 +26,7 @@
 	})
 	client := startClient(t, Config{})
 	once := request("POST", nil)
-	once.Once = true
+	once.NonRepeatable = true
 	for range 2 {
 		_, err := client.Do(testContext(t), address, once)
 		is.True(err == nil)
