--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -8,7 +8,7 @@
 // that time.
 //
 // Times of this package must not be compared with those of time.Now. Use this package to
-// measure durations and time.Now for times shown to people; Wall converts. Timers do not
+// measure durations and time.Now for times shown to people; ToWall converts. Timers do not
 // include suspended time: code that must act soon after a suspension registers with
 // OnResume.
 package clock
@@ -150,8 +150,8 @@
 	processClock = newClock(system)
 )
 
-// Check returns an error if suspensions can't be detected on this machine.
-func Check() error { return processClock.bootErr }
+// CheckSupport returns an error if suspensions can't be detected on this machine.
+func CheckSupport() error { return processClock.bootErr }
 
 // Now returns the current time of this clock, including suspended time.
 func Now() time.Time {
@@ -169,12 +169,12 @@
 // Until returns the time until t, which must be a time of this clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Wall converts t, which must be a time of this clock, to a time of time.Now.
-func Wall(t time.Time) time.Time { return t.Add(-time.Duration(processClock.suspended.Load())) }
+// ToWall converts t, which must be a time of this clock, to a time of time.Now.
+func ToWall(t time.Time) time.Time { return t.Add(-time.Duration(processClock.suspended.Load())) }
 
-// Skip simulates a suspension of length d, for tests of other packages. The returned
+// SimulateSuspension simulates a suspension of length d, for tests of other packages. The returned
 // function undoes it.
-func Skip(d time.Duration) (undo func()) {
+func SimulateSuspension(d time.Duration) (undo func()) {
 	processClock.suspended.Add(int64(d))
 	processClock.mu.Lock()
 	defer processClock.mu.Unlock()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -105,7 +105,7 @@
 // suspended, also inside a synctest bubble.
 func TestRealClock(t *testing.T) {
 	is := is.New(t)
-	is.NoErr(Check())
+	is.NoErr(CheckSupport())
 	before := time.Now()
 	is.True(Since(before) < time.Minute && Since(before) >= 0)
 	synctest.Test(t, func(t *testing.T) {
@@ -113,7 +113,7 @@
 		time.Sleep(time.Hour)
 		is.Equal(Since(before), time.Hour)
 		is.Equal(Until(before), -time.Hour)
-		is.Equal(Wall(before), before)
+		is.Equal(ToWall(before), before)
 	})
 	is.True(Since(before) < time.Minute)
 }
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -197,7 +197,7 @@
 	c.entry.proxy.SetEntryHosts(hosts)
 	for i := range s.Members {
 		if s.Members[i].State == membership.Dead {
-			c.entry.pool.Forget(s.Members[i].Address.String())
+			c.entry.pool.Remove(s.Members[i].Address.String())
 		}
 	}
 	c.shareConnections(hosts)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -69,7 +69,7 @@
 // New assembles an entry host from checked settings. Logs go to w. The parts
 // that work in the background end with ctx.
 func New(ctx context.Context, conf settings.Entry, build string, w io.Writer) (*Entry, error) {
-	if err := clock.Check(); err != nil {
+	if err := clock.CheckSupport(); err != nil {
 		return nil, errors.Wrap(err, "boot clock")
 	}
 	e := &Entry{conf: conf, build: build, host: conf.PeerListen, loop: control.NewLoop()}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,7 +66,7 @@
 
 // New assembles an entry host from checked settings. Logs go to w.
 func New(conf Settings, store storewatch.Store, dialect *proxy.Dialect, w io.Writer) (*Gateway, error) {
-	if err := clock.Check(); err != nil {
+	if err := clock.CheckSupport(); err != nil {
 		return nil, errors.Wrap(err, "boot clock")
 	}
 	g := &Gateway{conf: conf, loop: control.NewLoop()}
--- a/internal/httpget/httpget.go
+++ b/internal/httpget/httpget.go
@@ -26,19 +26,19 @@
 // ErrTooLarge is returned for a response body that exceeds its bound.
 var ErrTooLarge = errors.New("response body too large")
 
-// JSON gets url and decodes the response body, of at most maxBytes, into out. The error
+// GetJSON gets url and decodes the response body, of at most maxBytes, into out. The error
 // is one of Body or of decoding.
-func JSON(ctx context.Context, client *http.Client, url string, maxBytes int64, out any) error {
-	body, err := Body(ctx, client, url, maxBytes)
+func GetJSON(ctx context.Context, client *http.Client, url string, maxBytes int64, out any) error {
+	body, err := Get(ctx, client, url, maxBytes)
 	if err != nil {
 		return err
 	}
 	return errors.Wrap(json.Unmarshal(body, out), "decode response body")
 }
 
-// Body gets url and returns the response body, of at most maxBytes. The error is a
+// Get gets url and returns the response body, of at most maxBytes. The error is a
 // *StatusError, ErrTooLarge, or an error of the transport.
-func Body(ctx context.Context, client *http.Client, url string, maxBytes int64) ([]byte, error) {
+func Get(ctx context.Context, client *http.Client, url string, maxBytes int64) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "create request")
--- a/internal/limitsync/limitsync.go
+++ b/internal/limitsync/limitsync.go
@@ -90,7 +90,7 @@
 // reached receives the updates when they are repeated.
 func (b *Broadcaster) send(peers []string, updates []ratelimit.Update) {
 	req := &limitsv1.TellRequest{Limits: encode(updates)}
-	b.conf.Pool.CallAll(peers, callTimeout, func(ctx context.Context, c *grpc.ClientConn) error {
+	b.conf.Pool.Broadcast(peers, callTimeout, func(ctx context.Context, c *grpc.ClientConn) error {
 		_, err := limitsv1.NewLimitsClient(c).Tell(ctx, req)
 		return err
 	})
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -92,8 +92,8 @@
 	return c, nil
 }
 
-// Forget closes and removes the connection to a peer that left the fleet.
-func (p *Pool) Forget(address string) {
+// Remove closes and removes the connection to a peer that left the fleet.
+func (p *Pool) Remove(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c := p.conns[address]; c != nil {
@@ -112,10 +112,10 @@
 	}
 }
 
-// CallAll calls all peers concurrently, each with the timeout, and returns immediately.
+// Broadcast calls all peers concurrently, each with the timeout, and returns immediately.
 // It ignores errors: it is for updates that are sent repeatedly, so that a failed call is
 // equivalent to a lost message.
-func (p *Pool) CallAll(peers []string, timeout time.Duration, call func(context.Context, *grpc.ClientConn) error) {
+func (p *Pool) Broadcast(peers []string, timeout time.Duration, call func(context.Context, *grpc.ClientConn) error) {
 	for _, address := range peers {
 		go func() {
 			c, err := p.Conn(address)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -100,5 +100,5 @@
 }
 
 func (c *Client) get(ctx context.Context, path string, out any) error {
-	return errors.Wrap(httpget.JSON(ctx, c.http, c.base+path, maxAnswerBytes, out), "platform")
+	return errors.Wrap(httpget.GetJSON(ctx, c.http, c.base+path, maxAnswerBytes, out), "platform")
 }
--- a/internal/poisonsync/poisonsync.go
+++ b/internal/poisonsync/poisonsync.go
@@ -79,7 +79,7 @@
 // tell sends a message to each of the hosts, beside the caller. One that is not reached
 // hears it again.
 func (t *Broadcaster) tell(peers []string, req *poisonv1.TellRequest) {
-	t.conf.Pool.CallAll(peers, callTimeout, func(ctx context.Context, c *grpc.ClientConn) error {
+	t.conf.Pool.Broadcast(peers, callTimeout, func(ctx context.Context, c *grpc.ClientConn) error {
 		_, err := poisonv1.NewPoisonClient(c).Tell(ctx, req)
 		return err
 	})
--- a/internal/proxy/poison.go
+++ b/internal/proxy/poison.go
@@ -88,7 +88,7 @@
 	if result.NewlyRefused {
 		p.events.Emit(event.Event{
 			Code: event.QuarantineBegun, At: time.Now(), EntryHost: p.host, Reason: reason,
-			Detail: d.Request.String() + " until " + clock.Wall(result.RefusedUntil).UTC().Format(time.RFC3339), Value: int64(result.Crashes),
+			Detail: d.Request.String() + " until " + clock.ToWall(result.RefusedUntil).UTC().Format(time.RFC3339), Value: int64(result.Crashes),
 		})
 	}
 	return result.New
@@ -140,7 +140,7 @@
 		return false
 	}
 	p.events.Emit(event.Event{
-		Code: event.UpstreamEnded, At: clock.Wall(d.EndedAt), EntryHost: p.host,
+		Code: event.UpstreamEnded, At: clock.ToWall(d.EndedAt), EntryHost: p.host,
 		Service: x.rule.Service.Name, Rule: x.rule.Config.Name, Upstream: b.upstream.ID,
 		Detail: "request " + x.id + " is " + d.Request.String(), Value: d.EndedAt.Sub(d.SentAt).Microseconds(),
 	})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -235,7 +235,7 @@
 func (p *Proxy) newExchange(req *httpwire.Request) *exchange {
 	x := &exchange{proxy: p, req: req, id: p.requestID(req)}
 	x.tried = x.triedBuffer[:0]
-	x.hop = p.tracer.Begin(x.id, req.Header, clock.Wall(req.Received))
+	x.hop = p.tracer.Begin(x.id, req.Header, clock.ToWall(req.Received))
 	return x
 }
 
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -272,7 +272,7 @@
 				upstreams.reject("3", "up-1")
 				p := newProxy(service(1, lookup()), leastOutstanding, upstreams, new(recorder))
 				serveEvery(p, "GET", 1, 0)
-				undo := clock.Skip(test.suspended)
+				undo := clock.SimulateSuspension(test.suspended)
 				defer undo()
 				u := p.state.Load().groups[groupName{"test", "main"}].current.Load().Upstreams[0]
 				left := u.Backoff.Delay(clock.Now())
--- a/internal/proxy/suspend_test.go
+++ b/internal/proxy/suspend_test.go
@@ -43,7 +43,7 @@
 					if len(left) > 1 {
 						return ok(), nil
 					}
-					undo = clock.Skip(test.suspended)
+					undo = clock.SimulateSuspension(test.suspended)
 					return refusal(), nil
 				})
 				p := newProxy(service(2, lookup()), leastOutstanding, sender, new(recorder))
--- a/internal/settings/tls.go
+++ b/internal/settings/tls.go
@@ -21,7 +21,7 @@
 func (t *TLS) Register(fs *pflag.FlagSet, prefix, what string) {
 	fs.StringVar(&t.Files.Certificate, prefix+"-cert", "", "PEM file of this side's certificate "+what+" (default none, no TLS)")
 	fs.StringVar(&t.Files.Key, prefix+"-key", "", "PEM file of its private key (default none)")
-	fs.StringVar(&t.Files.Authority, prefix+"-ca", "", "PEM file of the agreed authority, which must have signed the other side's certificate (default none)")
+	fs.StringVar(&t.Files.CA, prefix+"-ca", "", "PEM file of the agreed authority, which must have signed the other side's certificate (default none)")
 	fs.StringVar(&t.ServerName, prefix+"-server-name", "", "name that a server's certificate must carry (default the address connected to)")
 }
 
@@ -39,7 +39,7 @@
 func (c *CallerTLS) Register(fs *pflag.FlagSet) {
 	fs.StringVar(&c.Files.Certificate, "caller-tls-cert", "", "PEM file of the certificate shown to callers, with intermediates (default none, no TLS)")
 	fs.StringVar(&c.Files.Key, "caller-tls-key", "", "PEM file of its private key (default none)")
-	fs.StringVar(&c.Files.Authority, "caller-tls-ca", "", "PEM file of the authority that callers' certificates must be signed by (default none, callers need no certificate)")
+	fs.StringVar(&c.Files.CA, "caller-tls-ca", "", "PEM file of the authority that callers' certificates must be signed by (default none, callers need no certificate)")
 }
 
 // Validate reports files that are not whole or can't be used.
@@ -63,7 +63,7 @@
 
 // Register adds the flags to fs.
 func (u *UpstreamTLS) Register(fs *pflag.FlagSet) {
-	fs.StringVar(&u.Files.Authority, "upstream-tls-ca", "", "PEM file of the authority that signed the upstreams' certificates (default none, groups with TLS are refused)")
+	fs.StringVar(&u.Files.CA, "upstream-tls-ca", "", "PEM file of the authority that signed the upstreams' certificates (default none, groups with TLS are refused)")
 	fs.StringVar(&u.Files.Certificate, "upstream-tls-cert", "", "PEM file of the certificate shown to upstreams that ask for one (default none)")
 	fs.StringVar(&u.Files.Key, "upstream-tls-key", "", "PEM file of its private key (default none)")
 	fs.StringVar(&u.ServerName, "upstream-tls-server-name", "", "name that an upstream's certificate must carry, unless its group states one (default the upstream's IP)")
--- a/internal/storewatch/suspend_test.go
+++ b/internal/storewatch/suspend_test.go
@@ -28,7 +28,7 @@
 		sent := message.Sent
 
 		store.change(func() { store.unresponsive = true }) // keep the host's call pending
-		defer clock.Skip(suspended)()
+		defer clock.SimulateSuspension(suspended)()
 		message, err = f.watcher.ServeFetch(t.Context(), 0)
 		is.NoErr(err)
 		is.True(message.Age >= suspended)
--- a/internal/tlsconf/files.go
+++ b/internal/tlsconf/files.go
@@ -22,9 +22,9 @@
 	Certificate string
 	// Key is the private key of Certificate.
 	Key string
-	// Authority holds the certificates of the certificate authority. The certificate
+	// CA holds the certificates of the certificate authority. The certificate
 	// of the other side must be signed by one of them.
-	Authority string
+	CA string
 }
 
 // Enabled reports whether any file is set.
@@ -32,7 +32,7 @@
 
 // Validate returns an error if only some of the files are set.
 func (f Files) Validate() error {
-	if !f.Enabled() || (f.Certificate != "" && f.Key != "" && f.Authority != "") {
+	if !f.Enabled() || (f.Certificate != "" && f.Key != "" && f.CA != "") {
 		return nil
 	}
 	return errors.New("TLS needs the certificate, the key and the authority: set all three or none")
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "key")
 	}
-	authority, err := readOptional(f.Authority)
+	authority, err := readOptional(f.CA)
 	if err != nil {
 		return nil, errors.Wrap(err, "authority")
 	}
@@ -90,10 +90,10 @@
 		}
 		m.certificate = pair
 	}
-	if f.Authority != "" {
+	if f.CA != "" {
 		m.authority = x509.NewCertPool()
 		if !m.authority.AppendCertsFromPEM(c.authority) {
-			return nil, errors.Newf("%s: contains no PEM certificate", f.Authority)
+			return nil, errors.Newf("%s: contains no PEM certificate", f.CA)
 		}
 	}
 	m.callers = m.callerConfig()
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -69,7 +69,7 @@
 	f := Files{filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"), filepath.Join(dir, "ca.pem")}
 	is.NoErr(os.WriteFile(f.Certificate, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o600))
 	is.NoErr(os.WriteFile(f.Key, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: keyDER}), 0o600))
-	is.NoErr(os.WriteFile(f.Authority, trust.pem, 0o600))
+	is.NoErr(os.WriteFile(f.CA, trust.pem, 0o600))
 	return f
 }
 
--- a/internal/tlsconf/wire.go
+++ b/internal/tlsconf/wire.go
@@ -24,7 +24,7 @@
 	switch {
 	case !f.Enabled():
 		return nil
-	case f.Authority == "":
+	case f.CA == "":
 		return errors.New("TLS towards upstreams needs the authority that signed their certificates")
 	case (f.Certificate == "") != (f.Key == ""):
 		return errors.New("set the certificate and the key, or neither")
--- a/internal/tlsconf/wire_test.go
+++ b/internal/tlsconf/wire_test.go
@@ -97,15 +97,15 @@
 	}{
 		"callers":                          {LoadCallers, Files{f.Certificate, f.Key, ""}, true},
 		"callers with certificates":        {LoadCallers, f, true},
-		"callers without a key":            {LoadCallers, Files{f.Certificate, "", f.Authority}, false},
-		"callers without a certificate":    {LoadCallers, Files{"", "", f.Authority}, false},
+		"callers without a key":            {LoadCallers, Files{f.Certificate, "", f.CA}, false},
+		"callers without a certificate":    {LoadCallers, Files{"", "", f.CA}, false},
 		"callers, another key":             {LoadCallers, Files{f.Certificate, other.Key, ""}, false},
 		"callers, a missing authority":     {LoadCallers, Files{f.Certificate, f.Key, f.Key + "x"}, false},
-		"upstreams":                        {LoadUpstreams, Files{"", "", f.Authority}, true},
+		"upstreams":                        {LoadUpstreams, Files{"", "", f.CA}, true},
 		"upstreams with a certificate":     {LoadUpstreams, f, true},
 		"upstreams without an authority":   {LoadUpstreams, Files{f.Certificate, f.Key, ""}, false},
-		"upstreams without a key":          {LoadUpstreams, Files{f.Certificate, "", f.Authority}, false},
-		"upstreams, another key":           {LoadUpstreams, Files{f.Certificate, other.Key, f.Authority}, false},
+		"upstreams without a key":          {LoadUpstreams, Files{f.Certificate, "", f.CA}, false},
+		"upstreams, another key":           {LoadUpstreams, Files{f.Certificate, other.Key, f.CA}, false},
 		"upstreams, no authority in a key": {LoadUpstreams, Files{"", "", f.Key}, false},
 	}
 	for name, test := range tests {
@@ -114,5 +114,5 @@
 			is.New(t).Equal(err == nil, test.ok)
 		})
 	}
-	is.Equal(loadUpstreams(t, Files{Authority: f.Authority}, new(fakeClock)).Expires(), time.Time{})
+	is.Equal(loadUpstreams(t, Files{CA: f.CA}, new(fakeClock)).Expires(), time.Time{})
 }
--- a/internal/upstream/suspend_test.go
+++ b/internal/upstream/suspend_test.go
@@ -32,7 +32,7 @@
 		is.True(err == nil)
 	}
 	is.Equal(connections.Load(), int64(1))
-	defer clock.Skip(5 * time.Second)()
+	defer clock.SimulateSuspension(5 * time.Second)()
 	_, err := client.Do(testContext(t), address, once)
 	is.True(err == nil)
 	is.Equal(connections.Load(), int64(2))
