--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -141,7 +141,7 @@
 	ledger := atmostonce.DefaultConfig()
 	ledger.Lifetime = e.conf.Tickets.Lifetime
 	ledger.MaxTickets = e.conf.Tickets.MaxRecords
-	ledger.MaxKeptBytes = e.conf.Tickets.MaxBytes
+	ledger.MaxStoredBytes = e.conf.Tickets.MaxBytes
 	tickets, err := execution.New(execution.Config{
 		Host:      e.host,
 		Address:   address,
@@ -234,13 +234,13 @@
 
 func (e *Entry) buildControl(ctx context.Context) error {
 	e.notices = notices.New(notices.Config{
-		Loop:   e.loop,
-		Server: e.peerServer,
-		Pool:   e.pool,
-		Peers:  e.peerAddresses,
-		Known:  e.control.registry.Notices,
-		Merge:  e.control.merge,
-		Waking: e.control.Resuming,
+		Loop:     e.loop,
+		Server:   e.peerServer,
+		Pool:     e.pool,
+		Peers:    e.peerAddresses,
+		Known:    e.control.registry.Notices,
+		Merge:    e.control.merge,
+		Resuming: e.control.Resuming,
 	})
 	e.feed = configfeed.New(ctx, configfeed.Config{
 		Host: e.host,
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -83,7 +83,7 @@
 		}
 		out = append(out, member)
 	}
-	for _, a := range s.Unheard {
+	for _, a := range s.UnknownHosts {
 		out = append(out, operator.Member{Host: a.String(), PeerAddress: a.String(), State: operator.Unheard})
 	}
 	return out
--- a/internal/entry/groups_test.go
+++ b/internal/entry/groups_test.go
@@ -74,7 +74,7 @@
 	is := is.New(t)
 	f := newGroupFleet()
 	f.publish(groupOf("random", "a", "b"))
-	f.registry.Refused(time.Now(), lifecycle.UpstreamKey{Service: "catalogue", Upstream: "a"}, 0)
+	f.registry.RecordLeaving(time.Now(), lifecycle.UpstreamKey{Service: "catalogue", Upstream: "a"}, 0)
 	picker := f.publish(groupOf("random", "a", "b")) // lists a as active still
 	for i := range 50 {
 		res, err := picker.Pick(balancer.PickInfo{Random: uint64(i) << 56})
@@ -99,7 +99,7 @@
 	is.Equal(kept.Picker, picker)                       // another service changed
 	is.Equal(kept.Lifecycle, f.store.lifecycle.Version) // and yet it reflects the newest
 
-	f.registry.Refused(time.Now(), lifecycle.UpstreamKey{Service: "catalogue", Upstream: "a"}, 0)
+	f.registry.RecordLeaving(time.Now(), lifecycle.UpstreamKey{Service: "catalogue", Upstream: "a"}, 0)
 	f.store.lifecycle, _ = f.registry.Flush()
 	left := f.store.Group(&f.service, g).Picker
 	is.True(left != picker) // one of its upstreams left
--- a/internal/entry/hosts.go
+++ b/internal/entry/hosts.go
@@ -55,7 +55,7 @@
 	c.hostsRevision = list.Revision
 	now := clock.Now()
 	for _, k := range upstreamsOn(leavingHosts(list), c.config.InForce) {
-		c.registry.HostLeaving(now, k)
+		c.registry.ListedLeaving(now, k)
 	}
 	c.publishChanged()
 }
--- a/internal/entry/publish_test.go
+++ b/internal/entry/publish_test.go
@@ -70,7 +70,7 @@
 	}
 	u := e.control.groups.groups[groupKey{doc.Name, "second"}].upstreams[id]
 	started := u.Begin(time.Now())
-	e.control.registry.Refused(time.Now(), key, 0)
+	e.control.registry.RecordLeaving(time.Now(), key, 0)
 	is.True(leaving()) // in flight in the second group
 	balancer.Finish(e.control.groups.groups[groupKey{doc.Name, "second"}].picker, started, balancer.Feedback{Now: time.Now()})
 	is.True(!leaving())
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -22,7 +22,7 @@
 		return
 	}
 	c.entry.loop.Post(func() {
-		c.registry.Refused(clock.Now(), k, activation)
+		c.registry.RecordLeaving(clock.Now(), k, activation)
 		c.publishSoon()
 	})
 }
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -38,7 +38,7 @@
 			set.Put(now, discovery.Upstream{ID: "u", Service: "s", Born: 1, Revision: 1})
 			list()
 			is.True(takes())
-			registry.Refused(now, lifecycle.UpstreamKey{Service: "s", Upstream: "u"}, 1)
+			registry.RecordLeaving(now, lifecycle.UpstreamKey{Service: "s", Upstream: "u"}, 1)
 			is.True(!takes())
 			list() // its entry still says ready
 			is.True(!takes())
--- a/internal/gateway/upstreams.go
+++ b/internal/gateway/upstreams.go
@@ -20,7 +20,7 @@
 		return
 	}
 	c.gateway.loop.Post(func() {
-		c.registry.Refused(clock.Now(), k, activation)
+		c.registry.RecordLeaving(clock.Now(), k, activation)
 		c.publish(false)
 	})
 }
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -160,12 +160,12 @@
 // Snapshot returns the newest snapshot. It never blocks and never returns nil.
 func (m *Members) Snapshot() *membership.Snapshot { return m.snapshot.Load() }
 
-// Waking reports whether this process was paused and has not caught up yet. It
+// Resuming reports whether this process was paused and has not caught up yet. It
 // detects a pause before the control goroutine does, so the result is correct
 // also for a traffic goroutine that calls it immediately after the pause.
-func (m *Members) Waking() bool {
+func (m *Members) Resuming() bool {
 	sinceTick := clock.Since(m.started) - time.Duration(m.lastTick.Load())
-	return sinceTick > m.conf.PauseThreshold || m.snapshot.Load().Waking
+	return sinceTick > m.conf.PauseThreshold || m.snapshot.Load().Resuming
 }
 
 // SetMetadata publishes up to 64 bytes of metadata with this host's entry, at most
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -100,7 +100,7 @@
 		}
 	}
 	eventually(t, "all six are known to all", count(6))
-	is.True(!all[0].Waking())
+	is.True(!all[0].Resuming())
 	is.NoErr(all[1].SetMetadata([]byte("revision 3")))
 	eventually(t, "metadata arrive", func() bool {
 		return string(all[0].Snapshot().Find(addresses[1]).Metadata) == "revision 3"
--- a/internal/notices/notices.go
+++ b/internal/notices/notices.go
@@ -52,9 +52,9 @@
 	Known func(now time.Time) []lifecycle.Notice
 	// Merge merges the notices of a peer. It runs on the control goroutine.
 	Merge func(now time.Time, notices []lifecycle.Notice)
-	// Waking reports whether this host was paused and may lack notices, so that
+	// Resuming reports whether this host was paused and may lack notices, so that
 	// it must not return its notices to peers. It runs on any goroutine.
-	Waking func() bool
+	Resuming func() bool
 }
 
 // Broadcaster distributes notices. Broadcast must be called on the control
@@ -219,7 +219,7 @@
 	if !req.GetWant() {
 		return resp, nil
 	}
-	if s.conf.Waking() {
+	if s.conf.Resuming() {
 		return nil, status.Error(codes.Unavailable, "waking from a pause")
 	}
 	if !s.Fetched() {
--- a/internal/notices/notices_test.go
+++ b/internal/notices/notices_test.go
@@ -30,13 +30,13 @@
 	var merged []lifecycle.Notice
 	loop := control.NewLoop()
 	s := New(Config{
-		Loop:   loop,
-		Server: peer.NewServer("127.0.0.1:0", nil),
-		Pool:   peer.NewPool(nil),
-		Peers:  func() []string { return nil },
-		Waking: func() bool { return false },
-		Known:  func(time.Time) []lifecycle.Notice { return []lifecycle.Notice{known} },
-		Merge:  func(_ time.Time, n []lifecycle.Notice) { merged = append(merged, n...) },
+		Loop:     loop,
+		Server:   peer.NewServer("127.0.0.1:0", nil),
+		Pool:     peer.NewPool(nil),
+		Peers:    func() []string { return nil },
+		Resuming: func() bool { return false },
+		Known:    func(time.Time) []lifecycle.Notice { return []lifecycle.Notice{known} },
+		Merge:    func(_ time.Time, n []lifecycle.Notice) { merged = append(merged, n...) },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -72,7 +72,7 @@
 func TestWakingHostDoesNotAnswer(t *testing.T) {
 	is := is.New(t)
 	s, merged := newBroadcaster(t)
-	s.conf.Waking = func() bool { return true }
+	s.conf.Resuming = func() bool { return true }
 	encoded := lifecycle.EncodeNotices([]lifecycle.Notice{received})
 	_, err := s.Exchange(t.Context(), &noticesv1.ExchangeRequest{Notices: encoded, Want: true})
 	is.Equal(status.Code(err), codes.Unavailable)
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -122,7 +122,7 @@
 		return g.retrySchedule.Next(clock.Now(), max(left, seconds(1/perSecond), target), perSecond)
 	}
 	if left > 0 {
-		return limit.RetryAfterRest(left, x.proxy.random())
+		return limit.RetryAfterBackoff(left, x.proxy.random())
 	}
 	if kind == errkind.UpstreamRefused && target > 0 && g.waiting.Load() == 0 {
 		return limit.RetryAfterShed(target, x.proxy.random())
--- a/pkg/atmostonce/execution.go
+++ b/pkg/atmostonce/execution.go
@@ -139,7 +139,7 @@
 		return
 	}
 	size := result.Answer.size()
-	if size > l.conf.MaxAnswerBytes || l.keptBytes+size > l.conf.MaxKeptBytes {
+	if size > l.conf.MaxAnswerBytes || l.keptBytes+size > l.conf.MaxStoredBytes {
 		r.result = errorResult(errkind.AnswerNotKept, "the answer was given once and not kept")
 		return
 	}
--- a/pkg/atmostonce/ledger.go
+++ b/pkg/atmostonce/ledger.go
@@ -17,8 +17,8 @@
 	MaxTickets int
 	// MaxAnswerBytes bounds the size of one stored response.
 	MaxAnswerBytes int
-	// MaxKeptBytes bounds the total size of all stored responses.
-	MaxKeptBytes int
+	// MaxStoredBytes bounds the total size of all stored responses.
+	MaxStoredBytes int
 }
 
 // DefaultConfig returns bounds for a small entry host that issues 1000 tickets
@@ -29,7 +29,7 @@
 		Retention:      90 * time.Second,
 		MaxTickets:     120_000,
 		MaxAnswerBytes: 64 << 10,
-		MaxKeptBytes:   12 << 20,
+		MaxStoredBytes: 12 << 20,
 	}
 }
 
@@ -91,12 +91,12 @@
 	Tickets int
 	// Running is the number of executions that have not finished.
 	Running int
-	// KeptBytes is the total size of stored responses.
-	KeptBytes int
+	// StoredBytes is the total size of stored responses.
+	StoredBytes int
 }
 
 func (l *Ledger) Stats() Stats {
-	return Stats{Tickets: int(l.next - l.oldest), Running: l.running, KeptBytes: l.keptBytes}
+	return Stats{Tickets: int(l.next - l.oldest), Running: l.running, StoredBytes: l.keptBytes}
 }
 
 // advance reclaims slots whose retention is over and returns the latest time that
--- a/pkg/atmostonce/ledger_test.go
+++ b/pkg/atmostonce/ledger_test.go
@@ -195,7 +195,7 @@
 	for b.Loop() {
 		conf := atmostonce.DefaultConfig()
 		conf.MaxTickets = tickets
-		conf.MaxKeptBytes = math.MaxInt
+		conf.MaxStoredBytes = math.MaxInt
 		before := heap()
 		l := atmostonce.New(conf, start)
 		empty := heap()
--- a/pkg/atmostonce/real_test.go
+++ b/pkg/atmostonce/real_test.go
@@ -16,7 +16,7 @@
 	Retention:      2 * time.Second,
 	MaxTickets:     24,
 	MaxAnswerBytes: 8,
-	MaxKeptBytes:   16,
+	MaxStoredBytes: 16,
 }
 
 // longConfig keeps every record for longer than a schedule lasts.
@@ -25,7 +25,7 @@
 	Retention:      time.Hour,
 	MaxTickets:     scheduleSteps,
 	MaxAnswerBytes: 64,
-	MaxKeptBytes:   1 << 20,
+	MaxStoredBytes: 1 << 20,
 }
 
 const testDeadline = 2 * time.Second
--- a/pkg/lifecycle/bench_test.go
+++ b/pkg/lifecycle/bench_test.go
@@ -54,7 +54,7 @@
 				r.Configure(now, fmt.Sprint(s), 1, list)
 			}
 			for b.Loop() {
-				r.Refused(now, UpstreamKey{"0", "0-0"}, 0)
+				r.RecordLeaving(now, UpstreamKey{"0", "0-0"}, 0)
 			}
 		})
 	}
--- a/pkg/lifecycle/example_test.go
+++ b/pkg/lifecycle/example_test.go
@@ -14,7 +14,7 @@
 	r := lifecycle.NewRegistry(lifecycle.DefaultConfig(), event.Discard{})
 	r.Configure(now, "lots", 7, []lifecycle.UpstreamSpec{{Upstream: "caruaru-3"}})
 	before, _ := r.Flush()
-	r.Refused(now, lots3, 0) // its response announced that it is leaving
+	r.RecordLeaving(now, lots3, 0) // its response announced that it is leaving
 	after, notices := r.Flush()
 	fmt.Println(before.AcceptsRequests(lots3), after.AcceptsRequests(lots3), len(notices))
 	// Output: true false 1
--- a/pkg/lifecycle/implementations_test.go
+++ b/pkg/lifecycle/implementations_test.go
@@ -26,7 +26,7 @@
 }
 
 func (p registryImpl) refused(activation uint64) {
-	p.Refused(time.Unix(1000, 0), testMember, activation)
+	p.RecordLeaving(time.Unix(1000, 0), testMember, activation)
 }
 
 func (p registryImpl) notice() Notice { return p.Registry.notice(testMember) }
--- a/pkg/lifecycle/propagation_test.go
+++ b/pkg/lifecycle/propagation_test.go
@@ -47,7 +47,7 @@
 	{name: "document", maxDelay: maxDocumentDelay, read: func(r *Registry, now time.Time) {
 		r.Configure(now, "lots", 2, []UpstreamSpec{{Upstream: "u", Draining: true}})
 	}},
-	{name: "host list", maxDelay: listPollInterval, read: func(r *Registry, now time.Time) { r.HostLeaving(now, testMember) }},
+	{name: "host list", maxDelay: listPollInterval, read: func(r *Registry, now time.Time) { r.ListedLeaving(now, testMember) }},
 	{name: "upstream's refusal", refuse: true},
 	{name: "one peer's notice", read: nil},
 }
@@ -91,7 +91,7 @@
 		h.learnsAt = time.Duration(rng.Int64N(int64(s.maxDelay) + 1))
 	}
 	if s.read == nil && !s.refuse {
-		hosts[0].registry.Refused(start, testMember, 0)
+		hosts[0].registry.RecordLeaving(start, testMember, 0)
 	}
 	sent := 0
 	for step := 0; ; step++ {
@@ -118,7 +118,7 @@
 			if h.snapshot.AcceptsRequests(testMember) {
 				sent++
 				if s.refuse {
-					h.registry.Refused(now, testMember, 0)
+					h.registry.RecordLeaving(now, testMember, 0)
 				}
 			}
 		}
--- a/pkg/lifecycle/registry_test.go
+++ b/pkg/lifecycle/registry_test.go
@@ -235,16 +235,16 @@
 	v, _ := r.snapshot().View(testMember)
 	is.Equal(v.State, "warming")
 	is.Equal(v.Weight(now.Add(5*time.Second)), 0.5)
-	r.Refused(now, testMember, 0)
+	r.RecordLeaving(now, testMember, 0)
 	_, announced := r.Flush()
 	is.Equal(announced[len(announced)-1], Notice{Key: KeyOf("lots", "u"), DrainRevision: 2, MinActivation: 1})
 	list(4, 0, false)
 	is.True(!accepts()) // a change without a new activation does not reactivate it
 	list(5, 1, false)
 	is.True(accepts())
-	r.Refused(now, testMember, 0) // a late response under an earlier activation
+	r.RecordLeaving(now, testMember, 0) // a late response under an earlier activation
 	is.True(accepts())
-	r.HostLeaving(now, testMember)
+	r.ListedLeaving(now, testMember)
 	is.True(!accepts())
 	r.InFlight(now, testMember, 0)
 	r.Configure(now, "lots", 6, nil)
@@ -298,7 +298,7 @@
 	r.Configure(now, "lots", 1, []UpstreamSpec{{Upstream: "u"}})
 	before, _ := r.Flush()
 	is.Equal(before.CheckSend(testMember, before.Version), Send)
-	r.Refused(now, testMember, 0)
+	r.RecordLeaving(now, testMember, 0)
 	after, _ := r.Flush()
 	is.Equal(after.CheckSend(testMember, before.Version), ChooseAgain)
 	is.Equal(after.CheckSend(testMember, after.Version), InvariantViolated)
@@ -323,7 +323,7 @@
 		r.Configure(now, key.Service, revision, []UpstreamSpec{{Upstream: key.Upstream, Activation: activation, Draining: draining}})
 	}
 	list(1, 0, false)
-	r.Refused(now, key, 0)
+	r.RecordLeaving(now, key, 0)
 	is.Equal(len(r.Notices(now)), 1) // leaves
 	list(2, 0, false)
 	is.Equal(len(r.Notices(now)), 1) // a document that does not activate it
@@ -335,6 +335,6 @@
 	is.Equal(len(r.Notices(now)), 1) // drains
 	list(5, 1, false)
 	is.Equal(len(r.Notices(now)), 0)
-	r.Refused(now, key, 1)
+	r.RecordLeaving(now, key, 1)
 	is.Equal(r.Notices(now), []Notice{{Key: KeyOf(key.Service, key.Upstream), DrainRevision: 4, MinActivation: 2}})
 }
--- a/pkg/lifecycle/snapshot_test.go
+++ b/pkg/lifecycle/snapshot_test.go
@@ -82,7 +82,7 @@
 		}
 		r.Configure(now, service, revision, list)
 	case 2:
-		r.Refused(now, key, revision/40)
+		r.RecordLeaving(now, key, revision/40)
 	case 3:
 		r.Merge(now, Notice{Key: KeyOf(key.Service, key.Upstream), MinActivation: uint64(random.IntN(3))})
 	case 4:
--- a/pkg/lifecycle/updates.go
+++ b/pkg/lifecycle/updates.go
@@ -97,11 +97,11 @@
 	}
 }
 
-// Refused records an upstream's own announcement that it is leaving, for every
+// RecordLeaving records an upstream's own announcement that it is leaving, for every
 // service that lists it. Activation is the one that the request was sent under,
 // from its View; a late response to a request of an earlier activation has no
 // effect.
-func (r *Registry) Refused(now time.Time, k UpstreamKey, activation uint64) {
+func (r *Registry) RecordLeaving(now time.Time, k UpstreamKey, activation uint64) {
 	r.recordLeft(now, k, activation, fromUpstream)
 	if m := r.member(k); m == nil || m.spec.Activation != activation {
 		return
@@ -113,10 +113,10 @@
 	}
 }
 
-// HostLeaving records that the platform's host list marks an upstream as
+// ListedLeaving records that the platform's host list marks an upstream as
 // leaving. The list is not ordered relative to documents, so the notice applies
 // to the current activation.
-func (r *Registry) HostLeaving(now time.Time, k UpstreamKey) {
+func (r *Registry) ListedLeaving(now time.Time, k UpstreamKey) {
 	if m := r.member(k); m != nil {
 		r.recordLeft(now, k, m.spec.Activation, fromHostList)
 	}
--- a/pkg/limit/retryafter.go
+++ b/pkg/limit/retryafter.go
@@ -67,11 +67,11 @@
 	return jitter(target/shedDivisor, random)
 }
 
-// RetryAfterRest returns the retry delay for a caller that was refused because all
+// RetryAfterBackoff returns the retry delay for a caller that was refused because all
 // upstreams are backing off for the remaining time. The delay ends after the backoff,
 // with jitter over as long an interval as that in which callers were refused, so that
 // the retries at most double the offered load. Random is a uniformly distributed number.
-func RetryAfterRest(remaining time.Duration, random uint64) time.Duration {
+func RetryAfterBackoff(remaining time.Duration, random uint64) time.Duration {
 	return remaining + jitter(min(remaining, RetryAfterBase), random)
 }
 
--- a/pkg/membership/fleet_faults_test.go
+++ b/pkg/membership/fleet_faults_test.go
@@ -150,7 +150,7 @@
 		}
 	}
 	f.run(8)
-	is.True(f.hosts[0].core.Snapshot().Waking)
+	is.True(f.hosts[0].core.Snapshot().Resuming)
 	is.Equal(len(suspicions), 0)
 	heal(f)
 	_, done := f.runUntil(30, f.agreed)
--- a/pkg/membership/fleet_test.go
+++ b/pkg/membership/fleet_test.go
@@ -242,7 +242,7 @@
 			continue
 		}
 		s := h.core.Snapshot()
-		if s.Waking || !s.Joined {
+		if s.Resuming || !s.Joined {
 			return h.address.String() + " resuming or not joined"
 		}
 		for _, other := range f.hosts {
--- a/pkg/membership/hosts.go
+++ b/pkg/membership/hosts.go
@@ -58,7 +58,7 @@
 		}
 	}
 	slices.SortFunc(c.hosts.others, netip.AddrPort.Compare)
-	if unheard := c.unheard(); c.snapshot == nil || !slices.Equal(unheard, c.snapshot.Unheard) {
+	if unheard := c.unheard(); c.snapshot == nil || !slices.Equal(unheard, c.snapshot.UnknownHosts) {
 		c.dirty = true
 	}
 	c.mergeLeaving()
--- a/pkg/membership/lifecycle.go
+++ b/pkg/membership/lifecycle.go
@@ -29,9 +29,9 @@
 	at     uint64 // earliest period in which it may be published
 }
 
-// Wake notifies the core of a pause that the time passed to its methods did not
+// Resume notifies the core of a pause that the time passed to its methods did not
 // show.
-func (c *Core) Wake(now time.Time, pause time.Duration) Effects {
+func (c *Core) Resume(now time.Time, pause time.Duration) Effects {
 	c.advance(now)
 	if !c.stopped {
 		c.startResuming(pause)
--- a/pkg/membership/snapshot.go
+++ b/pkg/membership/snapshot.go
@@ -33,14 +33,14 @@
 	Self Member
 	// Joined is true once a peer has replied to a sync, or none could be found.
 	Joined bool
-	// Waking is true after a pause, until a peer has replied to a sync.
-	Waking bool
+	// Resuming is true after a pause, until a peer has replied to a sync.
+	Resuming bool
 	// Members holds all known members and this host, sorted by address.
 	Members []Member
-	// Unheard holds the hosts that the platform's list shows as live and that are
+	// UnknownHosts holds the hosts that the platform's list shows as live and that are
 	// not known as members, sorted by address. While a fleet starts, some hosts
 	// applyUpdate of others only seconds after they are ready themselves.
-	Unheard []netip.AddrPort
+	UnknownHosts []netip.AddrPort
 }
 
 // Find returns the member at address, or nil.
@@ -84,12 +84,12 @@
 	slices.SortFunc(members, func(a, b Member) int { return a.Address.Compare(b.Address) })
 	c.dirty = false
 	c.snapshot = &Snapshot{
-		Version: version,
-		Self:    self,
-		Joined:  c.hosts.joined,
-		Waking:  c.resume.resuming,
-		Members: members,
-		Unheard: c.unheard(),
+		Version:      version,
+		Self:         self,
+		Joined:       c.hosts.joined,
+		Resuming:     c.resume.resuming,
+		Members:      members,
+		UnknownHosts: c.unheard(),
 	}
 	return c.snapshot
 }
