--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -188,7 +188,7 @@
 		Limited:      e.control.groups.limits.Limited,
 		Path:         e.conf.Probe.Path,
 		Timeout:      e.conf.Probe.Timeout,
-		FreshFor:     e.conf.Probe.ReportTTL,
+		ReportTTL:    e.conf.Probe.ReportTTL,
 	})
 	e.poison = poisonsync.New(poisonsync.Config{
 		Loop:     e.loop,
@@ -204,7 +204,7 @@
 		Pool:      e.pool,
 		Peers:     e.peerAddresses,
 		SlotOrder: e.hostsInTurn,
-		Book:      e.control.groups.limits,
+		Registry:  e.control.groups.limits,
 		OnUpdate:  e.heardLimits,
 	})
 	incarnation := strconv.FormatInt(time.Now().UnixNano(), 36)
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -251,7 +251,7 @@
 				Upstream:   u.ID,
 				Draining:   u.Draining,
 				Activation: u.Start,
-				Evacuated:  c.evacuated.Holds(u.FailureDomain),
+				Evacuated:  c.evacuated.IsEvacuated(u.FailureDomain),
 			})
 		}
 		c.registry.Configure(now, service, c.revision, listings)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -227,7 +227,7 @@
 	}
 	conf := storewatch.Config{
 		Store:              store,
-		Follow:             g.followConfig(),
+		Sync:               g.followConfig(),
 		OnRead:             func(s *storewatch.State) { g.surely(func() { g.control.read(s) }) },
 		OnInitialRead:      g.readPart,
 		FullReadSpread:     restWithin,
@@ -247,7 +247,7 @@
 		fleet.quotaSeeds()
 		conf.Peers = fleet.news
 		conf.Self = fleet.self()
-		conf.Follow.StartReadDelay, conf.Follow.StartFetchDelay = fleet.startTimes()
+		conf.Sync.StartReadDelay, conf.Sync.StartFetchDelay = fleet.startTimes()
 	}
 	g.follower = storewatch.NewWatcher(conf)
 	g.loop.Every(tickEvery, g.control.tick)
--- a/internal/gateway/poison.go
+++ b/internal/gateway/poison.go
@@ -20,7 +20,7 @@
 // NotifyCrash implements proxy.PoisonNotifier.
 func (n poisonNews) NotifyCrash(d poison.Crash) {
 	if f := n.gateway.fleet; f != nil {
-		f.news.SendDeaths(*f.others.Load(), []poison.Crash{d})
+		f.news.SendCrashes(*f.others.Load(), []poison.Crash{d})
 	}
 }
 
@@ -41,7 +41,7 @@
 		return
 	}
 	others := slices.Clone(*g.fleet.others.Load())
-	g.fleet.news.SendDeaths(gossip.Sample(others, gossip.RepeatFanOut, rand.IntN), gossip.Sample(deaths, peertransport.DeathsPerMessage, rand.IntN))
+	g.fleet.news.SendCrashes(gossip.Sample(others, gossip.RepeatFanOut, rand.IntN), gossip.Sample(deaths, peertransport.CrashesPerMessage, rand.IntN))
 }
 
 // knowOthers takes in the other hosts. It runs on the control goroutine.
--- a/internal/limitsync/limitsync.go
+++ b/internal/limitsync/limitsync.go
@@ -44,8 +44,8 @@
 	// empty string for a host that must not be asked for a slot. It may be called from any
 	// goroutine.
 	SlotOrder func() []string
-	// Book holds the limits that this host knows.
-	Book *ratelimit.Registry
+	// Registry holds the limits that this host knows.
+	Registry *ratelimit.Registry
 	// OnUpdate is called with the states that the update of a peer has changed. It may be
 	// called from any goroutine.
 	OnUpdate func([]*ratelimit.State)
@@ -79,7 +79,7 @@
 
 // repeat sends updates again to a few hosts, which may have missed them.
 func (b *Broadcaster) repeat(now time.Time) {
-	known := b.conf.Book.Updates(now)
+	known := b.conf.Registry.Updates(now)
 	if len(known) == 0 {
 		return
 	}
@@ -104,7 +104,7 @@
 			return nil, status.Error(codes.InvalidArgument, err.Error())
 		}
 	}
-	if changed := s.broadcaster.conf.Book.ApplyPeerUpdates(clock.Now(), updates); len(changed) > 0 {
+	if changed := s.broadcaster.conf.Registry.ApplyPeerUpdates(clock.Now(), updates); len(changed) > 0 {
 		s.broadcaster.conf.OnUpdate(changed)
 	}
 	return new(limitsv1.TellResponse), nil
@@ -129,7 +129,7 @@
 // Borrow implements limitsv1.LimitsServer. It lends a time slot of this host to a peer.
 func (s server) Borrow(_ context.Context, req *limitsv1.BorrowRequest) (*limitsv1.BorrowResponse, error) {
 	upstream := ratelimit.Server{IDHash: req.GetUpstream(), StartedAt: req.GetBorn()}
-	return &limitsv1.BorrowResponse{Lent: s.broadcaster.conf.Book.Lend(clock.Now(), upstream)}, nil
+	return &limitsv1.BorrowResponse{Lent: s.broadcaster.conf.Registry.Lend(clock.Now(), upstream)}, nil
 }
 
 func encode(updates []ratelimit.Update) []*limitsv1.Limit {
--- a/internal/limitsync/limitsync_test.go
+++ b/internal/limitsync/limitsync_test.go
@@ -41,7 +41,7 @@
 		Pool:      peer.NewPool(nil),
 		Peers:     func() []string { return append([]string(nil), peers...) },
 		SlotOrder: func() []string { return append([]string{h.address, ""}, peers...) },
-		Book:      h.registry,
+		Registry:  h.registry,
 		OnUpdate:  func(changed []*ratelimit.State) { h.changes <- changed },
 	})
 	if err := server.Start(); err != nil {
--- a/internal/peertransport/poison.go
+++ b/internal/peertransport/poison.go
@@ -16,8 +16,8 @@
 // about the store begin with the opening brace of a JSON object.
 const poisonKind = 'p'
 
-// DeathsPerMessage is the number of crashes that fit into a datagram.
-const DeathsPerMessage = 5
+// CrashesPerMessage is the number of crashes that fit into a datagram.
+const CrashesPerMessage = 5
 
 // poisonMessage reports requests during which upstreams crashed, and requests of that kind that
 // were answered later.
@@ -46,10 +46,10 @@
 	return poison.Fingerprint{Target: m[0], Content: m[1], Caller: m[2]}
 }
 
-// SendDeaths sends crashes of upstreams to each of the hosts, in as many messages as needed.
-func (t *Transport) SendDeaths(to []netip.AddrPort, deaths []poison.Crash) {
+// SendCrashes sends crashes of upstreams to each of the hosts, in as many messages as needed.
+func (t *Transport) SendCrashes(to []netip.AddrPort, deaths []poison.Crash) {
 	now := clock.Now()
-	for part := range slices.Chunk(deaths, DeathsPerMessage) {
+	for part := range slices.Chunk(deaths, CrashesPerMessage) {
 		var m poisonMessage
 		for _, d := range part {
 			m.Crashes = append(m.Crashes, crashMessage{
--- a/internal/peertransport/transport_test.go
+++ b/internal/peertransport/transport_test.go
@@ -250,7 +250,7 @@
 	a, b := startHost(t), startHost(t)
 	now := time.Now()
 	var deaths []poison.Crash
-	for i := range DeathsPerMessage + 1 {
+	for i := range CrashesPerMessage + 1 {
 		deaths = append(deaths, poison.Crash{
 			Request:  poison.FingerprintOf("GET", "shop", fmt.Sprint(i), nil, "caller"),
 			Upstream: 1<<64 - 1 - uint64(i), Host: 1<<64 - 1,
@@ -258,7 +258,7 @@
 		})
 	}
 	to := []netip.AddrPort{b.address}
-	a.SendDeaths(to, deaths)
+	a.SendCrashes(to, deaths)
 	for range 2 {
 		for _, got := range (<-b.poison).crashes {
 			at := slices.IndexFunc(deaths, func(d poison.Crash) bool { return d.Request == got.Request })
--- a/internal/prober/bench_test.go
+++ b/internal/prober/bench_test.go
@@ -23,7 +23,7 @@
 	for _, percent := range []float64{0, 1} {
 		for _, n := range []int{366, 3659, 15000} {
 			b.Run(fmt.Sprintf("percent=%v/upstreams=%d", percent, n), func(b *testing.B) {
-				p, targets := New(Config{Events: event.Discard{}, FreshFor: time.Second}), manyTargets(n, percent)
+				p, targets := New(Config{Events: event.Discard{}, ReportTTL: time.Second}), manyTargets(n, percent)
 				p.SetTargets(targets)
 				b.ReportAllocs()
 				run(b, p, targets)
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -68,8 +68,8 @@
 	Path string
 	// Timeout limits the duration of a probe, and thereby the slot time that it takes.
 	Timeout time.Duration
-	// FreshFor is the age up to which a load report makes a probe unnecessary.
-	FreshFor time.Duration
+	// ReportTTL is the age up to which a load report makes a probe unnecessary.
+	ReportTTL time.Duration
 }
 
 // Prober sends probes until its context ends.
--- a/internal/prober/prober_test.go
+++ b/internal/prober/prober_test.go
@@ -64,7 +64,7 @@
 		events:    &recorder{codes: map[event.Code]int{}},
 	}
 	r.Prober = New(Config{
-		Sender: r.upstreams, Events: r.events, Path: "/load", Timeout: 50 * time.Millisecond, FreshFor: 100 * time.Millisecond,
+		Sender: r.upstreams, Events: r.events, Path: "/load", Timeout: 50 * time.Millisecond, ReportTTL: 100 * time.Millisecond,
 		Report: func(x Report) { r.reports = append(r.reports, x) },
 	})
 	return r
--- a/internal/prober/scan.go
+++ b/internal/prober/scan.go
@@ -58,7 +58,7 @@
 // backoff and it has announced no rate limit.
 func (p *Prober) needsProbe(now time.Time, t *target) bool {
 	due, ok := p.budget.Due(t.Address)
-	if !ok || now.Before(due) || t.age(now) <= p.conf.FreshFor || t.rest.Delay(now) > 0 {
+	if !ok || now.Before(due) || t.age(now) <= p.conf.ReportTTL || t.rest.Delay(now) > 0 {
 		return false
 	}
 	return p.conf.Limited == nil || !p.conf.Limited(t.Address)
--- a/internal/storewatch/watcher.go
+++ b/internal/storewatch/watcher.go
@@ -15,8 +15,8 @@
 type Config struct {
 	// Store is the store to watch.
 	Store Store
-	// Follow configures the synchronization.
-	Follow storesync.Config
+	// Sync configures the synchronization.
+	Sync storesync.Config
 	// Self is this host, with the address at which its peers reach it.
 	Self storesync.Host
 	// Peers reaches the other hosts; nil for a host without peers.
@@ -76,7 +76,7 @@
 		inputs:  make(chan func(), inputQueueSize),
 		process: rand.Uint64(),
 		started: now,
-		core:    storesync.New(now, conf.Follow),
+		core:    storesync.New(now, conf.Sync),
 		mirror:  newMirror(),
 	}
 	f.asOf.Store(new(time.Time))
--- a/internal/storewatch/watcher_test.go
+++ b/internal/storewatch/watcher_test.go
@@ -205,7 +205,7 @@
 	f := &testWatcher{store: store, learned: make(map[string]time.Time), events: make(map[event.Code]int)}
 	conf := Config{
 		Store: store,
-		Follow: storesync.Config{
+		Sync: storesync.Config{
 			MaxChangeDelay:         bound,
 			SoloCheckInterval:      2600 * time.Millisecond,
 			MaxWatchDelay:          150 * time.Millisecond,
--- a/pkg/balancer/probefirst/cold_test.go
+++ b/pkg/balancer/probefirst/cold_test.go
@@ -57,7 +57,7 @@
 	info := balancer.PickInfo{Now: start}
 	is.Equal(chosen(t, pickerOfHost((holder+1)%hosts, hosts, cold, warm), info), "i-warm")
 	is.Equal(chosen(t, pickerOfHost(holder, hosts, cold, warm), info), "i-cold")
-	later := balancer.PickInfo{Now: start.Add(2 * FreshFor)}
+	later := balancer.PickInfo{Now: start.Add(2 * ReportTTL)}
 	for random := range uint64(8) {
 		later.Random = random
 		is.Equal(pickerOfHost((holder+1)%hosts, hosts, cold, warm).QueryTargets(later, 0), []*balancer.Upstream{warm})
--- a/pkg/balancer/probefirst/contention.go
+++ b/pkg/balancer/probefirst/contention.go
@@ -79,7 +79,7 @@
 	if f.Outcome != balancer.Answered || f.Target <= 0 || f.Latency <= 0 || f.Sent == nil || !f.Report.Valid {
 		return
 	}
-	if f.Now.Add(-f.Latency).Sub(f.Sent.At) > FreshFor || f.Sent.Slowdown > maxNormalSlowdown || f.Report.Slowdown > maxNormalSlowdown {
+	if f.Now.Add(-f.Latency).Sub(f.Sent.At) > ReportTTL || f.Sent.Slowdown > maxNormalSlowdown || f.Report.Slowdown > maxNormalSlowdown {
 		return
 	}
 	x := math.Log(float64(f.Latency) / float64(f.Target))
--- a/pkg/balancer/probefirst/cooldown_test.go
+++ b/pkg/balancer/probefirst/cooldown_test.go
@@ -56,13 +56,13 @@
 	is.Equal(choice[:3], "far")
 	is.Equal(failedQueries, remoteFirstRound)
 	for range 6 {
-		info.Now = info.Now.Add(2 * FreshFor)
+		info.Now = info.Now.Add(2 * ReportTTL)
 		info.Random++
 		choice, _ = request(t, p, info)
 		is.Equal(choice[:3], "far")
 	}
 	for range 4 {
-		info.Now = info.Now.Add(FreshFor + time.Millisecond)
+		info.Now = info.Now.Add(ReportTTL + time.Millisecond)
 		info.Random++
 		choice, failedQueries = request(t, p, info)
 		is.Equal(choice[:3], "far")
@@ -81,7 +81,7 @@
 	info := balancer.PickInfo{Now: start}
 	failProbe(a, start)
 	is.True(inCooldown(a, start))
-	info.Now = start.Add(2 * FreshFor)
+	info.Now = start.Add(2 * ReportTTL)
 	is.Equal(p.QueryTargets(info, 0), []*balancer.Upstream{b})
 	reportLoad(a, info.Now, 0, 1)
 	is.True(!inCooldown(a, info.Now))
@@ -95,7 +95,7 @@
 	a := member("a", "here")
 	p := pickerOf(a)
 	failProbe(a, start)
-	info := balancer.PickInfo{Now: start.Add(2 * FreshFor)}
+	info := balancer.PickInfo{Now: start.Add(2 * ReportTTL)}
 	is.Equal(p.QueryTargets(info, 0), []*balancer.Upstream{a})
 	is.Equal(chosen(t, p, info), "a")
 }
@@ -108,5 +108,5 @@
 	for _, u := range all[:12] {
 		failProbe(u, start)
 	}
-	is.Equal(chosen(t, p, balancer.PickInfo{Now: start.Add(2 * FreshFor)})[:3], "far")
+	is.Equal(chosen(t, p, balancer.PickInfo{Now: start.Add(2 * ReportTTL)})[:3], "far")
 }
--- a/pkg/balancer/probefirst/idle_test.go
+++ b/pkg/balancer/probefirst/idle_test.go
@@ -51,20 +51,20 @@
 	is := is.New(t)
 	p, _ := contended(40)
 	info := urgent()
-	info.Now = info.Now.Add(FreshFor * 3) // no report is fresh
+	info.Now = info.Now.Add(ReportTTL * 3) // no report is fresh
 	is.Equal(queriesUntilChosen(p, info, 1, 1, 0), 3)
 	for second := range 20 { // a burst
-		info.Now = info.Now.Add(FreshFor * 3)
+		info.Now = info.Now.Add(ReportTTL * 3)
 		info.Random = uint64(second * 7)
 		queriesUntilChosen(p, info, 1)
 	}
-	info.Now = info.Now.Add(FreshFor * 3)
+	info.Now = info.Now.Add(ReportTTL * 3)
 	is.Equal(queriesUntilChosen(p, info, 1, 0), 1)
 	for range 8 { // the burst is over: upstreams are found idle
-		info.Now = info.Now.Add(FreshFor * 3)
+		info.Now = info.Now.Add(ReportTTL * 3)
 		queriesUntilChosen(p, info, 0)
 	}
-	info.Now = info.Now.Add(FreshFor * 3)
+	info.Now = info.Now.Add(ReportTTL * 3)
 	is.Equal(queriesUntilChosen(p, info, 1, 0), 2)
 }
 
--- a/pkg/balancer/probefirst/probefirst.go
+++ b/pkg/balancer/probefirst/probefirst.go
@@ -20,9 +20,9 @@
 
 // Constants of the choice; docs/design/05-choosing.md lists the measurements behind them.
 const (
-	// FreshFor is the age up to which a report is used. The speed of upstreams changes
+	// ReportTTL is the age up to which a report is used. The speed of upstreams changes
 	// about every 150 ms.
-	FreshFor = 40 * time.Millisecond
+	ReportTTL = 40 * time.Millisecond
 	// QueriesPerRound is the number of upstreams queried in one round.
 	QueriesPerRound = 1
 	// MaxRounds limits the query rounds before one choice.
@@ -112,14 +112,14 @@
 	s := p.contention.estimate()
 	if c := p.best(info, s); c.upstream != nil {
 		if c.full || c.cost > AcceptableCost && (info.Hedge || worthWaiting(info, c.cost)) {
-			return balancer.Result{RetryAfter: FreshFor}, balancer.ErrNoSlot
+			return balancer.Result{RetryAfter: ReportTTL}, balancer.ErrNoSlot
 		}
 		reason := "fresh-report"
 		if c.cost > AcceptableCost {
 			reason = "best-of-slow"
 		}
 		if !c.upstream.Cold.Take(info.Now, p.turns) {
-			return balancer.Result{RetryAfter: FreshFor}, balancer.ErrNoSlot
+			return balancer.Result{RetryAfter: ReportTTL}, balancer.ErrNoSlot
 		}
 		p.contention.recordChoice(c.upstream.Load())
 		return balancer.Result{Upstream: c.upstream, Reason: reason}, nil
@@ -131,7 +131,7 @@
 		return balancer.Result{Upstream: u, Reason: "no-report"}, nil
 	}
 	if p.anyLeft(info) {
-		return balancer.Result{RetryAfter: FreshFor}, balancer.ErrNoSlot
+		return balancer.Result{RetryAfter: ReportTTL}, balancer.ErrNoSlot
 	}
 	return balancer.Result{}, balancer.ErrNoUpstream
 }
@@ -200,7 +200,7 @@
 	for i := range n {
 		u := members[(info.Random+i)%n]
 		l := u.Load()
-		if l == nil || info.Now.Sub(l.At) > FreshFor || !p.eligible(u, info) {
+		if l == nil || info.Now.Sub(l.At) > ReportTTL || !p.eligible(u, info) {
 			continue
 		}
 		c := candidate{upstream: u, cost: cost(u, l, s, info.Now) + extra, full: s.full(l)}
--- a/pkg/balancer/probefirst/probefirst_test.go
+++ b/pkg/balancer/probefirst/probefirst_test.go
@@ -63,8 +63,8 @@
 	a, b := member("a", "here"), member("b", "here")
 	p := pickerOf(a, b)
 	reportLoad(a, start, 0, 1)
-	is.Equal(len(p.QueryTargets(balancer.PickInfo{Now: start.Add(FreshFor)}, 0)), 0)
-	later := balancer.PickInfo{Now: start.Add(FreshFor + 1)}
+	is.Equal(len(p.QueryTargets(balancer.PickInfo{Now: start.Add(ReportTTL)}, 0)), 0)
+	later := balancer.PickInfo{Now: start.Add(ReportTTL + 1)}
 	is.Equal(len(p.QueryTargets(later, 0)), QueriesPerRound)
 	_, err := p.Pick(later) // no response: chooses without a report
 	is.NoErr(err)
@@ -123,7 +123,7 @@
 	a, b := member("a", "here"), member("b", "here")
 	p := pickerOf(a, b)
 	failProbe(a, start)
-	now := start.Add(FreshFor + 1)
+	now := start.Add(ReportTTL + 1)
 	reportLoad(a, now, 0, 1)
 	reportLoad(b, now, 2, 1)
 	is.Equal(chosen(t, p, balancer.PickInfo{Now: now}), "b")
--- a/pkg/balancer/probefirst/query.go
+++ b/pkg/balancer/probefirst/query.go
@@ -91,12 +91,12 @@
 	return l == nil || now.Sub(l.At) >= age
 }
 
-// fresh reports whether u was queried or sent a report within FreshFor. A failed query
+// fresh reports whether u was queried or sent a report within ReportTTL. A failed query
 // counts too.
 func fresh(u *balancer.Upstream, now time.Time) bool {
-	if l := u.Load(); l != nil && now.Sub(l.At) <= FreshFor {
+	if l := u.Load(); l != nil && now.Sub(l.At) <= ReportTTL {
 		return true
 	}
 	_, age := u.Failures(now)
-	return age <= FreshFor
+	return age <= ReportTTL
 }
--- a/pkg/evacuation/evacuation.go
+++ b/pkg/evacuation/evacuation.go
@@ -80,8 +80,8 @@
 	return out
 }
 
-// Holds reports whether a failure domain is evacuated.
-func (s *Set) Holds(failureDomain string) bool { return s.domains[failureDomain].evacuated }
+// IsEvacuated reports whether a failure domain is evacuated.
+func (s *Set) IsEvacuated(failureDomain string) bool { return s.domains[failureDomain].evacuated }
 
 // List returns the evacuated failure domains, sorted by name.
 func (s *Set) List() []Domain {
--- a/pkg/evacuation/evacuation_test.go
+++ b/pkg/evacuation/evacuation_test.go
@@ -11,10 +11,10 @@
 func Example() {
 	var s Set
 	s.Apply(Change{FailureDomain: "hanoi"}, 7)
-	fmt.Println(s.Holds("hanoi"))
+	fmt.Println(s.IsEvacuated("hanoi"))
 	s.Apply(Change{FailureDomain: "hanoi", Ended: true}, 9)
 	s.Apply(Change{FailureDomain: "hanoi"}, 7) // late
-	fmt.Println(s.Holds("hanoi"))
+	fmt.Println(s.IsEvacuated("hanoi"))
 	// Output:
 	// true
 	// false
@@ -28,7 +28,7 @@
 	is.Equal(s.Replace([]Domain{{"b", 5}}, 6), []Change{{"a", true}, {"b", false}})
 	is.Equal(s.List(), []Domain{{"b", 5}})
 	is.Equal(len(s.Replace(nil, 4)), 0) // an older list
-	is.True(s.Holds("b"))
+	is.True(s.IsEvacuated("b"))
 	is.Equal(s.Replace(nil, 8), []Change{{"b", true}})
 	is.Equal(len(s.List()), 0)
 }
