--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -212,8 +212,8 @@
 		proxy.WithExecutor(e.tickets),
 		proxy.WithTracer(e.tracer),
 		proxy.WithUpstreams(e.control),
-		proxy.WithPoisonNews(e.poison),
-		proxy.WithLenders(e.limits),
+		proxy.WithPoisonNotifier(e.poison),
+		proxy.WithSlotBorrower(e.limits),
 	)
 	e.server = httpwire.NewServer(httpwire.ServerConfig{
 		Address:      e.conf.Listen,
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -84,7 +84,7 @@
 		out = append(out, member)
 	}
 	for _, a := range s.UnknownHosts {
-		out = append(out, operator.Member{Host: a.String(), PeerAddress: a.String(), State: operator.Unheard})
+		out = append(out, operator.Member{Host: a.String(), PeerAddress: a.String(), State: operator.Unknown})
 	}
 	return out
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -99,7 +99,7 @@
 		return err
 	}
 	g.metrics = metrics.New()
-	g.output = logging.NonBlocking(w)
+	g.output = logging.NewNonBlockingWriter(w)
 	log := logging.New(g.output, level)
 	g.trails = logging.NewRequestLogger(log)
 	other := logging.NewProcessLogger(log)
@@ -168,12 +168,12 @@
 		proxy.WithLoadQuerier(&asker{client: g.client, dialect: dialect, events: g.sink, told: g.control, random: rand.Uint64}),
 		proxy.WithUpstreams(g.control),
 		proxy.WithStartupQueue(),
-		proxy.WithTrails(g.trails),
+		proxy.WithRequestLogger(g.trails),
 		proxy.WithSharedBudget(retryShare(g.conf, 0)),
-		proxy.WithPoisonNews(poisonNews{g}),
-		proxy.WithLenders(lenders{g}),
+		proxy.WithPoisonNotifier(poisonNews{g}),
+		proxy.WithSlotBorrower(lenders{g}),
 		proxy.WithQuotas(&countedQuotas{Enforcer: g.quotas, events: g.sink}),
-		proxy.WithKeysKnown(g.keysKnown),
+		proxy.WithKeysCurrent(g.keysKnown),
 	)
 	g.server = httpwire.NewServer(httpwire.ServerConfig{
 		Address:          g.conf.Listen,
--- a/internal/logging/request_logger.go
+++ b/internal/logging/request_logger.go
@@ -32,9 +32,9 @@
 	bufferedLines = 4096
 )
 
-// NonBlocking returns a writer that never waits for w: lines that don't fit into its buffer
+// NewNonBlockingWriter returns a writer that never waits for w: lines that don't fit into its buffer
 // are dropped and counted. Close writes the buffered lines.
-func NonBlocking(w io.Writer) *NonBlockingWriter {
+func NewNonBlockingWriter(w io.Writer) *NonBlockingWriter {
 	n := new(NonBlockingWriter)
 	n.Writer = diode.NewWriter(w, bufferedLines, 0, func(missed int) { n.dropped.Add(int64(missed)) })
 	return n
@@ -64,9 +64,9 @@
 	return &RequestLogger{sink: sink, limit: tokenBucket{perSecond: LinesPerSecond, capacity: LineBurst, tokens: LineBurst}}
 }
 
-// Ended writes the events of a request that has ended, oldest first, if the rate limit
+// LogRequest writes the events of a request that has ended, oldest first, if the rate limit
 // allows it. It does not retain the slice.
-func (l *RequestLogger) Ended(events []event.Event, notable bool) {
+func (l *RequestLogger) LogRequest(events []event.Event, notable bool) {
 	if len(events) == 0 {
 		return
 	}
--- a/internal/logging/request_logger_test.go
+++ b/internal/logging/request_logger_test.go
@@ -28,7 +28,7 @@
 	logger := NewRequestLogger(New(&out, zerolog.InfoLevel))
 	start := time.Unix(1000, 0)
 	for i := range 10_000 { // in one second
-		logger.Ended(refusedRequest(start.Add(time.Duration(i)*100*time.Microsecond), 4), true)
+		logger.LogRequest(refusedRequest(start.Add(time.Duration(i)*100*time.Microsecond), 4), true)
 	}
 	lines := bytes.Count(out.Bytes(), []byte("\n"))
 	is.True(lines <= LineBurst+LinesPerSecond)
@@ -44,11 +44,11 @@
 	logger := NewRequestLogger(New(&out, zerolog.InfoLevel))
 	at := time.Unix(1000, 0)
 	for range 100 * OrdinarySampling {
-		logger.Ended(refusedRequest(at, 100), false)
+		logger.LogRequest(refusedRequest(at, 100), false)
 	}
 	ordinary := bytes.Count(out.Bytes(), []byte("\n"))
 	is.True(ordinary > 0 && ordinary <= LineBurst-OrdinaryReserve)
-	logger.Ended(refusedRequest(at, OrdinaryReserve), true)
+	logger.LogRequest(refusedRequest(at, OrdinaryReserve), true)
 	is.Equal(bytes.Count(out.Bytes(), []byte("\n")), ordinary+OrdinaryReserve)
 }
 
@@ -68,7 +68,7 @@
 	is := is.New(t)
 	output := new(stalledWriter)
 	output.mu.Lock()
-	w := NonBlocking(output)
+	w := NewNonBlockingWriter(output)
 	log := New(w, zerolog.InfoLevel)
 	done := make(chan struct{})
 	go func() {
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -57,7 +57,7 @@
 		Build:         s.conf.Build,
 		Events:        statsMessage(s.conf.Events.Stats()),
 	}
-	if state := s.conf.Source.InForce(); state != nil {
+	if state := s.conf.Source.Current(); state != nil {
 		st.Revision = state.Revision
 		st.Digest = state.Digest
 	}
--- a/internal/operator/follow.go
+++ b/internal/operator/follow.go
@@ -188,7 +188,7 @@
 	switch {
 	case m.Self:
 		return ""
-	case m.State == Unheard:
+	case m.State == Unknown:
 		return "listed by the platform, but not known to the membership"
 	case m.Revision < r.target && m.State == Suspect:
 		return fmt.Sprintf("not heard of; last at revision %d, before %d", m.Revision, r.target)
--- a/internal/operator/local.go
+++ b/internal/operator/local.go
@@ -20,8 +20,8 @@
 // Store replaces the snapshot, which must not be changed afterwards.
 func (p *Published) Store(s *plan.State) { p.state.Store(s) }
 
-// InForce implements ConfigSource.
-func (p *Published) InForce() *plan.State { return p.state.Load() }
+// Current implements ConfigSource.
+func (p *Published) Current() *plan.State { return p.state.Load() }
 
 // SingleHost is a FleetView of one entry host without peers.
 type SingleHost struct {
@@ -35,7 +35,7 @@
 func (s SingleHost) Members() []Member {
 	m := s.Member
 	m.Self = true
-	if state := s.Source.InForce(); state != nil {
+	if state := s.Source.Current(); state != nil {
 		m.Revision = state.Revision
 		m.Digest = state.Digest
 	}
@@ -72,7 +72,7 @@
 
 // Upstreams implements UpstreamView.
 func (c ConfiguredUpstreams) Upstreams(service string) []*operatorv1.UpstreamStatus {
-	state := c.Source.InForce()
+	state := c.Source.Current()
 	if state == nil {
 		return nil
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -340,7 +340,7 @@
 	defer pool.Close()
 	a := startHost(t, "10.1.0.1", NoPeers{})
 	b := startHost(t, "10.1.0.2", PeerClient{Connections: pool})
-	b.fleet.members = append(b.fleet.members, Member{Host: "10.1.0.1", State: Unheard, PeerAddress: a.address})
+	b.fleet.members = append(b.fleet.members, Member{Host: "10.1.0.1", State: Unknown, PeerAddress: a.address})
 	a.publish(t, 7, []byte(ledger))
 	b.publish(t, 7, []byte(ledger))
 	_, err := a.drain(nil, "ledger-1", "ana")
@@ -354,7 +354,7 @@
 // TestPlanWarnsOfUnreachableHosts checks that a plan names the hosts that could not be
 // queried, so that a missing response is not mistaken for the absence of other plans.
 func TestPlanWarnsOfUnreachableHosts(t *testing.T) {
-	for _, state := range []MemberState{Alive, Suspect, Leaving, Unheard, Dead} {
+	for _, state := range []MemberState{Alive, Suspect, Leaving, Unknown, Dead} {
 		t.Run(string(state), func(t *testing.T) {
 			is := is.New(t)
 			h := startHost(t, "10.1.0.1", NoPeers{})
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -72,7 +72,7 @@
 
 // state returns the current configuration and adds its versions to the history.
 func (s *Server) state() (*plan.State, error) {
-	state := s.conf.Source.InForce()
+	state := s.conf.Source.Current()
 	if state == nil {
 		return nil, status.Error(codes.Unavailable, "no configuration is in force on this entry host yet")
 	}
--- a/internal/operator/sources.go
+++ b/internal/operator/sources.go
@@ -17,9 +17,9 @@
 
 // ConfigSource provides the current configuration.
 type ConfigSource interface {
-	// InForce returns an immutable snapshot of the current configuration, or nil while there
+	// Current returns an immutable snapshot of the current configuration, or nil while there
 	// is none.
-	InForce() *plan.State
+	Current() *plan.State
 }
 
 // MemberState is the state of an entry host in the membership.
@@ -31,9 +31,9 @@
 	Suspect MemberState = "suspect"
 	Leaving MemberState = "leaving"
 	Dead    MemberState = "dead"
-	// Unheard is the state of a host that the platform lists and that is not known to the
+	// Unknown is the state of a host that the platform lists and that is not known to the
 	// membership.
-	Unheard MemberState = "unheard"
+	Unknown MemberState = "unheard"
 )
 
 // Member is an entry host as this host's membership view shows it.
--- a/internal/proxy/customer.go
+++ b/internal/proxy/customer.go
@@ -25,9 +25,9 @@
 // WithQuotas enforces quotas through q. Without it, requests are not limited.
 func WithQuotas(q Quotas) Option { return func(p *Proxy) { p.quotas = q } }
 
-// WithKeysKnown refuses requests with a key while known returns false, which means that
+// WithKeysCurrent refuses requests with a key while known returns false, which means that
 // this host may have missed a revocation. Known is called on traffic goroutines.
-func WithKeysKnown(known func() bool) Option { return func(p *Proxy) { p.keysKnown = known } }
+func WithKeysCurrent(known func() bool) Option { return func(p *Proxy) { p.keysKnown = known } }
 
 // caller is the origin of a request.
 type caller struct {
--- a/internal/proxy/dialect_test.go
+++ b/internal/proxy/dialect_test.go
@@ -231,7 +231,7 @@
 	is.Equal(x.retryAfter(errkind.UpstreamRefused), limit.RetryAfterBase/2)
 }
 
-// requestRecorder records the last call of Ended.
+// requestRecorder records the last call of LogRequest.
 type requestRecorder struct {
 	codes   []event.Code
 	notable bool
@@ -239,7 +239,7 @@
 	version uint64
 }
 
-func (r *requestRecorder) Ended(events []event.Event, notable bool) {
+func (r *requestRecorder) LogRequest(events []event.Event, notable bool) {
 	r.codes, r.notable, r.load = nil, notable, nil
 	for _, e := range events {
 		r.codes = append(r.codes, e.Code)
@@ -254,7 +254,7 @@
 		return &httpwire.Response{Status: status, Header: http.Header{testSignature: {"s"}}}, nil
 	})
 	trails := new(requestRecorder)
-	p := New("127.0.0.1", "test", sender, event.Discard{}, WithRandom(seeded(1)), WithDialect(testDialect()), WithTrails(trails))
+	p := New("127.0.0.1", "test", sender, event.Discard{}, WithRandom(seeded(1)), WithDialect(testDialect()), WithRequestLogger(trails))
 	p.SetTable(routing.Compile(7, []*config.Service{registeredService(sale(), map[string]int{"a": 1})}, groupsFunc(twoOfEach)))
 	p.Serve(t.Context(), dialectRequest("POST"))
 	is.Equal(trails.codes, []event.Code{event.RequestReceived, event.UpstreamChosen, event.RequestAnswered})
--- a/internal/proxy/limiting_test.go
+++ b/internal/proxy/limiting_test.go
@@ -180,7 +180,7 @@
 		h := &limitHost{fleet: f, schedule: timeslot.New(strconv.Itoa(i)), snapshot: allActive(upstreams)}
 		h.schedule.Set(clock.Now(), timeslot.Position{Self: i, Hosts: hosts})
 		h.registry = ratelimit.NewRegistry(h.schedule)
-		h.proxy = New("127.0.0.1", "test", f.upstreams, new(recorder), WithRandom(seeded(uint64(i+1))), WithUpstreams(h), WithLenders(h))
+		h.proxy = New("127.0.0.1", "test", f.upstreams, new(recorder), WithRandom(seeded(uint64(i+1))), WithUpstreams(h), WithSlotBorrower(h))
 		h.proxy.SetTable(routing.Compile(1, []*config.Service{s}, groupsFunc(h.group)))
 		f.hosts = append(f.hosts, h)
 	}
--- a/internal/proxy/poison.go
+++ b/internal/proxy/poison.go
@@ -35,7 +35,7 @@
 }
 
 // WithPoisonNotifier notifies the other hosts through n.
-func WithPoisonNews(n PoisonNotifier) Option { return func(p *Proxy) { p.poison.notifier = n } }
+func WithPoisonNotifier(n PoisonNotifier) Option { return func(p *Proxy) { p.poison.notifier = n } }
 
 // poisonState holds what a proxy knows about requests that crash upstreams.
 type poisonState struct {
--- a/internal/proxy/ratelimit.go
+++ b/internal/proxy/ratelimit.go
@@ -85,7 +85,7 @@
 }
 
 // WithSlotBorrower borrows time slots through l when no upstream is available to this host.
-func WithLenders(l SlotBorrower) Option { return func(p *Proxy) { p.slotBorrower = l } }
+func WithSlotBorrower(l SlotBorrower) Option { return func(p *Proxy) { p.slotBorrower = l } }
 
 // maxBorrowAttempts is the number of hosts that are asked for a time slot for one request.
 // When callers send twice what all upstreams of a service accept, two attempts use 0.95 to
--- a/internal/proxy/trail.go
+++ b/internal/proxy/trail.go
@@ -11,13 +11,13 @@
 
 // RequestLogger receives all events of a request when it ends.
 type RequestLogger interface {
-	// Ended is called once for each request. Notable is set if the request failed, was not
+	// LogRequest is called once for each request. Notable is set if the request failed, was not
 	// sent exactly once, or got its response after its target. Events must not be retained.
-	Ended(events []event.Event, notable bool)
+	LogRequest(events []event.Event, notable bool)
 }
 
 // WithRequestLogger passes the events of each request to t when it ends.
-func WithTrails(t RequestLogger) Option { return func(p *Proxy) { p.requestLogger = t } }
+func WithRequestLogger(t RequestLogger) Option { return func(p *Proxy) { p.requestLogger = t } }
 
 // eventLog collects the events of one request. It is locked because the attempts of a
 // hedged request run concurrently.
@@ -53,7 +53,7 @@
 // logRequest passes the events to the request logger.
 func (x *exchange) logRequest(resp *httpwire.Response) {
 	if x.proxy.requestLogger != nil {
-		x.proxy.requestLogger.Ended(x.eventLog.close(), x.notable(resp))
+		x.proxy.requestLogger.LogRequest(x.eventLog.close(), x.notable(resp))
 	}
 }
 
