--- a/internal/quotas/keeper.go
+++ b/internal/quotas/keeper.go
@@ -51,7 +51,7 @@
 // Validate checks a question of another host.
 func (q *Request) Validate() error {
 	if q.Role > RoleFinalHop || (q.Role == RoleBackup || q.Role == RoleWitness) && !q.Coordinator.IsValid() {
-		return errors.Wrapf(quota.ErrInvalidRequest, "role %d, coordinator %s", q.Role, q.Coordinator)
+		return errors.Wrapf(quota.ErrInvalidRequest, "role %d, host in charge %s", q.Role, q.Coordinator)
 	}
 	return q.Request.Validate()
 }
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -53,14 +53,14 @@
 )
 
 // ErrInvalidRequest means that a question of another host can't be true.
-var ErrInvalidRequest = errors.New("invalid quota message")
+var ErrInvalidRequest = errors.New("question for room that can't be true")
 
 // Validate checks a question of another host.
 func (a *Request) Validate() error {
 	ok := a.Customer != "" && inRange(a.Required, maxAsked) && inRange(a.Prefetch, maxAsked) && inRange(a.Used, maxUsed) &&
 		a.Limit.PerSecond > 0 && a.Limit.PerSecond <= maxRate && a.Limit.Burst >= 0 && a.Limit.Burst <= maxRate
 	if !ok {
-		return errors.Wrapf(ErrInvalidRequest, "request {Customer:%s Limit:%+v Required:%d Prefetch:%d Used:%d}",
+		return errors.Wrapf(ErrInvalidRequest, "{Customer:%s Limit:%+v Must:%d Ahead:%d Used:%d}",
 			a.Customer, a.Limit, a.Required, a.Prefetch, a.Used)
 	}
 	return nil
@@ -85,7 +85,7 @@
 // Validate checks the answer of another host.
 func (a *Answer) Validate() error {
 	if !inRange(a.Granted, 2*maxAsked) || a.Wait < 0 || a.Wait > maxWait {
-		return errors.Wrapf(ErrInvalidRequest, "response {Granted:%d Wait:%v Unavailable:%t}", a.Granted, a.Wait, a.Unavailable)
+		return errors.Wrapf(ErrInvalidRequest, "answer {Granted:%d Wait:%v Nobody:%t}", a.Granted, a.Wait, a.Unavailable)
 	}
 	return nil
 }
