--- a/internal/entry/build.go
+++ b/internal/entry/build.go
@@ -141,7 +141,7 @@
 	ledger := atmostonce.DefaultConfig()
 	ledger.Lifetime = e.conf.Tickets.Lifetime
 	ledger.MaxTickets = e.conf.Tickets.MaxRecords
-	ledger.MaxKeptBytes = e.conf.Tickets.MaxBytes
+	ledger.MaxStoredBytes = e.conf.Tickets.MaxBytes
 	tickets, err := execution.New(execution.Config{
 		Host:      e.host,
 		Address:   address,
@@ -188,7 +188,7 @@
 		Limited:      e.control.groups.limits.Limited,
 		Path:         e.conf.Probe.Path,
 		Timeout:      e.conf.Probe.Timeout,
-		FreshFor:     e.conf.Probe.ReportTTL,
+		ReportTTL:    e.conf.Probe.ReportTTL,
 	})
 	e.poison = poisonsync.New(poisonsync.Config{
 		Loop:     e.loop,
@@ -204,7 +204,7 @@
 		Pool:      e.pool,
 		Peers:     e.peerAddresses,
 		SlotOrder: e.slotOrder,
-		Book:      e.control.groups.limits,
+		Registry:  e.control.groups.limits,
 		OnUpdate:  e.reportPeerLimits,
 	})
 	incarnation := strconv.FormatInt(time.Now().UnixNano(), 36)
@@ -212,8 +212,8 @@
 		proxy.WithExecutor(e.tickets),
 		proxy.WithTracer(e.tracer),
 		proxy.WithUpstreams(e.control),
-		proxy.WithPoisonNews(e.poison),
-		proxy.WithLenders(e.limits),
+		proxy.WithPoisonNotifier(e.poison),
+		proxy.WithSlotBorrower(e.limits),
 	)
 	e.server = httpwire.NewServer(httpwire.ServerConfig{
 		Address:      e.conf.Listen,
@@ -234,13 +234,13 @@
 
 func (e *Entry) buildControl(ctx context.Context) error {
 	e.notices = notices.New(notices.Config{
-		Loop:   e.loop,
-		Server: e.peerServer,
-		Pool:   e.pool,
-		Peers:  e.peerAddresses,
-		Known:  e.control.registry.Notices,
-		Merge:  e.control.mergeNotices,
-		Waking: e.control.Resuming,
+		Loop:     e.loop,
+		Server:   e.peerServer,
+		Pool:     e.pool,
+		Peers:    e.peerAddresses,
+		Known:    e.control.registry.Notices,
+		Merge:    e.control.mergeNotices,
+		Resuming: e.control.Resuming,
 	})
 	e.feed = configfeed.New(ctx, configfeed.Config{
 		Host: e.host,
--- a/internal/entry/groups_test.go
+++ b/internal/entry/groups_test.go
@@ -74,7 +74,7 @@
 	is := is.New(t)
 	f := newGroupFleet()
 	f.publish(groupOf("random", "a", "b"))
-	f.registry.Refused(time.Now(), lifecycle.UpstreamKey{Service: "catalogue", Upstream: "a"}, 0)
+	f.registry.RecordLeaving(time.Now(), lifecycle.UpstreamKey{Service: "catalogue", Upstream: "a"}, 0)
 	picker := f.publish(groupOf("random", "a", "b")) // the document still lists a as active
 	for i := range 50 {
 		res, err := picker.Pick(balancer.PickInfo{Random: uint64(i) << 56})
@@ -99,7 +99,7 @@
 	is.Equal(kept.Picker, picker)                       // another service changed
 	is.Equal(kept.Lifecycle, f.store.lifecycle.Version) // but the group reflects the newest lifecycle
 
-	f.registry.Refused(time.Now(), lifecycle.UpstreamKey{Service: "catalogue", Upstream: "a"}, 0)
+	f.registry.RecordLeaving(time.Now(), lifecycle.UpstreamKey{Service: "catalogue", Upstream: "a"}, 0)
 	f.store.lifecycle, _ = f.registry.Flush()
 	left := f.store.Group(&f.service, g).Picker
 	is.True(left != picker) // one of its upstreams is leaving
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -250,7 +250,7 @@
 				Upstream:   u.ID,
 				Draining:   u.Draining,
 				Activation: u.Start,
-				Evacuated:  c.evacuated.Holds(u.FailureDomain),
+				Evacuated:  c.evacuated.IsEvacuated(u.FailureDomain),
 			})
 		}
 		c.registry.Configure(now, service, c.revision, specs)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,7 +66,7 @@
 
 // New assembles an entry host from validated settings. Logs are written to w.
 func New(conf Settings, store storewatch.Store, dialect *proxy.Dialect, w io.Writer) (*Gateway, error) {
-	if err := clock.Check(); err != nil {
+	if err := clock.CheckSupport(); err != nil {
 		return nil, errors.Wrap(err, "boot clock")
 	}
 	g := &Gateway{conf: conf, loop: control.NewLoop()}
@@ -99,7 +99,7 @@
 		return err
 	}
 	g.metrics = metrics.New()
-	g.output = logging.NonBlocking(w)
+	g.output = logging.NewNonBlockingWriter(w)
 	log := logging.New(g.output, level)
 	g.requestLogger = logging.NewRequestLogger(log)
 	other := logging.NewProcessLogger(log)
@@ -171,20 +171,20 @@
 		proxy.WithLoadQuerier(&loadQuerier{client: g.client, dialect: dialect, events: g.sink, upstreams: g.control, random: rand.Uint64}),
 		proxy.WithUpstreams(g.control),
 		proxy.WithStartupQueue(),
-		proxy.WithTrails(g.requestLogger),
+		proxy.WithRequestLogger(g.requestLogger),
 		proxy.WithSharedBudget(retryShare(g.conf, 0)),
-		proxy.WithPoisonNews(poisonNotifier{g}),
-		proxy.WithLenders(slotBorrower{g}),
+		proxy.WithPoisonNotifier(poisonNotifier{g}),
+		proxy.WithSlotBorrower(slotBorrower{g}),
 		proxy.WithQuotas(&reportingQuotas{Enforcer: g.quotas, events: g.sink}),
-		proxy.WithKeysKnown(g.keysCurrent),
+		proxy.WithKeysCurrent(g.keysCurrent),
 	)
 	g.server = httpwire.NewServer(httpwire.ServerConfig{
-		Address:      g.conf.Listen,
-		MaxBodyBytes: maxRequestBytes,
-		MaxKeptBytes: g.conf.MemoryBytes / bufferedBytesDivisor,
-		BodyTimeout:  bodyTimeout,
-		Handler:      g.proxy,
-		Refuse:       g.proxy.RefuseUnread,
+		Address:          g.conf.Listen,
+		MaxBodyBytes:     maxRequestBytes,
+		MaxBufferedBytes: g.conf.MemoryBytes / bufferedBytesDivisor,
+		BodyTimeout:      bodyTimeout,
+		Handler:          g.proxy,
+		Refuse:           g.proxy.RefuseUnread,
 	})
 }
 
@@ -232,7 +232,7 @@
 	}
 	conf := storewatch.Config{
 		Store:              store,
-		Follow:             g.syncConfig(),
+		Sync:               g.syncConfig(),
 		OnRead:             func(s *storewatch.State) { g.postBlocking(func() { g.control.applyState(s) }) },
 		OnInitialRead:      g.applyInitialState,
 		FullReadSpread:     fullReadSpread,
@@ -252,7 +252,7 @@
 		fleet.setQuotaSeeds()
 		conf.Peers = fleet.transport
 		conf.Self = fleet.self()
-		conf.Follow.StartReadDelay, conf.Follow.StartFetchDelay = fleet.startDelays()
+		conf.Sync.StartReadDelay, conf.Sync.StartFetchDelay = fleet.startDelays()
 	}
 	g.watcher = storewatch.NewWatcher(conf)
 	g.loop.Every(tickInterval, g.control.tick)
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -39,7 +39,7 @@
 			set.Put(now, discovery.Upstream{ID: "u", Service: "s", Born: 1, Revision: 1})
 			list()
 			is.True(accepts())
-			registry.Refused(now, lifecycle.UpstreamKey{Service: "s", Upstream: "u"}, 1)
+			registry.RecordLeaving(now, lifecycle.UpstreamKey{Service: "s", Upstream: "u"}, 1)
 			is.True(!accepts())
 			list() // its entry still says that it is ready
 			is.True(!accepts())
--- a/internal/gateway/poison.go
+++ b/internal/gateway/poison.go
@@ -20,7 +20,7 @@
 // NotifyCrash implements proxy.PoisonNotifier.
 func (n poisonNotifier) NotifyCrash(d poison.Crash) {
 	if f := n.gateway.fleet; f != nil {
-		f.transport.SendDeaths(*f.others.Load(), []poison.Crash{d})
+		f.transport.SendCrashes(*f.others.Load(), []poison.Crash{d})
 	}
 }
 
@@ -42,7 +42,7 @@
 		return
 	}
 	others := slices.Clone(*g.fleet.others.Load())
-	g.fleet.transport.SendDeaths(gossip.Sample(others, gossip.RepeatFanOut, rand.IntN), gossip.Sample(crashes, peertransport.DeathsPerMessage, rand.IntN))
+	g.fleet.transport.SendCrashes(gossip.Sample(others, gossip.RepeatFanOut, rand.IntN), gossip.Sample(crashes, peertransport.CrashesPerMessage, rand.IntN))
 }
 
 // updateOthers records the other hosts. It runs on the control goroutine.
--- a/internal/httpwire/memory.go
+++ b/internal/httpwire/memory.go
@@ -2,7 +2,7 @@
 
 import "github.com/dapplespindle/dapplespindle/pkg/errkind"
 
-// This file bounds the memory used for requests and responses. Clients may send and read
+// This file bounds the memory used for requests and responses. Callers may send and read
 // slowly, and a host may have little memory: without a bound, buffered bytes could exhaust
 // the memory and end the process, which would abort all other requests.
 
@@ -12,7 +12,7 @@
 
 // memoryExceeded reports whether the buffered bytes exceed the memory limit.
 func (s *Server) memoryExceeded() bool {
-	limit := s.conf.MaxKeptBytes
+	limit := s.conf.MaxBufferedBytes
 	return limit > 0 && s.buffered.Load() > limit
 }
 
--- a/internal/poisonsync/poisonsync.go
+++ b/internal/poisonsync/poisonsync.go
@@ -80,7 +80,7 @@
 // send sends an update to each of the hosts, without waiting for them. A host that can't be
 // reached receives crashes again by repeat.
 func (b *Broadcaster) send(peers []string, req *poisonv1.TellRequest) {
-	b.conf.Pool.CallAll(peers, callTimeout, func(ctx context.Context, c *grpc.ClientConn) error {
+	b.conf.Pool.Broadcast(peers, callTimeout, func(ctx context.Context, c *grpc.ClientConn) error {
 		_, err := poisonv1.NewPoisonClient(c).Tell(ctx, req)
 		return err
 	})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -187,9 +187,9 @@
 	return resp
 }
 
-// MayRunAhead implements httpwire.Ahead: a repeatable request may run while earlier
+// AllowConcurrent implements httpwire.ConcurrentHandler: a repeatable request may run while earlier
 // requests on its connection are still running.
-func (p *Proxy) MayRunAhead(req *httpwire.Request) bool {
+func (p *Proxy) AllowConcurrent(req *httpwire.Request) bool {
 	s := p.state.Load()
 	if s == nil {
 		return false
@@ -235,7 +235,7 @@
 func (p *Proxy) newExchange(req *httpwire.Request) *exchange {
 	x := &exchange{proxy: p, req: req, id: p.requestID(req)}
 	x.tried = x.triedBuffer[:0]
-	x.hop = p.tracer.Begin(x.id, req.Header, clock.Wall(req.Received))
+	x.hop = p.tracer.Begin(x.id, req.Header, clock.ToWall(req.Received))
 	return x
 }
 
--- a/internal/upstream/suspend_test.go
+++ b/internal/upstream/suspend_test.go
@@ -26,13 +26,13 @@
 	})
 	client := startClient(t, Config{})
 	once := request("POST", nil)
-	once.Once = true
+	once.NonRepeatable = true
 	for range 2 {
 		_, err := client.Do(testContext(t), address, once)
 		is.True(err == nil)
 	}
 	is.Equal(connections.Load(), int64(1))
-	defer clock.Skip(5 * time.Second)()
+	defer clock.SimulateSuspension(5 * time.Second)()
 	_, err := client.Do(testContext(t), address, once)
 	is.True(err == nil)
 	is.Equal(connections.Load(), int64(2))
