--- a/internal/operator/follow.go
+++ b/internal/operator/follow.go
@@ -189,7 +189,7 @@
 	case m.Self:
 		return ""
 	case m.State == Unknown:
-		return "listed by the platform, but not known to the membership"
+		return "on the platform's list, never heard of"
 	case m.Revision < r.target && m.State == Suspect:
 		return fmt.Sprintf("not heard of; last at revision %d, before %d", m.Revision, r.target)
 	case m.Revision < r.target:
@@ -206,7 +206,7 @@
 func (r *rollout) listAllAsLagging(update *operatorv1.FollowUpdate, members []Member) {
 	for _, m := range members {
 		if m.State != Dead {
-			update.Lagging = append(update.Lagging, lagging(m, "not in force on the responding host either"))
+			update.Lagging = append(update.Lagging, lagging(m, "not in force on the answering host either"))
 		}
 	}
 }
