--- a/pkg/lifecycle/notice.go
+++ b/pkg/lifecycle/notice.go
@@ -56,10 +56,10 @@
 const keyBytes = 8
 
 // ErrTruncatedNotice means that an encoded notice is truncated.
-var ErrTruncatedNotice = errors.New("notice is truncated")
+var ErrTruncatedNotice = errors.New("notice ends early")
 
 // ErrVarintOverflow means that a varint in a notice overflows 64 bits.
-var ErrVarintOverflow = errors.New("varint in a notice overflows 64 bits")
+var ErrVarintOverflow = errors.New("number in a notice is over 64 bits")
 
 // appendTo appends the encoding of n to b.
 func (n Notice) appendTo(b []byte) []byte {
