--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -62,8 +62,7 @@
 	ok := r.Customer != "" && inRange(r.Required, maxRequested) && inRange(r.Prefetch, maxRequested) && inRange(r.Used, maxUsed) &&
 		r.Limit.PerSecond > 0 && r.Limit.PerSecond <= maxRate && r.Limit.Burst >= 0 && r.Limit.Burst <= maxRate
 	if !ok {
-		return errors.Wrapf(ErrInvalidRequest, "{Customer:%s Limit:%+v Required:%d Prefetch:%d Used:%d}",
-			r.Customer, r.Limit, r.Required, r.Prefetch, r.Used)
+		return errors.Wrapf(ErrInvalidRequest, "%+v", *r)
 	}
 	return nil
 }
@@ -88,7 +87,7 @@
 // Validate checks the answer of another host.
 func (a *Answer) Validate() error {
 	if !inRange(a.Granted, 2*maxRequested) || a.Wait < 0 || a.Wait > maxWait {
-		return errors.Wrapf(ErrInvalidRequest, "answer {Granted:%d Wait:%v Unavailable:%t}", a.Granted, a.Wait, a.Unavailable)
+		return errors.Wrapf(ErrInvalidRequest, "answer %+v", *a)
 	}
 	return nil
 }
