--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Checks each specification below spec/ with spin and prints its state count.
-# A specification names its broken twins on a line " * broken: MACRO ..."; the
+# A specification names its broken variants on a line " * broken: MACRO ..."; the
 # search must be complete and without error, and an assertion must fail in
-# each twin. Arguments: the specifications to check; default: all.
+# each variant. Arguments: the specifications to check; default: all.
 # SPEC_SECONDS bounds one search, in seconds.
 set -euo pipefail
 cd "$(dirname "$0")"
@@ -51,10 +51,10 @@
 for spec in "$@"; do
   spec=$(basename "$spec")
   expect pass "$spec" || status=1
-  twins=$(sed -n 's/^ \* broken: //p' "$spec")
-  [ -n "$twins" ] || { echo "$spec names no broken twin"; status=1; }
-  for twin in $twins; do
-    expect assertion "$spec" "$twin" || status=1
+  variants=$(sed -n 's/^ \* broken: //p' "$spec")
+  [ -n "$variants" ] || { echo "$spec names no broken variant"; status=1; }
+  for variant in $variants; do
+    expect assertion "$spec" "$variant" || status=1
   done
 done
 exit "$status"
