--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// fakeClocks simulates the clocks of a machine. WallStep is how far its wall clock was
+// fakeClocks simulates the clocks of a machine. wallStep is how far its wall clock was
 // set, and suspended is how long it was suspended.
 type fakeClocks struct {
 	monotonic, wallStep, suspended time.Duration
