--- a/Makefile
+++ b/Makefile
@@ -69,14 +69,14 @@
 charts:
 	CHARTS_WRITE=1 go test -count=1 ./charts
 
-# Measurements for docs/design/04 and 08: probe budget, draining and charts under
-# faults.
+# Measurements for docs/design/04 and 08: probe budget, draining and state charts
+# under faults.
 measure-lifecycle:
 	go test -count=1 -v -run 'Window|Restarts|News|Seconds|Bytes' ./pkg/probebudget ./pkg/lifecycle -rapid.checks=2000
 	go test -count=1 -run '^$$' -bench . ./charts ./pkg/lifecycle ./pkg/probebudget
 
-# Cost, detection time, false suspicions, joining and healing of the membership
-# protocol, in virtual time.
+# Cost, detection time, false suspicions, joins and recovery from partitions of the
+# membership protocol, in virtual time.
 measure-membership:
 	go test -run '^$$' -bench . -benchtime 1x -timeout 30m ./pkg/membership
 
@@ -109,7 +109,8 @@
 	@MEASURE=1 go test -count=1 -run 'TestMeasure(Amplification|Hedging|Overload)' -v ./internal/proxy | grep -v '^\(=== RUN\|--- PASS\|PASS\|ok\)'
 	@go test -run '^$$' -bench . -benchtime 200ms -cpu 1,4 ./internal/proxy ./pkg/retry ./pkg/queue ./pkg/limit | grep Benchmark
 
-# Prints the effect of neighbouring values of the constants; takes a few minutes.
+# Prints goodput and latency for neighbouring values of the constants of pkg/limit and
+# pkg/queue; takes a few minutes.
 measure-overload-constants:
 	@scripts/overload-neighbours.sh
 
@@ -118,7 +119,7 @@
 	@scripts/bench-wire.sh
 	go test -run '^$$' -bench . -benchmem ./internal/httpwire ./internal/upstream
 
-# The overhead of TLS towards callers per request and per connection.
+# The overhead of TLS with callers, per request and per connection.
 bench-tls:
 	@scripts/bench-tls.sh
 	go test -run '^$$' -bench 'Latency|Handshakes|IdleMemory|OverTLS' ./internal/httpwire
--- a/scripts/bench-tls.sh
+++ b/scripts/bench-tls.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Measures the overhead of TLS: two entry hosts in front of one upstream without
-# service time, one plaintext and one with TLS towards callers, interleaved in one
-# run. Stops the processes that it started.
+# service time, one plaintext and one that uses TLS with callers, interleaved in one run.
+# Stops the processes that it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 make --no-print-directory build
@@ -30,7 +30,9 @@
   "groups": [{"name": "main", "upstreams": [{"id": "u1", "address": "'"$upstream"'", "failure_domain": "a", "slots": 1000, "max_connections": 1000}]}],
   "rules": [{"name": "all", "group": "main", "repeat": "repeatable", "deadline": "5s"}]}'
 
-entry() { # LISTEN FIRST-PORT-OF-THE-OTHERS FLAGS
+# entry LISTEN PORT FLAGS... starts an entry host; its other listeners use PORT and the
+# next two ports.
+entry() {
   local listen=$1 port=$2
   shift 2
   bin/spindled --listen "$listen" --admin-listen "$ip:$port" --peer-listen "$ip:$((port + 1))" \
@@ -44,6 +46,6 @@
 }
 entry "$plaintext" $((base + 10))
 entry "$secure" $((base + 20)) --caller-tls-cert "$out/cert.pem" --caller-tls-key "$out/key.pem"
-echo "direct is the plaintext entry host, through is the one with TLS towards callers"
+echo "direct is the plaintext entry host, through is the one that uses TLS with callers"
 SSL_CERT_FILE="$out/cert.pem" bin/spindle-load compare --direct "http://$plaintext/bench/x" \
   --through "https://$secure/bench/x" --entry-pid "$entry_pid" "$@"
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -48,7 +48,7 @@
 curl -is "http://127.0.0.1:8090/catalogue/lots/42" -H 'X-Request-Id: demo-1'
 sleep 0.2
 bin/spindlectl explain demo-1 --server 127.0.0.1:8093
-echo "--- one action through another entry host: a ticket, the action, and its repetition"
+echo "--- one action through another entry host: a ticket, the action, and its repeated request"
 last=$((8080 + 10 * entries))
 ticket=$(curl -s -o /dev/null -D - -X POST "http://127.0.0.1:8090/ledger/sale" | tr -d '\r' | sed -n 's/^Dapplespindle-Ticket: //p')
 for _ in 1 2; do
--- a/scripts/overload-neighbours.sh
+++ b/scripts/overload-neighbours.sh
@@ -8,7 +8,7 @@
 mkdir "$scratch/base"
 git ls-files -co --exclude-standard -z | xargs -0 cp --parents -t "$scratch/base"
 
-# run FILE CONSTANT VALUE measures a copy in which CONSTANT has VALUE.
+# run FILE CONSTANT VALUE measures a copy of the tree in which CONSTANT has VALUE.
 run() {
   local dir="$scratch/$2-$3"
   cp -r "$scratch/base" "$dir"
