--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -162,7 +162,8 @@
 
 // Resuming reports whether this process was paused and has not caught up yet. It
 // detects a pause before the control goroutine does, so the result is correct
-// also for a traffic goroutine that calls it immediately after the pause.
+// also for a goroutine that serves requests and calls it immediately after the
+// pause.
 func (m *Members) Resuming() bool {
 	sinceTick := clock.Since(m.started) - time.Duration(m.lastTick.Load())
 	return sinceTick > m.conf.PauseThreshold || m.snapshot.Load().Resuming
--- a/internal/notices/notices.go
+++ b/internal/notices/notices.go
@@ -134,9 +134,9 @@
 }
 
 // fetch requests the notices of many peers, because a peer that has just started
-// too has none. With a single peer per host, when eight of thirteen hosts were
-// restarted together, one of them served without a notice that the five others
-// had.
+// too has none. When each starting host asked only one peer and eight of thirteen
+// hosts were restarted together, one of them served without a notice that the
+// five others had.
 func (s *Broadcaster) fetch(now time.Time) {
 	epoch := s.epoch.Load()
 	f := fetchCalls{inProgress: min(fetchFanOut, len(s.conf.Peers()))}
@@ -168,8 +168,8 @@
 	return f.inProgress == 0 && f.starting > 0
 }
 
-// exchangeWith exchanges all known notices with n peers and calls ended with the
-// result of each call.
+// exchangeWith exchanges all known notices with up to n random peers and calls
+// ended with the result of each call.
 func (s *Broadcaster) exchangeWith(now time.Time, n int, ended func(error)) {
 	req := &noticesv1.ExchangeRequest{Notices: lifecycle.EncodeNotices(s.conf.Known(now)), Want: true}
 	epoch := s.epoch.Load()
--- a/internal/storewatch/mirror.go
+++ b/internal/storewatch/mirror.go
@@ -9,9 +9,10 @@
 	"github.com/dapplespindle/dapplespindle/pkg/evacuation"
 )
 
-// historyEvents is the minimum number of changes of upstreams kept for peers, and half of the
-// maximum. Most changes come within seconds, when all upstreams start. A peer that lacks more
-// changes receives the full state, which is far more expensive.
+// historyEvents is the minimum number of changes of upstreams and evacuations kept for peers once
+// older ones have been dropped, and half of the maximum. Most changes come within seconds, when all
+// upstreams start. A peer that lacks more changes receives the full state, which is far more
+// expensive.
 const historyEvents = 8192
 
 // mirror holds the published state as of one revision, for handing it to peers. It is used only
--- a/internal/storewatch/peers.go
+++ b/internal/storewatch/peers.go
@@ -22,7 +22,8 @@
 	Sent    time.Duration
 	// Revision is the newest revision that the sender knows.
 	Revision uint64
-	// Age is the age of the sender's knowledge: it knows every change from before then.
+	// Age is the age of the sender's knowledge: it knows every change that was older than Age
+	// when it sent the message.
 	Age time.Duration
 	// ReturnedAge is the time since the store recovered from its last outage; 0 if that is
 	// long ago.
--- a/internal/storewatch/watcher_test.go
+++ b/internal/storewatch/watcher_test.go
@@ -267,7 +267,7 @@
 	return at.Sub(from), ok
 }
 
-// bound is within the time in which a change must be in force on the known platforms.
+// bound is the time within which a change must take effect on the known platforms.
 const bound = 2 * time.Second
 
 // expectInTime checks that a change made now is learned within the bound.
--- a/pkg/lifecycle/bench_test.go
+++ b/pkg/lifecycle/bench_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// BenchmarkRefused measures Refused for a registry of many services with 37
-// upstreams each, the target scale. Only the first call changes anything.
+// BenchmarkRefused measures RecordLeaving for a registry of many services with
+// 37 upstreams each, the target scale. Only the first call changes anything.
 func BenchmarkRefused(b *testing.B) {
 	const perService = 37
 	for _, services := range []int{10, 100, 410} {
--- a/pkg/lifecycle/host.go
+++ b/pkg/lifecycle/host.go
@@ -34,7 +34,7 @@
 // HostConfig holds the timeouts of a graceful shutdown.
 type HostConfig struct {
 	// Grace is how long the host still accepts requests after it reports not
-	// ready, so that the platform's balancer moves callers away.
+	// ready, so that the platform's load balancer moves callers away.
 	Grace time.Duration
 	// Deadline is the maximum duration of the shutdown, from the first signal.
 	Deadline time.Duration
--- a/pkg/lifecycle/notice.go
+++ b/pkg/lifecycle/notice.go
@@ -45,7 +45,7 @@
 }
 
 // allows reports whether a document entry with this revision and activation
-// accepts precedence over n.
+// takes precedence over n.
 func (n Notice) allows(revision, activation uint64) bool {
 	return revision > n.DrainRevision && activation >= n.MinActivation
 }
--- a/pkg/lifecycle/updates.go
+++ b/pkg/lifecycle/updates.go
@@ -97,10 +97,10 @@
 	}
 }
 
-// RecordLeaving records an upstream's own announcement that it is leaving, for every
-// service that lists it. Activation is the one that the request was sent under,
-// from its View; a late response to a request of an earlier activation has no
-// effect.
+// RecordLeaving records an upstream's own announcement that it is leaving, for
+// every service that lists it. Activation is the one that the request was sent
+// under, from its View; a late response to a request of an earlier activation has
+// no effect.
 func (r *Registry) RecordLeaving(now time.Time, k UpstreamKey, activation uint64) {
 	r.recordLeft(now, k, activation, fromUpstream)
 	if m := r.member(k); m == nil || m.spec.Activation != activation {
--- a/pkg/membership/hosts.go
+++ b/pkg/membership/hosts.go
@@ -141,8 +141,9 @@
 	c.out.Events = append(c.out.Events, event.Event{Code: event.MemberSelfJoined, Value: int64(len(c.records))})
 }
 
-// stepReconnect periodically attempts to reach a host that is dead or was never
-// known, so that the two sides of a healed partition find each other again.
+// stepReconnect periodically attempts to reach a host that is considered dead or
+// was never known, so that the two sides of a healed partition find each other
+// again.
 func (c *Core) stepReconnect() {
 	settling := c.periods < settlePeriods
 	if c.periods%reconnectInterval != 0 && !settling || !c.active() {
--- a/pkg/membership/probe.go
+++ b/pkg/membership/probe.go
@@ -93,7 +93,7 @@
 }
 
 // nextTarget iterates over all members that are not dead, in a random order that
-// is reshuffled for each round.
+// is reshuffled for each round. Urgent members come first.
 func (c *Core) nextTarget() *record {
 	for len(c.urgent) > 0 {
 		r := c.urgent[0]
--- a/pkg/membership/snapshot.go
+++ b/pkg/membership/snapshot.go
@@ -37,9 +37,9 @@
 	Resuming bool
 	// Members holds all known members and this host, sorted by address.
 	Members []Member
-	// UnknownHosts holds the hosts that the platform's list shows as live and that are
-	// not known as members, sorted by address. While a fleet starts, some hosts
-	// applyUpdate of others only seconds after they are ready themselves.
+	// UnknownHosts holds the hosts that the platform's list shows as live and that
+	// are not known as members, sorted by address. While a fleet starts, some hosts
+	// learn of others only seconds after they are ready themselves.
 	UnknownHosts []netip.AddrPort
 }
 
--- a/pkg/statechart/chart.go
+++ b/pkg/statechart/chart.go
@@ -24,7 +24,7 @@
 type item struct {
 	// Name is the identifier that transitions and code refer to.
 	Name string
-	// Doc is a description of one sentence.
+	// Doc is a one-sentence description.
 	Doc string
 	// Final marks a state without outgoing transitions.
 	Final bool
--- a/pkg/statechart/example_test.go
+++ b/pkg/statechart/example_test.go
@@ -22,7 +22,7 @@
   - {from: held, event: expire, to: free, do: [notify]}
 `
 
-// The names are resolved once, at start; a step is then one table look-up. The
+// The names are resolved once, at start; a step is then one table lookup. The
 // caller holds the state.
 func Example() {
 	chart, err := statechart.Parse("lease.yaml", []byte(leaseChart))
--- a/pkg/storesync/fleet_test.go
+++ b/pkg/storesync/fleet_test.go
@@ -15,8 +15,8 @@
 // apply to it.
 const faultFreePeriod = 3 * time.Second
 
-// expect schedules a check that every host without faults for the next maxChangeDelay knows the
-// current revision by then.
+// expect schedules a check that every running host that can reach the store, and has had no fault
+// since faultFreePeriod before now, knows the current revision after maxChangeDelay.
 func (w *simulation) expect(report func(host int, revision, known uint64)) {
 	revision, from := w.revision, w.now
 	w.after(maxChangeDelay, func() {
@@ -152,7 +152,7 @@
 }
 
 // TestReturnIsSeenWithoutTheFirstHost makes the host that pings the store for the fleet fail
-// during an outage. Changes made when the store returns must still be known in time.
+// during an outage. Changes made when the store recovers must still be known in time.
 func TestReturnIsSeenWithoutTheFirstHost(t *testing.T) {
 	for name, fault := range hostFaults {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/storesync/outage_test.go
+++ b/pkg/storesync/outage_test.go
@@ -79,7 +79,7 @@
 }
 
 // TestReturnIsSeenWithoutTheFirstHosts makes all hosts that ping the store during an outage fail
-// when the store returns. The other hosts must detect its return themselves.
+// when the store recovers. The other hosts must detect its recovery themselves.
 func TestReturnIsSeenWithoutTheFirstHosts(t *testing.T) {
 	const gone = 12
 	for name, fault := range hostFaults {
--- a/pkg/storesync/peers.go
+++ b/pkg/storesync/peers.go
@@ -24,7 +24,7 @@
 	maxBusyDeferrals = 5
 )
 
-// ApplyPeerRecovery records that a peer saw the end of a store outage at the time returned.
+// ApplyPeerRecovery records that a peer saw a store outage end at the time given by returned.
 // It must be called before the changes of the same message are applied.
 func (c *Core) ApplyPeerRecovery(now, returned time.Time) Effects {
 	c.announceRecovery(returned)
