--- a/internal/notices/notices.go
+++ b/internal/notices/notices.go
@@ -81,7 +81,7 @@
 
 // Fetched reports whether a peer's notices were merged since the start, or since
 // the last Refetch. It is also true if all peers that responded are starting too;
-// see fetch.
+// see fetchCalls.finished.
 func (s *Broadcaster) Fetched() bool { return s.fetchedEpoch.Load() == s.epoch.Load() }
 
 // Refetch requests the notices of several peers after this process was paused.
@@ -92,8 +92,8 @@
 	s.exchangeWith(clock.Now(), refetchFanOut, func(error) {})
 }
 
-// Broadcast pushes notices to peers in the next rounds. Notices about the same
-// upstream are joined, so that a push contains each upstream once.
+// Broadcast pushes notices to peers at once and in the next rounds. Notices about
+// the same upstream are joined, so that a push contains each upstream once.
 func (s *Broadcaster) Broadcast(notices []lifecycle.Notice) {
 	if len(notices) == 0 {
 		return
--- a/internal/peertransport/transport.go
+++ b/internal/peertransport/transport.go
@@ -3,8 +3,8 @@
 // on all hosts.
 //
 // It implements no policy; pkg/storesync does. Messages carry no signature: the network between
-// the hosts is trusted, and a message is accepted only from the address that it names as its
-// sender.
+// the hosts is trusted. A message about the store is accepted only from the address that it names
+// as its sender.
 package peertransport
 
 import (
--- a/pkg/storesync/world_test.go
+++ b/pkg/storesync/world_test.go
@@ -211,8 +211,8 @@
 	})
 }
 
-// start starts a process. The argument first is true for a host of a fleet that starts for the
-// first time, where others read the store.
+// start starts a process. The argument first is true for a host of a new fleet that asks its peers
+// at once and leaves reading the store to the first hosts of the fleet.
 func (h *host) start(first bool) {
 	h.incarnation++
 	h.alive, h.paused, h.deferred, h.watch = true, false, nil, nil
