--- a/internal/notices/notices.go
+++ b/internal/notices/notices.go
@@ -81,7 +81,7 @@
 
 // Fetched reports whether a peer's notices were merged since the start, or since
 // the last Refetch. It is also true if all peers that responded are starting too;
-// see fetch.
+// see fetchCalls.finished.
 func (s *Broadcaster) Fetched() bool { return s.fetchedEpoch.Load() == s.epoch.Load() }
 
 // Refetch requests the notices of several peers after this process was paused.
@@ -92,8 +92,8 @@
 	s.exchangeWith(clock.Now(), refetchFanOut, func(error) {})
 }
 
-// Broadcast pushes notices to peers in the next rounds. Notices about the same
-// upstream are joined, so that a push contains each upstream once.
+// Broadcast pushes notices to peers at once and in the next rounds. Notices about
+// the same upstream are joined, so that a push contains each upstream once.
 func (s *Broadcaster) Broadcast(notices []lifecycle.Notice) {
 	if len(notices) == 0 {
 		return
@@ -134,9 +134,9 @@
 }
 
 // fetch requests the notices of many peers, because a peer that has just started
-// too has none. With a single peer per host, when eight of thirteen hosts were
-// restarted together, one of them served without a notice that the five others
-// had.
+// too has none. When each starting host asked only one peer and eight of thirteen
+// hosts were restarted together, one of them served without a notice that the
+// five others had.
 func (s *Broadcaster) fetch(now time.Time) {
 	epoch := s.epoch.Load()
 	f := fetchCalls{inProgress: min(fetchFanOut, len(s.conf.Peers()))}
@@ -168,8 +168,8 @@
 	return f.inProgress == 0 && f.starting > 0
 }
 
-// exchangeWith exchanges all known notices with n peers and calls ended with the
-// result of each call.
+// exchangeWith exchanges all known notices with up to n random peers and calls
+// ended with the result of each call.
 func (s *Broadcaster) exchangeWith(now time.Time, n int, ended func(error)) {
 	req := &noticesv1.ExchangeRequest{Notices: lifecycle.EncodeNotices(s.conf.Known(now)), Want: true}
 	epoch := s.epoch.Load()
