--- a/internal/ctl/root.go
+++ b/internal/ctl/root.go
@@ -1,5 +1,5 @@
 // Package ctl implements spindlectl, the operators' command line. Most commands call the
-// operators' gRPC interface of one entry host; none of them publishes a configuration.
+// operator API of one entry host over gRPC; none of them publishes a configuration.
 package ctl
 
 import (
--- a/internal/entry/hosts.go
+++ b/internal/entry/hosts.go
@@ -45,9 +45,9 @@
 	return out
 }
 
-// applyHostList marks the upstreams as leaving that run on hosts which the platform's
-// list says are leaving. It runs on the control goroutine. A list that is older than the
-// last one is ignored.
+// applyHostList marks as leaving the upstreams on hosts that are leaving according to the
+// platform's list. It runs on the control goroutine. A list that is older than the last
+// one is ignored.
 func (c *controller) applyHostList(list *platform.HostList) {
 	if list.Revision < c.hostsRevision {
 		return
--- a/internal/lab/fault.go
+++ b/internal/lab/fault.go
@@ -91,7 +91,8 @@
 	slowOneUpstream(s)
 }
 
-// slowOneFailOne slows down one random upstream and makes another draw fail fast.
+// slowOneFailOne slows down a random upstream and makes a random upstream fail fast.
+// Both draws may select the same upstream.
 func slowOneFailOne(s *simulation) {
 	slowOneUpstream(s)
 	failOneUpstream(s)
--- a/internal/operator/sources.go
+++ b/internal/operator/sources.go
@@ -1,6 +1,6 @@
-// Package operator implements the operators' gRPC interface of an entry host.
+// Package operator implements the operator API of an entry host over gRPC.
 //
-// The interface is read-only: plans are computed from the current configuration, which is
+// The API is read-only: plans are computed from the current configuration, which is
 // read through ConfigSource, and are not applied. The package depends on the daemon through
 // narrow interfaces only; their methods are called from gRPC goroutines and must be safe
 // for concurrent use.
@@ -50,7 +50,7 @@
 	Incarnation uint64
 	// Revision and Digest identify the host's current configuration as last received from it.
 	Revision, Digest uint64
-	// Self is true for the host that answers the call.
+	// Self is true for the host that serves the call.
 	Self bool
 }
 
