--- a/internal/loadgen/level.go
+++ b/internal/loadgen/level.go
@@ -19,8 +19,8 @@
 	Rounds []Round
 }
 
-// Round is one measurement of one load. Requests alternated between the paths:
-// path 0 is direct, path i+1 leads through entry host i.
+// Round is one measurement of one load. At each arrival, one request is sent on
+// each path: path 0 is direct, path i+1 leads through entry host i.
 type Round struct {
 	// Paths holds SendLatency and Errors of each path.
 	Paths []*Stats
