--- a/internal/execution/sendguard.go
+++ b/internal/execution/sendguard.go
@@ -21,7 +21,7 @@
 
 // BeforeSend must be called immediately before each send of a request, with the
 // context that Service.Execute passed to run or Config.Local. If it returns an
-// error, nothing may be sent. It returns nil for a context of other origin.
+// error, nothing may be sent. It returns nil for any other context.
 func BeforeSend(ctx context.Context) *errkind.Error {
 	g, _ := ctx.Value(sendGuardKey{}).(*sendGuard)
 	if g == nil {
--- a/internal/execution/service.go
+++ b/internal/execution/service.go
@@ -36,7 +36,7 @@
 	// needed because a forged ticket can name any address. Nil allows all.
 	KnownPeer func(netip.AddrPort) bool
 	// Direct reports whether requests of a rule are sent without a ticket, once
-	// and by the host that receives them. Nil means that no rule does.
+	// and by the host that receives them. Nil means none are.
 	Direct func(*routing.Rule) bool
 	// Local routes and runs a request that a peer forwarded. It must not call
 	// Service.Execute. It must not be nil.
--- a/internal/quotas/customer.go
+++ b/internal/quotas/customer.go
@@ -26,7 +26,8 @@
 	waiting    []*waiter
 	requesting bool // requestLoop runs
 	lastUsed   time.Time
-	// exhaustedUntil is until when requests are rejected locally, by the last answer.
+	// exhaustedUntil is the time until which requests are rejected locally, according to the
+	// last answer.
 	exhaustedUntil time.Time
 	// lastRetry is the retry time that the last rejected request was given.
 	lastRetry time.Time
--- a/pkg/atmostonce/real_test.go
+++ b/pkg/atmostonce/real_test.go
@@ -63,7 +63,7 @@
 }
 
 // incarnationLedger holds the tickets of one incarnation. If moved is set, they were
-// handed over to host to.
+// handed over to the host with the index to.
 type incarnationLedger struct {
 	sealer *atmostonce.Sealer
 	ledger *atmostonce.Ledger
--- a/pkg/atmostonce/ticket.go
+++ b/pkg/atmostonce/ticket.go
@@ -29,7 +29,7 @@
 var ErrMalformed = errors.New("malformed ticket")
 
 // Secret is the key that signs the tickets of one incarnation. It is random and
-// never leaves the process, except when a planned shutdown hands the tickets over
+// never leaves the process, except when a graceful shutdown hands the tickets over
 // to a successor.
 type Secret [SecretBytes]byte
 
@@ -108,7 +108,7 @@
 func (s *Sealer) Incarnation() Incarnation { return s.incarnation }
 
 // Secret returns the signing key, for handing the tickets over to a successor in
-// a planned shutdown.
+// a graceful shutdown.
 func (s *Sealer) Secret() Secret { return s.secret }
 
 // Seal returns the signed ticket with the given sequence number.
--- a/pkg/config/config.go
+++ b/pkg/config/config.go
@@ -56,8 +56,8 @@
 type Hedge string
 
 const (
-	// HedgeOverdue is the default. A hedge is sent when the response is overdue by
-	// the estimate of the group's balancer policy.
+	// HedgeOverdue is the default. A hedge is sent when the response is overdue
+	// according to the estimate of the group's balancer policy.
 	HedgeOverdue Hedge = "overdue"
 	// HedgeOff disables hedging.
 	HedgeOff Hedge = "off"
@@ -84,7 +84,7 @@
 	// ExecutionTicket requires a ticket, which protects callers that repeat a
 	// request. Default.
 	ExecutionTicket Execution = "ticket"
-	// ExecutionDirect sends each request that arrives once. A request that the caller
+	// ExecutionDirect sends each arriving request once. A request that the caller
 	// repeats is a new request.
 	ExecutionDirect Execution = "direct"
 )
--- a/pkg/configsync/fleet_test.go
+++ b/pkg/configsync/fleet_test.go
@@ -37,7 +37,7 @@
 }
 
 // naive is a faulty node: it adopts whatever it last read from the platform or
-// received from a peer, also if it is older, and serves after its first read.
+// received from a peer, even if it is older, and serves after its first read.
 type naive struct {
 	*Node
 }
--- a/pkg/limit/retryafter.go
+++ b/pkg/limit/retryafter.go
@@ -11,7 +11,7 @@
 	RetryAfterBase = 2 * time.Second
 	// RetryAfterMax is the longest retry delay.
 	RetryAfterMax = 30 * time.Second
-	// excessWeight is the divisor for the weight of one request in the moving average
+	// excessWeight is the inverse of the weight of one request in the moving average
 	// of the refused share.
 	excessWeight = 256
 	// maxRefused bounds the refused share, so that the excess stays finite.
--- a/pkg/poison/table.go
+++ b/pkg/poison/table.go
@@ -93,7 +93,8 @@
 }
 
 // HasSuspect reports whether a suspect has this service and target. If not, the caller needs
-// no fingerprint. The call takes 4 ns if there are no suspects, and 28 ns if there are others.
+// no fingerprint. The call takes 4 ns if there are no suspects, and 28 ns if there are only
+// others.
 func (t *Table) HasSuspect(service, target string) bool {
 	if t.count.Load() == 0 {
 		return false
@@ -104,7 +105,8 @@
 	return t.targets[key] > 0
 }
 
-// RefusedUntil returns until when a request is refused, or the zero time if it is not refused.
+// RefusedUntil returns the time until which a request is refused, or the zero time if it is
+// not refused.
 func (t *Table) RefusedUntil(now time.Time, f Fingerprint) time.Time {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -141,7 +143,7 @@
 type RecordResult struct {
 	// New is true if the crash was not known.
 	New bool
-	// RefusedUntil is until when the request is refused; zero if it is not refused.
+	// RefusedUntil is the time until which the request is refused; zero if it is not refused.
 	RefusedUntil time.Time
 	// NewlyRefused is true if the request is refused because of this report.
 	NewlyRefused bool
@@ -321,8 +323,8 @@
 	return out
 }
 
-// quarantineEnd returns until when a request with these crashes is refused, or the zero time
-// if they don't show that the request is the cause.
+// quarantineEnd returns the time until which a request with these crashes is refused, or the
+// zero time if they don't show that the request is the cause.
 func quarantineEnd(crashes []Crash, least int) time.Time {
 	if len(crashes) < least || len(distinct(crashes)) < least || !sentAfterCrash(crashes) {
 		return time.Time{}
--- a/pkg/queue/queue_test.go
+++ b/pkg/queue/queue_test.go
@@ -73,7 +73,7 @@
 	is.Equal(dropped[0].Reason, queue.WaitLimitReached)
 }
 
-// TestTarget: an entry is queued for as long as it can be answered within its target, dropped
+// TestTarget: an entry is queued for as long as it can be answered within its target, given
 // its expected service time, and is rejected or dropped as soon as it can't.
 func TestTarget(t *testing.T) {
 	is := is.New(t)
