--- a/internal/quotas/customer.go
+++ b/internal/quotas/customer.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// cancel marks a waiter as cancelled. Quota that was granted to it is returned now, quota
+// cancel marks a waiter as cancelled. Quota that was granted to it is returned now; quota
 // that is granted later is returned by deliver.
 func (s *customerState) cancel(now time.Time, w *waiter) {
 	s.mu.Lock()
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -103,7 +103,8 @@
 // SelectCoordinator returns the indices of a customer's coordinator and of its backup. Both
 // are chosen by rendezvous hashing; the backup is in another failure domain if there is one.
 // All hosts select the same backup, so that no two hosts take over from a coordinator that
-// is lost. The coordinator is -1 if there are no hosts, and the backup if there is only one.
+// is lost. The coordinator is -1 if there are no hosts, and the backup is -1 if there is no
+// second host.
 func SelectCoordinator(customer string, hosts []Host) (coordinator, backup int) {
 	coordinator, backup = -1, -1
 	var highest, next, nextRemote uint64
