--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -61,7 +61,8 @@
 	is.Equal(later.Grant(at(6000), hostA, used, fullShare).Granted, 20) // these were granted by this account
 }
 
-// TestAccountThatSucceedsAnother starts with a share of the burst.
+// TestAccountThatSucceedsAnother: an account that takes over from another host's starts with a
+// share of the burst.
 func TestAccountThatSucceedsAnother(t *testing.T) {
 	is := is.New(t)
 	policy := GrantPolicy{Share: 1, TakenOver: true}
