--- a/internal/quotas/customer.go
+++ b/internal/quotas/customer.go
@@ -26,7 +26,8 @@
 	waiting    []*waiter
 	requesting bool // requestLoop runs
 	lastUsed   time.Time
-	// exhaustedUntil is until when requests are rejected locally, by the last answer.
+	// exhaustedUntil is the time until which requests are rejected locally, according to the
+	// last answer.
 	exhaustedUntil time.Time
 	// lastRetry is the retry time that the last rejected request was given.
 	lastRetry time.Time
@@ -72,7 +73,7 @@
 	}
 }
 
-// cancel marks a waiter as cancelled. Quota that was granted to it is returned now, quota
+// cancel marks a waiter as cancelled. Quota that was granted to it is returned now; quota
 // that is granted later is returned by deliver.
 func (s *customerState) cancel(now time.Time, w *waiter) {
 	s.mu.Lock()
