--- a/internal/httpwire/ahead_test.go
+++ b/internal/httpwire/ahead_test.go
@@ -79,7 +79,8 @@
 	return b.String()
 }
 
-// expectResponses reads the responses to requests from to to-1 and checks their order.
+// expectResponses reads the responses to the requests with the numbers in [from, to) and
+// checks their order.
 func (c *testCaller) expectResponses(t *testing.T, from, to int) (last *http.Response) {
 	t.Helper()
 	for i := from; i < to; i++ {
--- a/internal/httpwire/config.go
+++ b/internal/httpwire/config.go
@@ -45,7 +45,7 @@
 	HeadTimeout time.Duration
 	// BodyTimeout bounds the time from the end of the head to the last byte of the body.
 	BodyTimeout time.Duration
-	// WriteTimeout bounds the time until the kernel has accepted a whole response.
+	// WriteTimeout bounds the time until the kernel has accepted a complete response.
 	WriteTimeout time.Duration
 	// IdleTimeout bounds the time for which a connection without a request stays open.
 	IdleTimeout time.Duration
--- a/internal/httpwire/serverconn.go
+++ b/internal/httpwire/serverconn.go
@@ -180,7 +180,7 @@
 }
 
 // pipelineLimit is how much bufferPipelined accepts, in bytes. A caller may have read
-// the whole response, and have sent its next request, before onResponseWritten is
+// the complete response, and have sent its next request, before onResponseWritten is
 // called. As the response left the connection open, a complete request must fit:
 // without that, 11 of 384 runs of three consecutive 8 MB bodies under other load were
 // cut off without a response.
--- a/internal/httpwire/socket/read.go
+++ b/internal/httpwire/socket/read.go
@@ -9,8 +9,8 @@
 )
 
 // EOFHandler is a session that needs to know whether the peer closed its connection in an
-// orderly way. The event loop does not tell: it reports "end of file" also for a reset
-// that arrives together with the last bytes or before anything was read.
+// orderly way. The event loop does not distinguish this: it also reports "end of file" for
+// a reset that arrives together with the last bytes or before anything was read.
 type EOFHandler interface {
 	// ReadUntilEOF reports whether to read again after a short read, to detect an end of
 	// file that has already arrived.
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -138,7 +138,7 @@
 }
 
 // RecordReport records that a response of the server at an address included a load report.
-// Traffic goroutines call it; it takes no lock.
+// It is called on goroutines that serve requests, and takes no lock.
 func (p *Prober) RecordReport(address string, now time.Time) {
 	if t := (*p.targets.Load())[address]; t != nil {
 		t.reported.Store(now.UnixNano())
@@ -146,7 +146,7 @@
 }
 
 // SetBackoff records that the server at an address has requested a backoff until the given time.
-// Traffic goroutines call it; it takes no lock.
+// It is called on goroutines that serve requests, and takes no lock.
 func (p *Prober) SetBackoff(address string, until time.Time) {
 	if t := (*p.targets.Load())[address]; t != nil {
 		t.rest.Extend(until)
--- a/internal/prober/target.go
+++ b/internal/prober/target.go
@@ -22,8 +22,8 @@
 	Plan probebudget.Plan
 }
 
-// target is a Target with the time of its newest report, which traffic
-// goroutines set.
+// target is a Target with the time of its newest report, which the goroutines
+// that serve requests set.
 type target struct {
 	Target
 	ids      []string     // IDs under which groups list it
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -18,8 +18,8 @@
 	"github.com/dapplespindle/dapplespindle/pkg/limit"
 )
 
-// All calls to the balancer (Pick, Begin and Finish) are in this file, except that choose
-// in rest.go calls Pick.
+// This file contains the calls of Begin and Finish of pkg/balancer; choose in rest.go calls
+// Pick.
 
 // binding assigns an attempt to an upstream and holds its permit from the limiter.
 // It must be sent or released.
--- a/internal/proxy/customer.go
+++ b/internal/proxy/customer.go
@@ -12,8 +12,8 @@
 
 // This file identifies the customer of a request and enforces customer quotas.
 
-// Quotas enforces the customers' quotas over all entry hosts. Its methods are called on
-// traffic goroutines.
+// Quotas enforces the customers' quotas over all entry hosts. Its methods are called on the
+// goroutines that serve requests.
 type Quotas interface {
 	// Take takes quota for one request of a customer. If none is left, wait is the time
 	// until some may be available. It returns early when ctx ends.
@@ -26,7 +26,8 @@
 func WithQuotas(q Quotas) Option { return func(p *Proxy) { p.quotas = q } }
 
 // WithKeysCurrent refuses requests with a key while known returns false, which means that
-// this host may have missed a revocation. Known is called on traffic goroutines.
+// this host may have missed a revocation. Known is called on the goroutines that serve
+// requests.
 func WithKeysCurrent(known func() bool) Option { return func(p *Proxy) { p.keysKnown = known } }
 
 // caller is the origin of a request.
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -33,8 +33,8 @@
 	Key, Customer string
 	// EchoesRequestID is set if upstreams return the request ID in their responses.
 	EchoesRequestID bool
-	// SendsOwnHeaders is set if the product's own headers are sent: those that tell the
-	// caller the outcome, and those that tell the layers below the request's path.
+	// SendsOwnHeaders is set if the product's own headers are sent: those that report
+	// the outcome to the caller, and those that describe the request's path to the layers below.
 	SendsOwnHeaders bool
 	// FractionalRetryAfter is set if Retry-After is written with fractions of a second.
 	FractionalRetryAfter bool
--- a/internal/proxy/poison.go
+++ b/internal/proxy/poison.go
@@ -12,9 +12,9 @@
 	"github.com/dapplespindle/dapplespindle/pkg/poison"
 )
 
-// This file quarantines requests that crash upstreams. Without quarantine, one look-up sent
+// This file quarantines requests that crash upstreams. Without quarantine, one lookup sent
 // nine times a second to any of four hosts crashed upstreams 51 times in six seconds, and
-// 91 of 148 other look-ups were served; with it there were 3 crashes, and all 148 were
+// 91 of 148 other lookups were served; with it there were 3 crashes, and all 148 were
 // served (eight upstreams that restart within 0.7 s; a test of the platform adapter).
 
 // ConnectionChecker is an optional interface of a Sender. It distinguishes an upstream that
@@ -26,7 +26,7 @@
 }
 
 // PoisonNotifier notifies the other entry hosts of crashes and responses that this host
-// observed. Each method call has its own goroutine.
+// observed. Each call is made on its own goroutine.
 type PoisonNotifier interface {
 	// NotifyCrash reports a crash of an upstream.
 	NotifyCrash(d poison.Crash)
@@ -77,7 +77,7 @@
 	}
 }
 
-// RecentCrashes returns the crashes that a host that missed them should be told.
+// RecentCrashes returns the crashes to report to a host that missed them.
 func (p *Proxy) RecentCrashes(now time.Time, within time.Duration) []poison.Crash {
 	return p.poison.table.RecentCrashes(now, within)
 }
--- a/internal/proxy/poison_test.go
+++ b/internal/proxy/poison_test.go
@@ -165,7 +165,7 @@
 	o.eachPeer(func(p *Proxy) { p.ApplyPeerCrashes(nil, []poison.Fingerprint{f}) })
 }
 
-// lookupFrom returns a look-up of a target by a caller.
+// lookupFrom returns a lookup of a target by a caller.
 func lookupFrom(caller, target string) *httpwire.Request {
 	r := request("GET")
 	r.Target, r.Path, r.RemoteAddr = target, target, caller+":4711"
@@ -179,9 +179,9 @@
 }
 
 // TestDeadlyRequestAtManyHosts reproduces the load of an incident in virtual time: 18 hosts,
-// ten upstreams that restart two seconds after a crash, and one look-up that crashes them,
+// ten upstreams that restart two seconds after a crash, and one lookup that crashes them,
 // sent eight times a second to any host, by one caller or by several, for twenty seconds,
-// beside fifty other look-ups a second. Without quarantine, upstreams crashed as fast as they
+// beside fifty other lookups a second. Without quarantine, upstreams crashed as fast as they
 // restarted: 27 crashes for each such request in that incident.
 //
 // The bounds: the third crash starts the quarantine, or the fifth if there are several
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -175,7 +175,7 @@
 	}
 }
 
-// Ready reports whether a routing table is in force.
+// Ready reports whether there is a current routing table.
 func (p *Proxy) Ready() bool { return p.state.Load() != nil }
 
 // Serve implements httpwire.Handler.
--- a/internal/proxy/ratelimit.go
+++ b/internal/proxy/ratelimit.go
@@ -17,7 +17,7 @@
 // This file enforces the rate limits that overloaded upstreams announce. A limit applies to
 // all hosts together, and the load of a single host is usually below it: 18 hosts that each
 // sent 0.3 requests per second to an upstream with a limit of 1.2 sent it five. So a host
-// can't go by its own rate. Each host has its own time slots, and without a free time slot
+// can't rely on its own rate. Each host has its own time slots, and without a free time slot
 // it makes no attempt of any kind at the upstream.
 
 // ObserveLimit applies the limit in a response that arrived at now, to a request or probe
--- a/internal/proxy/starting.go
+++ b/internal/proxy/starting.go
@@ -22,9 +22,9 @@
 	maxStartWaiters = 512
 )
 
-// starting lets requests wait that arrive before the first configuration. The platform's
-// balancer sends callers to hosts that are not ready if few hosts are, and a refused caller
-// tries other hosts that are not ready either.
+// starting makes requests that arrive before the first configuration wait for it. The
+// platform's load balancer sends callers to hosts that are not ready if few hosts are, and a
+// refused caller tries other hosts that are not ready either.
 type starting struct {
 	until      time.Time
 	once       sync.Once
--- a/internal/proxy/upstreams.go
+++ b/internal/proxy/upstreams.go
@@ -12,8 +12,8 @@
 )
 
 // Upstreams provides what the entry host knows about upstreams and records what it learns
-// about them from attempts. Its methods are called by traffic goroutines and must not
-// block.
+// about them from attempts. Its methods are called on the goroutines that serve requests and
+// must not block.
 type Upstreams interface {
 	// Snapshot returns the latest lifecycle snapshot of all upstreams, never nil.
 	Snapshot() *lifecycle.Snapshot
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -3,13 +3,12 @@
 // this one.
 //
 // The control goroutine calls Policy.Update when the set of upstreams changes
-// and publishes the returned Picker. Traffic goroutines call Pick on the
-// published Picker at the same time; a Picker's membership never changes, and
-// Pick takes no lock. State that changes between snapshots (outstanding requests,
-// latency, load reports) is kept in atomic fields of Upstream, which outlives a
-// snapshot.
+// and publishes the returned Picker. The goroutines that serve requests call Pick
+// on it concurrently; a Picker's membership never changes, and Pick takes no lock.
+// State that changes between snapshots (outstanding requests, latency, load reports)
+// is kept in atomic fields of Upstream, which outlives a snapshot.
 //
-// One request goes through these steps on a traffic goroutine:
+// One request goes through these steps on the goroutine that serves it:
 //
 //  1. Pick returns an upstream. On ErrNoSlot the request stays in the entry
 //     host's local queue: the queue calls Pick again for its first request
@@ -98,15 +97,15 @@
 // Picker chooses an upstream. Its membership is an immutable snapshot. It is
 // safe for concurrent use, and must not block, lock or perform I/O.
 type Picker interface {
-	// Pick returns a choice, ErrNoUpstream or ErrNoSlot. Traffic goroutines
-	// call it once for each attempt. It must not retain PickInfo.Exclude.
+	// Pick returns a choice, ErrNoUpstream or ErrNoSlot. The goroutines that
+	// serve requests call it once for each attempt. It must not retain PickInfo.Exclude.
 	Pick(PickInfo) (Result, error)
 }
 
 // Observer is a Picker that uses feedback beyond what Upstream records.
 type Observer interface {
-	// Observe is called by traffic goroutines, through Finish and FinishProbe,
-	// after the state of u was updated. It must not block.
+	// Observe is called through Finish and FinishProbe, on the goroutine that calls
+	// them, after the state of u was updated. It must not block.
 	Observe(u *Upstream, f Feedback)
 }
 
@@ -122,9 +121,9 @@
 // right before it.
 type LoadQuerier interface {
 	// QueryTargets returns the upstreams to query for their load before the next
-	// Pick, or none if enough is known. A traffic goroutine calls it before each
-	// Pick and again after the responses have arrived, with round counted from 0.
-	// It must not retain info.Exclude.
+	// Pick, or none if enough is known. The goroutine that serves the request calls
+	// it before each Pick and again after the responses have arrived, with round
+	// counted from 0. It must not retain info.Exclude.
 	QueryTargets(info PickInfo, round int) []*Upstream
 }
 
--- a/pkg/balancer/embedding_example_test.go
+++ b/pkg/balancer/embedding_example_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// One request through all parts of the call path: limiter, policy, retry budget,
+// One request through all parts of the request path: limiter, policy, retry budget,
 // and the queue if every upstream is estimated to be full.
 func Example_callPath() {
 	members := []*balancer.Upstream{
--- a/pkg/balancer/feedback.go
+++ b/pkg/balancer/feedback.go
@@ -67,9 +67,9 @@
 	load       *Load
 }
 
-// Finish records the end of a call and passes the feedback to the picker.
-// Traffic goroutines call it exactly once for each Begin, with the current
-// picker, which may be newer than the one that made the choice.
+// Finish records the end of a call and passes the feedback to the picker. It must be
+// called exactly once for each Begin, with the current picker, which may be newer than
+// the one that made the choice.
 func Finish(p Picker, c Call, f Feedback) {
 	f.Sent = c.load
 	c.Upstream.end(c, f)
--- a/pkg/balancer/probefirst/idle_test.go
+++ b/pkg/balancer/probefirst/idle_test.go
@@ -68,8 +68,9 @@
 	is.Equal(queriesUntilChosen(p, info, 1, 0), 2)
 }
 
-// TestRequestResponsesAreNoSamples: an upstream that has just finished a request is idle more
-// often than others, so its load is no sample of the idle share.
+// TestRequestResponsesAreNoSamples checks that responses to requests do not change the idle
+// share: an upstream that has just finished a request is idle more often than others, so its
+// load is no sample of that share.
 func TestRequestResponsesAreNoSamples(t *testing.T) {
 	is := is.New(t)
 	p, list := contended(4)
--- a/pkg/balancer/probefirst/probefirst.go
+++ b/pkg/balancer/probefirst/probefirst.go
@@ -136,8 +136,8 @@
 	return balancer.Result{}, balancer.ErrNoUpstream
 }
 
-// anyLeft reports whether a member is not excluded: it is cold, and this host waits for its
-// time slot there.
+// anyLeft reports whether any member is not excluded. If none could be chosen, such a member
+// is cold, and this host waits for its time slot there.
 func (p *picker) anyLeft(info balancer.PickInfo) bool {
 	return balancer.FirstEligible(p.local, 0, info) != nil || balancer.FirstEligible(p.remote, 0, info) != nil
 }
--- a/pkg/balancer/probefirst/probefirst_test.go
+++ b/pkg/balancer/probefirst/probefirst_test.go
@@ -103,8 +103,8 @@
 	is.Equal(chosen(t, p, balancer.PickInfo{Now: start}), "b")
 }
 
-// TestReportWithoutOwnRequests: the reports that several concurrent requests have queried
-// include none of these requests.
+// TestReportWithoutOwnRequests covers load reports queried by several concurrent requests,
+// which include none of these requests.
 func TestReportWithoutOwnRequests(t *testing.T) {
 	is := is.New(t)
 	a := member("a", "here")
--- a/pkg/balancer/probefirst/query.go
+++ b/pkg/balancer/probefirst/query.go
@@ -35,7 +35,7 @@
 
 // timeSlotTarget returns an upstream that has announced a rate limit, for which this host has a
 // time slot now and no fresh report; nil if there is none. An unused time slot is lost, and
-// only a response can reportLoad that the limit has ended.
+// only a response can show that the limit has ended.
 func (p *picker) timeSlotTarget(info balancer.PickInfo) *balancer.Upstream {
 	if !p.limits.AnyLimited() {
 		return nil
--- a/pkg/balancer/spindle/picker.go
+++ b/pkg/balancer/spindle/picker.go
@@ -129,7 +129,7 @@
 	return kept, false
 }
 
-// chooseCheapest returns a random one of the candidates whose cost is near the lowest.
+// chooseCheapest returns one, at random, of the candidates whose cost is near the lowest.
 // Full candidates are considered only if full is set. It returns false if none is left.
 func chooseCheapest(cands []candidate, tolerance float64, random uint64, full bool) (candidate, bool) {
 	lowest := math.Inf(1)
--- a/pkg/balancer/upstream.go
+++ b/pkg/balancer/upstream.go
@@ -29,7 +29,7 @@
 )
 
 // Upstream is the state that one entry host keeps of one upstream. The identity
-// fields are immutable; traffic goroutines update the rest atomically.
+// fields are immutable; the goroutines that serve requests update the rest atomically.
 type Upstream struct {
 	// ID identifies the upstream.
 	ID string
--- a/pkg/probebudget/audit.go
+++ b/pkg/probebudget/audit.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Violation is a violated invariant: a probe was about to be sent earlier after the last
+// Violation is a violated invariant: a probe was about to be sent sooner after the last
 // one than this host's share allows.
 type Violation struct {
 	// Upstream is the ID of the upstream.
